--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -89,8 +89,8 @@
         )
         return hand
 
-    def listed(self, *lines: frames.ListLine, kind: str = "whole", revision: int = 1) -> None:
-        frame = frames.List(kind, revision, list(lines))
+    def listed(self, *lines: frames.OfficeListEntry, kind: str = "whole", revision: int = 1) -> None:
+        frame = frames.OfficeList(kind, revision, list(lines))
         self.daemon.guides.link_frame(cast(Port, None), frame)
         self.loop.advance(1.0)
 
@@ -126,7 +126,7 @@
     """An address that was given to another office: dialogues for 1 went to 2, which handed them on."""
     door = Door()
     wrong = door.party("o1:1", frames.Hello("office", 2, 1))
-    door.listed(frames.ListLine("o1", 1, "ready", None, "o1:1"))
+    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1"))
     assert not door.daemon.switch.offices["o1"].up
     assert wrong.down and "office 2, not 1" in wrong.down[0] and "office_not_as_listed" in door.said
 
@@ -135,9 +135,9 @@
     door = Door(limits={"may_tell_peers": True})
     hello = frames.Hello("call_server", 1, 1)
     old, new = door.party("p1:1", hello), door.party("p1:2", hello)
-    door.listed(frames.ListLine("o1", 1, "ready", None, "o1:1", "p1:1"))
+    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:1"))
     assert len(old.up) == 1
-    door.listed(frames.ListLine("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
+    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
     assert old.down and len(new.up) == 1 and list(door.daemon.peer_links) == ["p1:2"]
 
 
@@ -145,7 +145,7 @@
 def test_a_malformed_list_is_not_followed_to_its_peers(kind: str) -> None:
     door = Door(limits={"may_tell_peers": True})
     standing = "ready" if kind == "odd" else "broken"
-    door.listed(frames.ListLine("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
+    door.listed(frames.OfficeListEntry("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
     assert not door.daemon.peer_links and door.daemon.switch.counts["lists_malformed"] == 1
 
 
@@ -186,16 +186,18 @@
     ref = chance.randrange(1, 6)
     own: dict[type[Any], Any] = {
         frames.Call: frames.Call(chance.randrange(1 << 20), "cheap", 1, "aa", 2_000_000, 1, False, "north"),
-        frames.Leave: frames.Leave(ref),
+        frames.HangUp: frames.HangUp(ref),
         frames.Setup: frames.Setup(chance.randrange(1 << 20), 2, 77, 0, "cheap", 1, "aa", 2_000_000, 1),
         frames.Answer: frames.Answer(ref, frames.Load(0.5, 1000, 5.0, 0.1)),
-        frames.PushBack: frames.PushBack(ref, "processor_full", 0, frames.Load(0.5, 1000)),
-        frames.Passed: frames.Passed(ref, "setup"),
+        frames.Reject: frames.Reject(ref, "processor_full", 0, frames.Load(0.5, 1000)),
+        frames.StepProcessed: frames.StepProcessed(ref, "setup"),
         frames.GroupState: frames.GroupState(1, 0, 20),
         frames.LoadReport: frames.LoadReport(frames.Load(0.5, 1000)),
-        frames.Carried: frames.Carried(1, 7, "cheap", "aa", 1, "released", 5_000),
-        frames.Word: frames.Word(bytes((1, 1, 5, 5, 5))),
-        frames.List: frames.List("changes", 2, [frames.ListLine("o1", 1, "ready", 10**6, "o1:1", "p1:1")]),
+        frames.CarriedDialogue: frames.CarriedDialogue(1, 7, "cheap", "aa", 1, "released", 5_000),
+        frames.PeerMessage: frames.PeerMessage(bytes((1, 1, 5, 5, 5))),
+        frames.OfficeList: frames.OfficeList(
+            "changes", 2, [frames.OfficeListEntry("o1", 1, "ready", 10**6, "o1:1", "p1:1")]
+        ),
         frames.Advice: frames.Advice([-1, 1, 2]),
     }
     return own.get(kind) or any_frame(kind, chance)
@@ -232,8 +234,10 @@
         "s:1", lambda: Port(door.loop, hands["caller"][0], caller, ("call_server",)), print
     )
     door.loop.advance(5.0)
-    lines = [frames.ListLine(f"o{n}", n, "ready", None, f"o{n}:1", f"p{n}:1" if n else "") for n in range(3)]
-    known = frames.List("whole", 1, lines)
+    lines = [
+        frames.OfficeListEntry(f"o{n}", n, "ready", None, f"o{n}:1", f"p{n}:1" if n else "") for n in range(3)
+    ]
+    known = frames.OfficeList("whole", 1, lines)
     for _ in range(500):
         role = chance.choice(list(hands))
         ports = [hand.up[-1] for hand in hands[role] if hand.up]
@@ -248,7 +252,7 @@
                 frame = a_sound_frame(kind, chance)
                 if chance.random() < 0.7:
                     frame = with_one_odd_figure(frame, chance)
-        if isinstance(frame, frames.List):
+        if isinstance(frame, frames.OfficeList):
             frame = msgspec.structs.replace(frame, revision=1)
         if ports:
             (ports[0] if chance.random() < 0.5 else chance.choice(ports)).send(frame)
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -320,7 +320,7 @@
         for line in one.lines
         if not isinstance(line, Note) and isinstance(line.frame, frames.Final)
     ]
-    assert {final.by for final in finals} == {load(texts, PARSER).mark}
+    assert {final.hooks_version for final in finals} == {load(texts, PARSER).mark}
 
 
 def remembering() -> dict[str, Kept]:
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -48,7 +48,7 @@
     def _answer(self, taken: Taken, answer: str, come_back: int, now: int) -> None:
         super()._answer(taken, answer, come_back, now)
         if taken.home is not None:
-            self.outlet.to_office(taken.home.id, frames.PushBack(taken.home_ref, "turned_back"))
+            self.outlet.to_office(taken.home.id, frames.Reject(taken.home_ref, "turned_back"))
 
 
 class DialsTwoAtOnce(Switch):
@@ -82,13 +82,13 @@
 
 
 class HearsNoDrains(Switch):
-    def listed(self, frame: frames.List, now: int) -> None:
-        lines = [line for line in frame.lines if line.standing != "draining" and line.age is None]
-        super().listed(frames.List(frame.kind, frame.revision, lines), now)
+    def listed(self, frame: frames.OfficeList, now: int) -> None:
+        lines = [line for line in frame.entries if line.state != "draining" and line.age is None]
+        super().listed(frames.OfficeList(frame.kind, frame.revision, lines), now)
 
 
 class HearsDrainsLate(Switch):
-    def listed(self, frame: frames.List, now: int) -> None:
+    def listed(self, frame: frames.OfficeList, now: int) -> None:
         if frame.kind == "whole":
             super().listed(frame, now)
         else:
@@ -105,10 +105,10 @@
 class FloodsTheCold(Switch):
     """Tries whether a fresh office can bear ten set-ups at once from each."""
 
-    def listed(self, frame: frames.List, now: int) -> None:
+    def listed(self, frame: frames.OfficeList, now: int) -> None:
         super().listed(frame, now)
-        for line in frame.lines:
-            if line.age is not None and line.standing == "ready" and line.number != self.number:
+        for line in frame.entries:
+            if line.age is not None and line.state == "ready" and line.number != self.number:
                 self.outlet.timer(2_000_000, lambda at, office=line.office: self._flood(office))
 
     def _flood(self, office: str) -> None:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -137,16 +137,16 @@
     assert ends.office.down == ["reset"]
 
 
-@pytest.mark.parametrize("frame", [frames.Ledger(b"x" * 70_000), frames.Final(1 << 70, "stands")])
-def test_a_frame_that_cannot_be_sent_costs_no_other(ends: TwoEnds, frame: frames.Any) -> None:
+@pytest.mark.parametrize("frame", [frames.LedgerMessage(b"x" * 70_000), frames.Final(1 << 70, "stands")])
+def test_a_frame_that_cannot_be_sent_costs_no_other(ends: TwoEnds, frame: frames.AnyFrame) -> None:
     said: list[str] = []
     ends.loop.set_exception_handler(lambda loop, context: said.append(str(context.get("exception"))))
     ends.a.send(frames.Release(1))
     ends.a.send(frame)
     ends.a.send(frames.Release(2))
     ends.loop.advance(0.1)
-    assert [one.ref for one in ends.office.got if isinstance(one, frames.Release)] == [1, 2]
-    assert len(said) == 1 and type(frame).__name__ in said[0]
+    assert [one.dial_ref for one in ends.office.got if isinstance(one, frames.Release)] == [1, 2]
+    assert len(said) == 1 and str(frame.__struct_config__.tag) in said[0]
 
 
 def test_one_that_never_says_who_it_is_is_closed_whatever_it_drips(ends: TwoEnds) -> None:
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -112,9 +112,9 @@
                 super()._overdue(*args)
                 struck.reached(self, "release wait")
 
-            def listed(self, frame: frames.List, now: int) -> bool:
+            def listed(self, frame: frames.OfficeList, now: int) -> bool:
                 followed: bool = super().listed(frame, now)
-                if any(line.standing == "draining" for line in frame.lines):
+                if any(line.state == "draining" for line in frame.entries):
                     struck.reached(self, "drain")
                 return followed
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -34,8 +34,8 @@
 class Paper:
     """An outlet that writes everything down."""
 
-    sent: list[tuple[str, frames.Any]] = field(default_factory=list)
-    waiting: list[frames.Any] = field(default_factory=list)
+    sent: list[tuple[str, frames.AnyFrame]] = field(default_factory=list)
+    waiting: list[frames.AnyFrame] = field(default_factory=list)
     timers: list[Ring] = field(default_factory=list)
     said: list[str] = field(default_factory=list)
     resets: list[str] = field(default_factory=list)
@@ -43,15 +43,15 @@
     now: int = 0
     rung: int = 0
 
-    def to_caller(self, link: Hashable, frame: frames.Any) -> bool:
+    def to_caller(self, link: Hashable, frame: frames.AnyFrame) -> bool:
         self.sent.append(("caller", frame))
         return True
 
-    def to_office(self, office: str, frame: frames.Any) -> bool:
+    def to_office(self, office: str, frame: frames.AnyFrame) -> bool:
         self.sent.append((office, frame))
         return True
 
-    def withdraw(self, office: str, which: Callable[[frames.Any], bool]) -> list[frames.Any]:
+    def withdraw(self, office: str, which: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
         taken = [frame for frame in self.waiting if which(frame)]
         self.waiting = [frame for frame in self.waiting if not which(frame)]
         return taken
@@ -105,8 +105,8 @@
             self.switch.group_told("o0", frames.GroupState(number, 0, size), 0)
 
     def told(self, *standings: str, revision: int = 1) -> None:
-        lines = [frames.ListLine(f"o{n}", n, s, None, f"o{n}:1") for n, s in enumerate(standings)]
-        self.switch.listed(frames.List("whole", revision, lines), self.out.now)
+        lines = [frames.OfficeListEntry(f"o{n}", n, s, None, f"o{n}:1") for n, s in enumerate(standings)]
+        self.switch.listed(frames.OfficeList("whole", revision, lines), self.out.now)
 
     def run(self, us: int) -> None:
         until = self.out.now + us
@@ -127,8 +127,8 @@
 
     def pass_own(self) -> None:
         """The own processor lets the last step through."""
-        step = [frame for frame in self.of(frames.Pass) if frame.ref][-1]
-        self.switch.passed("o0", frames.Passed(step.ref, step.what), self.out.now)
+        step = [frame for frame in self.of(frames.ProcessStep) if frame.dial_ref][-1]
+        self.switch.passed("o0", frames.StepProcessed(step.dial_ref, step.step), self.out.now)
 
     def dial(self, **call: Any) -> frames.Setup:
         """A call whose set-up is out."""
@@ -139,7 +139,7 @@
 
     def stand(self) -> frames.Setup:
         setup = self.dial()
-        self.switch.answered("o1", frames.Answer(setup.ref), self.out.now)
+        self.switch.answered("o1", frames.Answer(setup.dial_ref), self.out.now)
         self.pass_own()
         return setup
 
@@ -160,8 +160,8 @@
     setup = bench.stand()
     assert bench.finals == ["stands"] and bench.free() == 9
     bench.switch.leave("link", 1, bench.out.now)
-    assert bench.of(frames.Release) == [frames.Release(setup.ref)] and bench.free() == 9
-    bench.switch.released("o1", frames.Released(setup.ref), bench.out.now)
+    assert bench.of(frames.Release) == [frames.Release(setup.dial_ref)] and bench.free() == 9
+    bench.switch.released("o1", frames.Released(setup.dial_ref), bench.out.now)
     assert bench.free() == 10 and not bench.switch.taken and bench.finals == ["stands"]
 
 
@@ -183,9 +183,9 @@
 def test_an_answer_that_crosses_the_cancel_is_a_stray(bench: Bench) -> None:
     setup = bench.dial()
     bench.run(3 * SECOND)
-    bench.switch.answered("o1", frames.Answer(setup.ref), bench.out.now)
+    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     bench.run(SECOND)
-    bench.switch.answered("o1", frames.Answer(setup.ref), bench.out.now)
+    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     assert bench.finals == ["forfeited"] and bench.switch.counts["strays.Answer"] == 2
 
 
@@ -193,16 +193,16 @@
     """All three in one turn of the loop, the answer first."""
     setup = bench.dial()
     bench.out.now += 3 * SECOND - ANSWER_MARGIN_US
-    bench.switch.answered("o1", frames.Answer(setup.ref), bench.out.now)
+    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     bench.switch.leave("link", 1, bench.out.now)
     bench.run(SECOND)
-    assert bench.finals == [] and bench.of(frames.Cancel) == [frames.Cancel(setup.ref)]
+    assert bench.finals == [] and bench.of(frames.Cancel) == [frames.Cancel(setup.dial_ref)]
     assert not bench.switch.taken and bench.free() == 10
 
 
 def test_an_answer_told_twice_is_one_answer(bench: Bench) -> None:
     setup = bench.stand()
-    bench.switch.answered("o1", frames.Answer(setup.ref), bench.out.now)
+    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     assert bench.finals == ["stands"] and bench.switch.counts["strays.Answer"] == 1
 
 
@@ -241,8 +241,8 @@
 
 def test_offices_that_are_gone_are_forgotten(bench: Bench) -> None:
     for revision in range(2, 50):
-        lines = [frames.ListLine(f"o1.{revision}", 1, "ready", 0, "x:1")]
-        bench.switch.listed(frames.List("whole", revision, lines), 0)
+        lines = [frames.OfficeListEntry(f"o1.{revision}", 1, "ready", 0, "x:1")]
+        bench.switch.listed(frames.OfficeList("whole", revision, lines), 0)
     assert list(bench.switch.offices) == ["o1.49"]
 
 
@@ -266,10 +266,10 @@
 
 def test_an_old_list_does_not_shut_a_processor_that_started_since(bench: Bench) -> None:
     bench.out.now = 100 * SECOND
-    fresh = [frames.ListLine("o1", 1, "ready", SECOND, "o1:1")]
-    bench.switch.listed(frames.List("changes", 9, fresh), bench.out.now)
-    old = [frames.ListLine("o1", 1, "gone", 50 * SECOND, "o1:1")]
-    bench.switch.listed(frames.List("changes", 3, old), bench.out.now)
+    fresh = [frames.OfficeListEntry("o1", 1, "ready", SECOND, "o1:1")]
+    bench.switch.listed(frames.OfficeList("changes", 9, fresh), bench.out.now)
+    old = [frames.OfficeListEntry("o1", 1, "gone", 50 * SECOND, "o1:1")]
+    bench.switch.listed(frames.OfficeList("changes", 3, old), bench.out.now)
     assert bench.switch.offices["o1"].standing is ev.Standing.READY
 
 
@@ -304,7 +304,7 @@
     setup = bench.dial()
     bench.call(id=2)
     bench.switch.office_down("o0", "test", bench.out.now)
-    assert frames.Cancel(setup.ref) in bench.of(frames.Cancel)
+    assert frames.Cancel(setup.dial_ref) in bench.of(frames.Cancel)
     bench.run(3 * SECOND)
     assert sorted(bench.finals) == ["pushed_back", "pushed_back"] and bench.free() == 10
 
@@ -315,8 +315,8 @@
     bench.pass_own()
     onward = bench.of(frames.Setup)[-1]
     assert (onward.origin, onward.dialogue, onward.destination) == (2, 77, 1)
-    bench.switch.pushed_back("o1", frames.PushBack(onward.ref, "processor_full"), 0)
-    assert ("o0", frames.PushBack(9, "far_processor_full")) in bench.out.sent
+    bench.switch.pushed_back("o1", frames.Reject(onward.dial_ref, "processor_full"), 0)
+    assert ("o0", frames.Reject(9, "far_processor_full")) in bench.out.sent
 
 
 def test_a_transit_called_off_upstream_is_called_off_onward(bench: Bench) -> None:
@@ -324,7 +324,7 @@
     bench.pass_own()
     onward = bench.of(frames.Setup)[-1]
     bench.switch.transit_over("o0", 9, 0)
-    assert ("o1", frames.Cancel(onward.ref)) in bench.out.sent
+    assert ("o1", frames.Cancel(onward.dial_ref)) in bench.out.sent
     assert ("o0", frames.Released(9)) in bench.out.sent and not bench.switch.taken
 
 
@@ -348,10 +348,10 @@
     if kind is ev.Arrived:
         bench.call()
     elif kind is ev.Stood:
-        bench.switch.answered("o1", frames.Answer(setup.ref), 0)
+        bench.switch.answered("o1", frames.Answer(setup.dial_ref), 0)
         bench.pass_own()
     elif kind is ev.DialEnded:
-        bench.switch.pushed_back("o1", frames.PushBack(setup.ref, "fault"), 0)
+        bench.switch.pushed_back("o1", frames.Reject(setup.dial_ref, "fault"), 0)
     elif kind is ev.WentAway:
         bench.switch.leave("link", 1, 0)
     elif kind is ev.Listed:
@@ -382,7 +382,7 @@
 def test_a_call_with_an_id_that_is_open_is_skipped_and_the_first_gets_its_one_answer(bench: Bench) -> None:
     setup = bench.dial(id=1)
     bench.call(id=1)
-    bench.switch.answered("o1", frames.Answer(setup.ref), 0)
+    bench.switch.answered("o1", frames.Answer(setup.dial_ref), 0)
     bench.pass_own()
     assert bench.finals == ["stands"] and bench.switch.counts["strays.Call"] == 1
 
@@ -452,7 +452,7 @@
 ) -> None:
     setup = frames.Setup(9, 2, 77, 0, "cheap", 1, "aa", SECOND, 1)
     bench.switch.transit("o0", msgspec.structs.replace(setup, **change), 0)
-    assert [frame.ref for frame in bench.of(frames.PushBack)] == [9] and not bench.switch.taken
+    assert [frame.dial_ref for frame in bench.of(frames.Reject)] == [9] and not bench.switch.taken
 
 
 class Raising:
@@ -472,14 +472,14 @@
     bench.switch.witness = Raising()
     bench.stand()
     bench.switch.leave("link", 1, bench.out.now)
-    bench.switch.carried("o0", frames.Carried(2, 7, "cheap", None, 1, "released", 5))
+    bench.switch.carried("o0", frames.CarriedDialogue(2, 7, "cheap", None, 1, "released", 5))
     assert bench.finals == ["stands"] and len(bench.of(frames.Release)) == 1 and not bench.switch.taken
     assert bench.switch.counts["ledger_faults"] == 3 and bench.out.said.count("ledger_fault") == 3
 
 
 def test_an_age_under_nought_is_a_start_just_now(bench: Bench) -> None:
-    lines = [frames.ListLine("o1", 1, "ready", -(10**9), "o1:1")]
-    bench.switch.listed(frames.List("changes", 2, lines), 5)
+    lines = [frames.OfficeListEntry("o1", 1, "ready", -(10**9), "o1:1")]
+    bench.switch.listed(frames.OfficeList("changes", 2, lines), 5)
     assert bench.switch.exchange.offices["o1"].started == 5
 
 
@@ -500,12 +500,10 @@
     setup = frames.Setup(5, 2, 77, 0, "cheap", 1, "aa", SECOND, 1)
     bench.switch.transit("o0", setup, 0)
     bench.switch.transit("o0", setup, 0)
-    assert not bench.of(frames.PushBack) and len(bench.switch.taken) == 1
+    assert not bench.of(frames.Reject) and len(bench.switch.taken) == 1
     bench.switch.transit_over("o0", 5, 0)
     bench.switch.transit("o0", setup, 0)
-    assert (
-        not bench.of(frames.PushBack) and not bench.switch.taken and bench.switch.counts["strays.Setup"] == 2
-    )
+    assert not bench.of(frames.Reject) and not bench.switch.taken and bench.switch.counts["strays.Setup"] == 2
     bench.switch.caller_lost("link", 0)
     bench.call(id=7, destination=9)  # a new link may begin again
     assert bench.finals == ["pushed_back"] * 2
@@ -550,13 +548,13 @@
     bench.out.now += 5 * 3600 * SECOND  # paused: all timers ring late, at the time it is then
     bench.run(10 * SECOND)
     assert bench.finals == ["stands", "forfeited"] and len(bench.switch.taken) == 1
-    bench.switch.answered("o1", frames.Answer(setup.ref), bench.out.now)
+    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     assert bench.switch.counts["strays.Answer"] == 1
-    assert bench.dial(id=3).ref > setup.ref and not bench.switch.counts["decision_faults"]
+    assert bench.dial(id=3).dial_ref > setup.dial_ref and not bench.switch.counts["decision_faults"]
 
 
 def test_a_fleet_of_one_and_an_empty_list_push_back_at_once(bench: Bench) -> None:
-    bench.switch.listed(frames.List("whole", 2, []), 0)
+    bench.switch.listed(frames.OfficeList("whole", 2, []), 0)
     bench.call()
     assert bench.finals == ["pushed_back"] and not bench.switch.offices
 
@@ -573,6 +571,6 @@
 # for ever. To take what it names anew would open offices that were heard to drain.
 def test_a_register_that_lost_its_count_can_name_new_offices(bench: Bench) -> None:
     bench.told("ready", "ready", "ready", revision=1_000_000)
-    lines = [frames.ListLine("o1.1", 1, "ready", 0, "o1.1:1")]
-    bench.switch.listed(frames.List("changes", 3, lines), 0)
+    lines = [frames.OfficeListEntry("o1.1", 1, "ready", 0, "o1.1:1")]
+    bench.switch.listed(frames.OfficeList("changes", 3, lines), 0)
     assert "o1.1" in bench.switch.offices
--- a/tests/test_trunk.py
+++ b/tests/test_trunk.py
@@ -17,14 +17,14 @@
     frames.Heartbeat(4),
     frames.Setup(1, 0, 9, 0, "cheap", 3, "0a", 2_000_000, 1),
     frames.Answer(1, frames.Load(wait=20)),
-    frames.PushBack(2, "processor_full", 300),
-    frames.Word(b"\x01\x00"),
-    frames.List("whole", 3, [frames.ListLine("office-1", 1, "ready", None, "127.0.0.1:1")]),
+    frames.Reject(2, "processor_full", 300),
+    frames.PeerMessage(b"\x01\x00"),
+    frames.OfficeList("whole", 3, [frames.OfficeListEntry("office-1", 1, "ready", None, "127.0.0.1:1")]),
 ]
 
 
 @given(st.lists(st.sampled_from(SOME), max_size=8), st.lists(st.integers(1, 40), min_size=1))
-def test_frames_survive_any_pieces(sent: list[frames.Any], cuts: list[int]) -> None:
+def test_frames_survive_any_pieces(sent: list[frames.AnyFrame], cuts: list[int]) -> None:
     data = b"".join(codec.encode(frame) for frame in sent)
     decoder, got, at = codec.Decoder(), [], 0
     while at < len(data):
@@ -62,7 +62,7 @@
 
 def test_a_frame_too_long_is_never_sent() -> None:
     with pytest.raises(codec.BadFrame, match="Word of"):
-        codec.encode(frames.Word(bytes(codec.MAX_FRAME)))
+        codec.encode(frames.PeerMessage(bytes(codec.MAX_FRAME)))
 
 
 def up() -> Link:
@@ -86,7 +86,7 @@
         ([HELLO, frames.Call(1, "cheap", 2, None, 10)], "Call is not for a office to say"),
     ],
 )
-def test_what_is_out_of_order_closes_the_link_with_one_error(sent: list[frames.Any], said: str) -> None:
+def test_what_is_out_of_order_closes_the_link_with_one_error(sent: list[frames.AnyFrame], said: str) -> None:
     link = Link("call_server", ("office",), 0)
     with pytest.raises(LinkFault, match=said) as fault:
         link.receive(b"".join(codec.encode(frame) for frame in sent), 0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -109,13 +109,13 @@
 
     def __init__(self) -> None:
         self.up: list[Port] = []
-        self.got: list[frames.Any] = []
+        self.got: list[frames.AnyFrame] = []
         self.down: list[str] = []
 
     def link_up(self, port: Port) -> None:
         self.up.append(port)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         if not isinstance(frame, frames.Heartbeat):
             self.got.append(frame)
 
--- a/wellhitch/judge/rules.py
+++ b/wellhitch/judge/rules.py
@@ -152,7 +152,7 @@
         if isinstance(frame, frames.Call):
             verdict.seen["dialogues"] += 1
             open_calls[key] = _Owed(line.t, frame.left, line.link)
-        elif isinstance(frame, frames.Leave):
+        elif isinstance(frame, frames.HangUp):
             left = open_calls.get(key)
             if left and left.over is None:
                 missing(frame.id, left, line.t)
@@ -225,7 +225,7 @@
                         del handed[key]
             continue
         frame = line.frame
-        key = (line.link, getattr(frame, "ref", -1))
+        key = (line.link, getattr(frame, "dial_ref", -1))
         if line.way == "out":
             if isinstance(frame, frames.Setup):
                 verdict.seen["transits"] += 1
@@ -233,21 +233,21 @@
             elif isinstance(frame, (frames.Cancel, frames.Release)):
                 off = handed.get(key)
                 if off and off.over is None:
-                    missing(frame.ref, off, line.t)
+                    missing(frame.dial_ref, off, line.t)
                     off.over = line.t
-        elif isinstance(frame, (frames.Answer, frames.PushBack)):
+        elif isinstance(frame, (frames.Answer, frames.Reject)):
             owed_now = handed.get(key)
-            name = type(frame).__name__
+            name = str(frame.__struct_config__.tag)
             if owed_now is None:
-                broken(line.t, f"transit {frame.ref}: {name} to nothing handed over")
+                broken(line.t, f"transit {frame.dial_ref}: {name} to nothing handed over")
             elif owed_now.answered is not None:
-                broken(line.t, f"transit {frame.ref}: a second answer, {name} after {owed_now.answer}")
+                broken(line.t, f"transit {frame.dial_ref}: a second answer, {name} after {owed_now.answer}")
             elif (
                 owed_now.over is not None
                 and _earliest(unread, line.t) > owed_now.over + 2 * figures.way
                 and not outages.touches(server, owed_now.over, line.t)
             ):
-                broken(line.t, f"transit {frame.ref}: {name} after it was called off")
+                broken(line.t, f"transit {frame.dial_ref}: {name} after it was called off")
             if owed_now is not None:
                 owed_now.answered, owed_now.answer = line.t, name
     for (_, ref), owed in handed.items():
@@ -335,7 +335,7 @@
                     )
             continue
         frame = line.frame
-        key = (line.link, getattr(frame, "ref", -1))
+        key = (line.link, getattr(frame, "dial_ref", -1))
         late = unread + silences.get((line.number, capture.name), [])
         if line.way == "in" and isinstance(frame, frames.Setup):
             dial = out[key] = _Dial(line.number, line.t, capture.name, frame.dial, _earliest(late, line.t))
@@ -343,8 +343,8 @@
         elif line.way == "in" and isinstance(frame, (frames.Cancel, frames.Release)) and key in out:
             how = "called off" if isinstance(frame, frames.Cancel) else "released"
             _gone(out.pop(key), _earliest(late, line.t), how)
-        elif line.way == "out" and isinstance(frame, (frames.PushBack, frames.Cut)) and key in out:
-            how = "pushed back" if isinstance(frame, frames.PushBack) else "reset"
+        elif line.way == "out" and isinstance(frame, (frames.Reject, frames.Cut)) and key in out:
+            how = "pushed back" if isinstance(frame, frames.Reject) else "reset"
             # Where the Setup came late, so may a Cancel that was sent long before: it stands behind in the same read.
             _gone(out.pop(key), _earliest(late, line.t), how)
         elif line.way == "out" and isinstance(frame, frames.Answer) and key in out:
@@ -406,10 +406,10 @@
     for capture in registers:
         known: dict[tuple[int, str], bool] = {}
         for line in capture.lines:
-            if isinstance(line, Note) or not isinstance(line.frame, frames.List) or line.way != "out":
+            if isinstance(line, Note) or not isinstance(line.frame, frames.OfficeList) or line.way != "out":
                 continue
-            lines = line.frame.lines
-            named = {one.office: one.standing == "ready" for one in lines}
+            lines = line.frame.entries
+            named = {one.office: one.state == "ready" for one in lines}
             if line.frame.kind == "whole":
                 named.update(
                     {office: False for who, office in known if who == line.number and office not in named}
--- a/wellhitch/judge/service.py
+++ b/wellhitch/judge/service.py
@@ -137,6 +137,6 @@
             found = by_call.pop(line.frame.id, None)
             if found:
                 found.cut = True
-        elif isinstance(line.frame, frames.Leave):
+        elif isinstance(line.frame, frames.HangUp):
             by_call.pop(line.frame.id, None)
     return list(wishes.values())
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -208,7 +208,7 @@
                 for key in [key for key in standing if key[0] == line.facts["link"]]:
                     over(key, line.t)
             continue
-        frame, key = line.frame, (line.link, getattr(line.frame, "ref", 0))
+        frame, key = line.frame, (line.link, getattr(line.frame, "dial_ref", 0))
         if (
             isinstance(frame, frames.Setup)
             and line.way == "in"
@@ -246,7 +246,7 @@
             calls[key] = frame
         elif isinstance(frame, frames.Final) and frame.answer == "stands":
             heard[key] = line.t
-        elif isinstance(frame, (frames.Leave, frames.Ended)):
+        elif isinstance(frame, (frames.HangUp, frames.Ended)):
             over(key, line.t)
     return out
 
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -77,13 +77,13 @@
         """Nothing is held."""
         return 0
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """Answer at once."""
         match frame:
             case frames.Setup(ref):
                 port.send(frames.Answer(ref))
-            case frames.Pass(ref, what) if ref:
-                port.send(frames.Passed(ref, what))
+            case frames.ProcessStep(ref, what) if ref:
+                port.send(frames.StepProcessed(ref, what))
             case frames.Release(ref) | frames.Cancel(ref):
                 port.send(frames.Released(ref))
 
@@ -100,12 +100,12 @@
 
 
 class _List(_Echo):
-    def __init__(self, lines: list[frames.ListLine]) -> None:
+    def __init__(self, lines: list[frames.OfficeListEntry]) -> None:
         super().__init__(-1)
         self.lines = lines
 
     def link_up(self, port: Port) -> None:
-        port.send(frames.List("whole", 1, self.lines))
+        port.send(frames.OfficeList("whole", 1, self.lines))
 
 
 def _listen(
@@ -148,7 +148,9 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        lines = [frames.ListLine(f"o{n}", n, "ready", None, address) for n, address in sorted(known.items())]
+        lines = [
+            frames.OfficeListEntry(f"o{n}", n, "ready", None, address) for n, address in sorted(known.items())
+        ]
         register: list[str] = []
         _listen(loop, _List(lines), "register", -1, lambda made: register.append(made.address))
         while not register:
@@ -239,7 +241,7 @@
         if self.port:
             self.port.send(call)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """An answer."""
         if not isinstance(frame, frames.Final):
             return
@@ -259,7 +261,7 @@
 
     def _leave(self, id: int) -> None:
         if self.port:
-            self.port.send(frames.Leave(id))
+            self.port.send(frames.HangUp(id))
 
 
 async def _linked(address: str, offices: int) -> tuple[_Load, KeptLink]:
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -193,11 +193,11 @@
 
     # -- Outlet --
 
-    def to_caller(self, link: Hashable, frame: frames.Any) -> bool:
+    def to_caller(self, link: Hashable, frame: frames.AnyFrame) -> bool:
         """As `Outlet`."""
         return cast(Port, link).send(frame)
 
-    def to_office(self, office: str, frame: frames.Any) -> bool:
+    def to_office(self, office: str, frame: frames.AnyFrame) -> bool:
         """As `Outlet`."""
         port = self._office_port(office)
         return port.send(frame) if port else False
@@ -206,7 +206,7 @@
         kept = self.offices.get(office)
         return kept.link.port if kept else None
 
-    def withdraw(self, office: str, which: Callable[[frames.Any], bool]) -> list[frames.Any]:
+    def withdraw(self, office: str, which: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
         """As `Outlet`."""
         port = self._office_port(office)
         return port.withdraw(which) if port else []
@@ -241,7 +241,7 @@
 
     def tell_peers(self, text: bytes) -> None:
         """As `Outlet`."""
-        word = frames.Word(text)
+        word = frames.PeerMessage(text)
         for kept in self.peer_links.values():
             if kept.port:
                 kept.port.send(word)
@@ -260,12 +260,12 @@
 
     # -- what the register names --
 
-    def follow_peers(self, lines: list[frames.ListLine]) -> None:
+    def follow_peers(self, lines: list[frames.OfficeListEntry]) -> None:
         """Keep a link to each peer that the list names, where words are told at all or a ledger is kept."""
         if not self.tells and not self.desk:
             return
         for line in lines:
-            address = line.peer
+            address = line.peer_address
             if address:
                 before = self.peer_numbers.get(line.number, address)
                 self.peer_numbers[line.number] = address
@@ -288,7 +288,7 @@
         asked for again."""
         kept = self.peer_links.get(self.peer_numbers.get(to, ""))
         port = (kept.port if kept else None) or self.peers_here.get(to)
-        return port.send(frames.Ledger(data)) if port else False
+        return port.send(frames.LedgerMessage(data)) if port else False
 
     def ledger_asked(self, what: str) -> str:
         """An operator's word about the ledger: `close PERIOD` states it early, `correct DIALOGUE US WHO WHY` (names and
@@ -424,12 +424,12 @@
 class _Callers(_Part):
     """Links from callers."""
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """A caller says something."""
         now = self.daemon.now()
         if isinstance(frame, frames.Call):
             self.daemon.switch.call(port, frame, now)
-        elif isinstance(frame, frames.Leave):
+        elif isinstance(frame, frames.HangUp):
             self.daemon.switch.leave(port, frame.id, now)
 
     def link_down(self, port: Port, why: str) -> None:
@@ -440,12 +440,12 @@
 class _Peers(_Part):
     """Links with other call servers."""
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """A peer says something."""
-        if isinstance(frame, frames.Word):
-            self.daemon.switch.word(port.peer.number, frame.text, self.daemon.now())
-        elif isinstance(frame, frames.Ledger) and self.daemon.desk:
-            self.daemon.desk.heard_from(port.peer.number, frame.text)
+        if isinstance(frame, frames.PeerMessage):
+            self.daemon.switch.word(port.peer.number, frame.payload, self.daemon.now())
+        elif isinstance(frame, frames.LedgerMessage) and self.daemon.desk:
+            self.daemon.desk.heard_from(port.peer.number, frame.payload)
 
     def link_up(self, port: Port) -> None:
         """A peer is there: either end may have opened the link."""
@@ -460,11 +460,11 @@
 class _Guides(_Part):
     """Links to the register and the centre."""
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """The register or the centre says something."""
-        if isinstance(frame, frames.List):
+        if isinstance(frame, frames.OfficeList):
             if self.daemon.switch.listed(frame, self.daemon.now()):
-                self.daemon.follow_peers(frame.lines)
+                self.daemon.follow_peers(frame.entries)
         elif isinstance(frame, frames.Advice):
             self.daemon.switch.advised(frame)
 
@@ -494,15 +494,15 @@
         """Circuits that our dials hold there."""
         return self.daemon.switch.held_for(self.office)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """The office says something."""
         switch, now = self.daemon.switch, self.daemon.now()
         match frame:
-            case frames.Passed():
+            case frames.StepProcessed():
                 switch.passed(self.office, frame, now)
             case frames.Answer():
                 switch.answered(self.office, frame, now)
-            case frames.PushBack():
+            case frames.Reject():
                 switch.pushed_back(self.office, frame, now)
             case frames.Cut(ref):
                 switch.cut(self.office, ref, now)
@@ -516,7 +516,7 @@
                 switch.group_told(self.office, frame, now)
             case frames.LoadReport():
                 switch.load_told(self.office, frame, now)
-            case frames.Carried():
+            case frames.CarriedDialogue():
                 switch.carried(self.office, frame)
             case frames.Heartbeat(held):
                 switch.counts_compared(self.office, held, now)
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -47,13 +47,13 @@
 class Outlet(Protocol):
     """The way out: what the shell does for the switch."""
 
-    def to_caller(self, link: Hashable, frame: frames.Any) -> bool:
+    def to_caller(self, link: Hashable, frame: frames.AnyFrame) -> bool:
         """Send to a caller."""
 
-    def to_office(self, office: str, frame: frames.Any) -> bool:
+    def to_office(self, office: str, frame: frames.AnyFrame) -> bool:
         """Send to an office; False where its link is down."""
 
-    def withdraw(self, office: str, which: Callable[[frames.Any], bool]) -> list[frames.Any]:
+    def withdraw(self, office: str, which: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
         """Take back frames to an office that wait here."""
 
     def mark(self, office: str) -> int:
@@ -200,7 +200,7 @@
         self.by_caller[key] = taken
         home = self._home()
         if home:
-            self.outlet.to_office(home.id, frames.Pass(0, "look"))
+            self.outlet.to_office(home.id, frames.ProcessStep(0, "look"))
         advised = self.advice[call.destination] if 0 <= call.destination < len(self.advice) else -1
         self._arrived(taken, call.left, call.redialled, advised, now, said.favour)
 
@@ -217,9 +217,9 @@
         """What a caller's and an office's word have in common and is outside its range, or nothing."""
         if frame.use_case not in self._outer_limits:
             return "unknown_use_case"
-        if not 1 <= frame.width <= frames.MOST_WIDTH:
+        if not 1 <= frame.width <= frames.MAX_WIDTH:
             return "width"
-        if not 0 <= frame.destination < frames.NUMBERS:
+        if not 0 <= frame.destination < frames.MAX_EXCHANGES:
             return "destination"  # under nought it would be counted from the end of what is told of tandems
         return "" if _short(frame.called) else "text_too_long"
 
@@ -274,7 +274,7 @@
         if dial and stood:
             self._told_over(taken, "released")
             if dial.home.up:
-                self.outlet.to_office(dial.home.id, frames.Pass(0, "release"))
+                self.outlet.to_office(dial.home.id, frames.ProcessStep(0, "release"))
             self._end_dial(dial, frames.Release(dial.ref), now)
             self._forget(taken)
             self._dial_ended(dial, ev.Ending.ENDED_WELL, ev.Blame.NONE, 0, True, None, now)
@@ -311,7 +311,7 @@
                 self.outlet.to_office(taken.home.id, frames.Answer(taken.home_ref))
             else:
                 reason = turned_back_reason(taken)
-                self.outlet.to_office(taken.home.id, frames.PushBack(taken.home_ref, reason))
+                self.outlet.to_office(taken.home.id, frames.Reject(taken.home_ref, reason))
         self._told_answer(taken, answer)
         if answer != "stands":
             dial = taken.active
@@ -355,11 +355,11 @@
             side, dial = _side(taken), taken.asked_dial
             self._witness(self.witness.over, side, taken.origin, taken.origin_id, how, dial)
 
-    def carried(self, office: str, frame: frames.Carried) -> None:
+    def carried(self, office: str, frame: frames.CarriedDialogue) -> None:
         """The own office tells of a dialogue that stood in this exchange and is over."""
-        if self.offices[office].number != self.number or frame.how not in ("released", "cut"):
+        if self.offices[office].number != self.number or frame.ending not in ("released", "cut"):
             self.counts["strays.Carried"] += 1
-        elif self.witness and 0 <= frame.origin < frames.NUMBERS and 0 <= frame.stood < 1 << 53:
+        elif self.witness and 0 <= frame.origin < frames.MAX_EXCHANGES and 0 <= frame.duration < 1 << 53:
             seen = Seen(
                 "destination",
                 frame.origin,
@@ -370,7 +370,7 @@
                 frame.width,
                 dial=frame.dial,
             )
-            self._witness(self.witness.witnessed, seen, frame.how, frame.stood)
+            self._witness(self.witness.witnessed, seen, frame.ending, frame.duration)
 
     def _forget(self, taken: Taken) -> None:
         self.taken.pop(taken.id, None)
@@ -411,7 +411,7 @@
             dial.timer = self.outlet.timer(max(0, within), lambda at: self._overdue(dial, at))
             dial.home_ref = home.ref()
             home.passing[dial.home_ref] = dial
-            self.outlet.to_office(home.id, frames.Pass(dial.home_ref, "setup"))
+            self.outlet.to_office(home.id, frames.ProcessStep(dial.home_ref, "setup"))
 
     def _not_sent(self, dial: DialOut, ending: ev.Ending, blame: ev.Blame, now: int) -> None:
         dial.move(Step.FREE)
@@ -435,16 +435,16 @@
         report = self._report(dial.office.number, load)
         self.feed(ev.DialEnded(taken.id, dial.number, dial.office.id, ending, blame, wait, over, report), now)
 
-    def passed(self, office: str, frame: frames.Passed, now: int) -> None:
+    def passed(self, office: str, frame: frames.StepProcessed, now: int) -> None:
         """The own processor is done with a step of a dial."""
         home = self.offices[office]
-        dial = home.passing.pop(frame.ref, None)
+        dial = home.passing.pop(frame.dial_ref, None)
         if dial is None:
             self.counts["strays.Passed"] += 1
             return
-        if frame.what == "setup" and dial.step is Step.PASSING:
-            self._passed_setup(dial, frame.taken, now)
-        elif frame.what == "answer" and dial.step is Step.ANSWERING:
+        if frame.step == "setup" and dial.step is Step.PASSING:
+            self._passed_setup(dial, frame.accepted, now)
+        elif frame.step == "answer" and dial.step is Step.ANSWERING:
             self._stands(dial, now)
         else:
             self.counts["strays.Passed"] += 1
@@ -501,14 +501,14 @@
         the release wait is over; a set-up still waiting here is taken back instead."""
         self._stop_timer(dial)
         if dial.home.passing.pop(dial.home_ref, None) is not None:
-            self.outlet.to_office(dial.home.id, frames.Drop(dial.home_ref))
+            self.outlet.to_office(dial.home.id, frames.DropStep(dial.home_ref))
         if dial.step is Step.PASSING:
             dial.move(Step.FREE)
             self._free(dial)
             return
         ref = dial.ref
         back = self.outlet.withdraw(
-            dial.office.id, lambda frame: isinstance(frame, frames.Setup) and frame.ref == ref
+            dial.office.id, lambda frame: isinstance(frame, frames.Setup) and frame.dial_ref == ref
         )
         if back or not dial.office.up:
             dial.office.dials.pop(ref, None)
@@ -536,7 +536,7 @@
 
     def answered(self, office: str, frame: frames.Answer, now: int) -> None:
         """An office answered a set-up."""
-        dial = self.offices[office].dials.get(frame.ref)
+        dial = self.offices[office].dials.get(frame.dial_ref)
         self._heard_load(office, frame.load, now)
         if dial is None or dial.step is not Step.OUT:
             # Crossed by our cancel, told twice, or after the release: the dial is over, or stands already.
@@ -545,19 +545,19 @@
         dial.move(Step.ANSWERING)
         dial.home_ref = dial.home.ref()
         dial.home.passing[dial.home_ref] = dial
-        self.outlet.to_office(dial.home.id, frames.Pass(dial.home_ref, "answer"))
+        self.outlet.to_office(dial.home.id, frames.ProcessStep(dial.home_ref, "answer"))
 
-    def pushed_back(self, office: str, frame: frames.PushBack, now: int) -> None:
+    def pushed_back(self, office: str, frame: frames.Reject, now: int) -> None:
         """An office, or a tandem, did not take a set-up."""
         end = self.offices[office]
-        dial = end.dials.get(frame.ref)
+        dial = end.dials.get(frame.dial_ref)
         if dial is None or dial.step not in (Step.OUT, Step.FREEING):
             self.counts["strays.PushBack"] += 1
             return
         if dial.step is Step.FREEING:  # crossed by our cancel: nothing is held there any more
             self._freed(dial, now)
             return
-        del end.dials[frame.ref]
+        del end.dials[frame.dial_ref]
         self._stop_timer(dial)
         dial.move(Step.FREE)
         self._free(dial)
@@ -602,7 +602,7 @@
     def released(self, office: str, frame: frames.Released, now: int) -> None:
         """An office freed what a dial held there."""
         self._heard_load(office, frame.load, now)
-        dial = self.offices[office].dials.get(frame.ref)
+        dial = self.offices[office].dials.get(frame.dial_ref)
         if dial is None or dial.step is not Step.FREEING:
             self.counts["strays.Released"] += 1
             return
@@ -611,24 +611,26 @@
     def transit(self, office: str, setup: frames.Setup, now: int) -> None:
         """The own office hands over a dialogue in transit."""
         home = self.offices[office]
-        if setup.ref in home.transits or setup.ref in home.heard:
+        if setup.dial_ref in home.transits or setup.dial_ref in home.heard:
             # As with a caller's id: an answer to the second would be one more to the first.
             self.counts["strays.Setup"] += 1
             return
-        home.heard.add(setup.ref)
+        home.heard.add(setup.dial_ref)
         if home.number != self.number or len(self.taken) >= self.max_open or self._setup_fault(setup):
             self.counts["turned_away.transit"] += 1
-            self.outlet.to_office(office, frames.PushBack(setup.ref, "turned_back"))
+            self.outlet.to_office(office, frames.Reject(setup.dial_ref, "turned_back"))
             return
         taken = self._take(setup, setup.origin, setup.dialogue, now)
-        taken.home, taken.home_ref, taken.asked_dial = home, setup.ref, setup.dial
-        home.transits[setup.ref] = taken
+        taken.home, taken.home_ref, taken.asked_dial = home, setup.dial_ref, setup.dial
+        home.transits[setup.dial_ref] = taken
         self._arrived(taken, setup.left, False, -1, now)
 
     def _setup_fault(self, setup: frames.Setup) -> bool:
         """Whether a figure is outside its range. Guards the ledger too, whose keys have so many bytes and no sign."""
         named = (
-            0 <= setup.origin < frames.NUMBERS and 0 <= setup.dialogue < 1 << 63 and 0 <= setup.dial < 1 << 16
+            0 <= setup.origin < frames.MAX_EXCHANGES
+            and 0 <= setup.dialogue < 1 << 63
+            and 0 <= setup.dial < 1 << 16
         )
         return not named or bool(self._figure_fault(setup))
 
@@ -655,7 +657,7 @@
 
     def group_told(self, office: str, frame: frames.GroupState, now: int) -> None:
         """The own office tells what comes in over a group, and the group's size."""
-        if self.offices[office].number != self.number or not 0 <= frame.number < frames.NUMBERS:
+        if self.offices[office].number != self.number or not 0 <= frame.number < frames.MAX_EXCHANGES:
             self.counts["strays.GroupState"] += 1
             return
         group = self.groups.get(frame.number)
@@ -768,7 +770,7 @@
         for taken in list(end.transits.values()):
             self._left(taken, now)
 
-    def listed(self, frame: frames.List, now: int) -> bool:
+    def listed(self, frame: frames.OfficeList, now: int) -> bool:
         """The register told the list, or changes to it; returns whether it is followed. A revision that goes back is an
         old list: skipped, but for what it says of offices that drain or are gone.
 
@@ -783,14 +785,14 @@
         if old:
             self.counts["lists_skipped"] += 1
             self.outlet.log("list_skipped", revision=frame.revision, have=self.revision)
-            shut = [line for line in frame.lines if self._less_usable(line, now)]
+            shut = [line for line in frame.entries if self._less_usable(line, now)]
             if not shut:
                 return False
-            frame = frames.List("changes", self.revision, shut)
+            frame = frames.OfficeList("changes", self.revision, shut)
         self.revision = frame.revision
         before = {end.id: end.standing for end in self.offices.values()}
         named = set()
-        for line in frame.lines:
+        for line in frame.entries:
             named.add(line.office)
             self._listed_line(line, now)
         if frame.kind != "changes":
@@ -798,7 +800,7 @@
                 if end.id not in named:
                     end.standing = ev.Standing.GONE
         heard = {"changes": ev.Heard.CHANGES, "whole": ev.Heard.WHOLE, "remembered": ev.Heard.REMEMBERED}
-        entries = [self.offices[line.office] for line in frame.lines]
+        entries = [self.offices[line.office] for line in frame.entries]
         lines = tuple(ev.Entry(end.id, end.number, end.standing, end.started) for end in entries)
         self.feed(ev.Listed(heard[frame.kind], lines), now)
         for end in list(self.offices.values()):
@@ -809,16 +811,16 @@
                 del self.offices[end.id]  # replaced processors must not pile up over the weeks
         return not old
 
-    def _less_usable(self, line: frames.ListLine, now: int) -> bool:
+    def _less_usable(self, line: frames.OfficeListEntry, now: int) -> bool:
         """Whether a line says of an office held ready that it is not, and not of a processor before the present."""
         end = self.offices.get(line.office)
-        if end is None or end.standing is not ev.Standing.READY or line.standing == "ready":
+        if end is None or end.standing is not ev.Standing.READY or line.state == "ready":
             return False
         started = None if line.age is None else now - max(0, line.age)  # none starts in the future
         return end.started is None or (started is not None and started >= end.started - STARTED_SLACK)
 
-    def _listed_line(self, line: frames.ListLine, now: int) -> None:
-        standing = STANDINGS[line.standing]
+    def _listed_line(self, line: frames.OfficeListEntry, now: int) -> None:
+        standing = STANDINGS[line.state]
         started = None if line.age is None else now - max(0, line.age)  # none starts in the future
         end = self.offices.get(line.office)
         if end is None:
@@ -847,7 +849,7 @@
         that it has read them, its link is reset, and nothing reaches it later."""
         back = self.outlet.withdraw(end.id, lambda frame: isinstance(frame, frames.Setup))
         for frame in back:
-            dial = end.dials.pop(getattr(frame, "ref", 0), None)
+            dial = end.dials.pop(getattr(frame, "dial_ref", 0), None)
             if dial and dial.step is Step.OUT:
                 self.counts["kept_back.drained"] += 1
                 self._stop_timer(dial)
@@ -873,7 +875,7 @@
         """Another call server said something; its work at the own processor is booked there."""
         home = self._home()
         if home:
-            self.outlet.to_office(home.id, frames.Pass(0, "word"))
+            self.outlet.to_office(home.id, frames.ProcessStep(0, "word"))
         self.feed(ev.PeerSaid(peer, text), now)
 
     def stop(self, now: int) -> int:
@@ -887,12 +889,12 @@
         return sum(taken.owed for taken in self.taken.values())
 
 
-def list_fault(frame: frames.List) -> str:
+def list_fault(frame: frames.OfficeList) -> str:
     """What is wrong with a list, or nothing."""
     if frame.kind not in ("changes", "whole", "remembered"):
         return f"kind {frame.kind[:40]!r}"
-    for line in frame.lines:
-        if line.standing not in STANDINGS or not 0 <= line.number < frames.NUMBERS:
+    for line in frame.entries:
+        if line.state not in STANDINGS or not 0 <= line.number < frames.MAX_EXCHANGES:
             return repr(line)[:200]
     return ""
 
--- a/wellhitch/settings/day.py
+++ b/wellhitch/settings/day.py
@@ -15,7 +15,7 @@
     span,
     use_case_faults,
 )
-from wellhitch.trunk.frames import NUMBERS
+from wellhitch.trunk.frames import MAX_EXCHANGES
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 
@@ -30,7 +30,7 @@
     """One exchange: where it stands, how long a set-up takes there, and how often its callers call each other
     exchange, a second, by number."""
 
-    number: Annotated[int, msgspec.Meta(ge=0, lt=NUMBERS)]
+    number: Annotated[int, msgspec.Meta(ge=0, lt=MAX_EXCHANGES)]
     setup: Span
     calls: dict[str, Annotated[float, msgspec.Meta(ge=0)]]
     zone: str = ""
--- a/wellhitch/settings/sheet.py
+++ b/wellhitch/settings/sheet.py
@@ -9,7 +9,7 @@
 from wellhitch.interface import events, facts
 from wellhitch.net.seam import is_loopback, split
 from wellhitch.settings.checked import Faults
-from wellhitch.trunk.frames import MOST_WIDTH, NUMBERS
+from wellhitch.trunk.frames import MAX_EXCHANGES, MAX_WIDTH
 
 # Up to eleven days, whatever the unit: longer ones mean nothing here, and what they add up to must fit a frame.
 Span = Annotated[
@@ -42,7 +42,7 @@
     agreed_time: Span
     outer_limit: Span
     late_share: Share = 0.0
-    width: Annotated[int, msgspec.Meta(ge=1, le=MOST_WIDTH)] = 1
+    width: Annotated[int, msgspec.Meta(ge=1, le=MAX_WIDTH)] = 1
     hold: Span = "10s"
     repeatable: bool = True
     repeat_within: Span = "0s"
@@ -99,7 +99,7 @@
     """All of one call server. `hooks`: files of the hooks' language by name, their order by name the standing.
     `hooks_state`: a file for what they remember, relative to the sheet's; empty: it is lost with the process."""
 
-    number: Annotated[int, msgspec.Meta(ge=0, lt=NUMBERS)]
+    number: Annotated[int, msgspec.Meta(ge=0, lt=MAX_EXCHANGES)]
     seed: Count
     peers: Count
     use_cases: list[UseCaseLine]
--- a/wellhitch/stand_ins/callers.py
+++ b/wellhitch/stand_ins/callers.py
@@ -228,7 +228,7 @@
 
     def _leave(self, case: Case) -> None:
         if self.cases.pop(case.id, None) and self.link.port:
-            self.link.port.send(frames.Leave(case.id))
+            self.link.port.send(frames.HangUp(case.id))
 
     def _unserved(self, case: Case, come_back: int) -> None:
         """Try again, or not."""
@@ -286,7 +286,7 @@
             else:
                 self._unserved(case, 0)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """The call server says something."""
         if not isinstance(frame, (frames.Final, frames.Ended)):
             return
@@ -306,7 +306,7 @@
             case.timer = self.loop.call_later(hold / 1e6, self._hang_up, case)
         else:
             self.counts[frame.answer] += 1
-            self._unserved(case, frame.come_back)
+            self._unserved(case, frame.retry_after)
 
     def _hang_up(self, case: Case) -> None:
         self._leave(case)
--- a/wellhitch/stand_ins/office.py
+++ b/wellhitch/stand_ins/office.py
@@ -196,23 +196,25 @@
                     group.theirs_count = 0
                     self._changed(number)
             for leg in list(self.transits.values()):
-                self._say(leg, frames.Cut(leg.setup.ref) if leg.answered else self._no(leg, "turned_back"))
+                self._say(
+                    leg, frames.Cut(leg.setup.dial_ref) if leg.answered else self._no(leg, "turned_back")
+                )
                 self._end(leg)
 
     def link_held(self, port: Port) -> int:
         """Circuits held for this link's dials."""
         return sum(leg.setup.width for leg in self.ports.get(port, {}).values())
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """A call server says something."""
         match frame:
             case frames.Setup():
                 self._setup(port, frame)
             case frames.Cancel(ref) | frames.Release(ref):
                 self._given_up(port, ref, isinstance(frame, frames.Release))
-            case frames.Pass():
+            case frames.ProcessStep():
                 self._pass(port, frame)
-            case frames.Drop(ref):
+            case frames.DropStep(ref):
                 job = self.passing.pop((port, ref), None)
                 if job and self.cancel_drops:
                     self.processor.drop(job)
@@ -220,15 +222,15 @@
                 if port.peer.number == self.trunks.number and frame.number in self.trunks.groups:
                     self.trunks.groups[frame.number].theirs_count = max(0, frame.held)
             case frames.Answer():
-                self._transit_answered(frame.ref)
-            case frames.PushBack() | frames.Cut():
+                self._transit_answered(frame.dial_ref)
+            case frames.Reject() | frames.Cut():
                 self._transit_over(frame)
             case frames.Probe():
                 self.processor.submit(
                     self.work.look, lambda: self._send(port, frames.LoadReport(self.load() or frames.Load()))
                 )
 
-    def _send(self, port: Port, frame: frames.Any) -> None:
+    def _send(self, port: Port, frame: frames.AnyFrame) -> None:
         if self.up:
             port.send(frame)
 
@@ -244,7 +246,7 @@
             self._onward(frames.Release(leg.onward) if leg.answered else frames.Cancel(leg.onward))
         self._carried(leg, "cut")
         self._end(leg)
-        self._say(leg, frames.Cut(leg.setup.ref))
+        self._say(leg, frames.Cut(leg.setup.dial_ref))
 
     def resize(self, number: int, size: int) -> None:
         """A group has another number of circuits."""
@@ -285,7 +287,7 @@
         self.counts["setups"] += 1
         self.processor.pressed(1.0, now)
         legs = self.ports.get(port)
-        if legs is None or setup.ref in legs:
+        if legs is None or setup.dial_ref in legs:
             return
         leg = Leg(port, setup, now)
         group = self.trunks.groups.get(port.peer.number)
@@ -293,7 +295,7 @@
             self.counts["no_circuit"] += 1
             self._send(port, self._no(leg, "no_circuit"))
             return
-        legs[setup.ref] = leg
+        legs[setup.dial_ref] = leg
         self._changed(port.peer.number)
         if self.processor.full(now):
             self.counts["processor_full"] += 1
@@ -308,10 +310,10 @@
         else:
             leg.job = self.processor.submit(self.work.look, lambda: self._hand_over(leg))
 
-    def _no(self, leg: Leg, reason: str, wait: int = 0) -> frames.PushBack:
-        return frames.PushBack(leg.setup.ref, reason, wait, self.load())
+    def _no(self, leg: Leg, reason: str, wait: int = 0) -> frames.Reject:
+        return frames.Reject(leg.setup.dial_ref, reason, wait, self.load())
 
-    def _say(self, leg: Leg, frame: frames.Any) -> None:
+    def _say(self, leg: Leg, frame: frames.AnyFrame) -> None:
         self._send(leg.port, frame)
 
     def _turn_back(self, leg: Leg, reason: str) -> None:
@@ -346,7 +348,7 @@
             return
         if self._answer_is_lost(leg):
             return
-        said = frames.Answer(leg.setup.ref, self.load())
+        said = frames.Answer(leg.setup.dial_ref, self.load())
         if self.ills.reordered and self.chance.random() < self.ills.reordered:
             self.counts["answers_reordered"] += 1
             self.loop.call_later(REORDER_S, self._say, leg, said)
@@ -399,17 +401,17 @@
             leg.answered = True
             if self._answer_is_lost(leg):
                 return
-            self._say(leg, frames.Answer(leg.setup.ref, self.load()))
+            self._say(leg, frames.Answer(leg.setup.dial_ref, self.load()))
 
-    def _transit_over(self, frame: frames.PushBack | frames.Cut) -> None:
-        leg = self.transits.get(frame.ref)
+    def _transit_over(self, frame: frames.Reject | frames.Cut) -> None:
+        leg = self.transits.get(frame.dial_ref)
         if leg is None:
             return
         if isinstance(frame, frames.Cut):
             self._end(leg)
-            self._say(leg, frames.Cut(leg.setup.ref))
+            self._say(leg, frames.Cut(leg.setup.dial_ref))
         else:
-            self._turn_back(leg, frame.reason if frame.reason in frames.REASONS else "turned_back")
+            self._turn_back(leg, frame.reason if frame.reason in frames.REJECT_REASONS else "turned_back")
 
     def _given_up(self, port: Port, ref: int, stood: bool) -> None:
         """The sender cancelled or released a set-up."""
@@ -430,7 +432,7 @@
         if stood:
             self.processor.submit(self.work.follow, lambda: None, True)
 
-    def _onward(self, frame: frames.Any) -> None:
+    def _onward(self, frame: frames.AnyFrame) -> None:
         home = self.home()
         if home:
             self._send(home, frame)
@@ -440,7 +442,7 @@
         if not leg.over and leg.answered and not leg.onward:
             setup, stood = leg.setup, self.now() - leg.stands_since
             self._onward(
-                frames.Carried(
+                frames.CarriedDialogue(
                     setup.origin,
                     setup.dialogue,
                     setup.use_case,
@@ -457,7 +459,7 @@
         if leg.over:
             return
         leg.over = True
-        self.ports.get(leg.port, {}).pop(leg.setup.ref, None)
+        self.ports.get(leg.port, {}).pop(leg.setup.dial_ref, None)
         if leg.onward:
             self.transits.pop(leg.onward, None)
         if leg.counted_line and leg.setup.called is not None:
@@ -470,15 +472,15 @@
 
     # -- the own call server's --
 
-    def _pass(self, port: Port, step: frames.Pass) -> None:
+    def _pass(self, port: Port, step: frames.ProcessStep) -> None:
         if port.peer.number != self.trunks.number:
             return
         now = self.now()
-        ref, what = step.ref, step.what
+        ref, what = step.dial_ref, step.step
         if what == "setup" and self.processor.full(now):
             self.counts["own_full"] += 1
             self.processor.submit(
-                self.work.reject, lambda: self._send(port, frames.Passed(ref, what, False)), True
+                self.work.reject, lambda: self._send(port, frames.StepProcessed(ref, what, False)), True
             )
             return
         cost = {"setup": 1.0, "look": self.work.look, "word": self.work.word}.get(what, self.work.follow)
@@ -492,7 +494,7 @@
 
     def _passed(self, port: Port, ref: int, what: str) -> None:
         if self.passing.pop((port, ref), None):
-            self._send(port, frames.Passed(ref, what))
+            self._send(port, frames.StepProcessed(ref, what))
 
     def _changed(self, number: int) -> None:
         self._untold.add(number)
--- a/wellhitch/stand_ins/recorder.py
+++ b/wellhitch/stand_ins/recorder.py
@@ -35,7 +35,7 @@
         else:
             self.held.append(line)
 
-    def tap(self, way: str, port: Port, frame: frames.Any) -> None:
+    def tap(self, way: str, port: Port, frame: frames.AnyFrame) -> None:
         """Note a frame. Heartbeats and loads tell nothing that is judged and are left out."""
         if isinstance(
             frame, (frames.Heartbeat, frames.Mark, frames.Marked, frames.GroupState, frames.Advice)
--- a/wellhitch/stand_ins/register.py
+++ b/wellhitch/stand_ins/register.py
@@ -45,7 +45,7 @@
         self.revision = 0
         self.told: dict[Port, int] = {}
         self.goes_back = False  # trouble: an old revision is told after each new one
-        self._last: frames.List | None = None
+        self._last: frames.OfficeList | None = None
         self.listener: Listener | None = None
         self.address = address
         network.listen(address, self._port, self._ready)
@@ -60,9 +60,11 @@
         """Time in us."""
         return now_us(self.loop)
 
-    def _line(self, known: Known) -> frames.ListLine:
+    def _line(self, known: Known) -> frames.OfficeListEntry:
         age = None if known.started is None else max(0, self.now() - known.started)
-        return frames.ListLine(known.office, known.number, known.standing, age, known.address, known.peer)
+        return frames.OfficeListEntry(
+            known.office, known.number, known.standing, age, known.address, known.peer
+        )
 
     def change(
         self, office: str, number: int, standing: str, started: int | None, address: str, peer: str = ""
@@ -84,7 +86,7 @@
         line = self._line(
             Known(known.office, known.number, standing, known.started, known.address, known.peer)
         )
-        frame = frames.List("changes", revision, [line])
+        frame = frames.OfficeList("changes", revision, [line])
         port.send(frame)
         if self.goes_back and self._last is not None:
             port.send(self._last)
@@ -99,14 +101,16 @@
     def link_up(self, port: Port) -> None:
         """A call server came: it is told the whole list at once."""
         self.told[port] = self.now()
-        port.send(frames.List("whole", self.revision, [self._line(known) for known in self.known.values()]))
+        port.send(
+            frames.OfficeList("whole", self.revision, [self._line(known) for known in self.known.values()])
+        )
 
     def link_down(self, port: Port, why: str) -> None:
         """It left."""
         self.told.pop(port, None)
         self.recorder.down(port)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """Call servers say nothing here."""
 
     def link_held(self, port: Port) -> int:
@@ -178,7 +182,7 @@
         """It left."""
         self.ports.pop(port, None)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """Call servers say nothing here."""
 
     def link_held(self, port: Port) -> int:
--- a/wellhitch/trunk/capture.py
+++ b/wellhitch/trunk/capture.py
@@ -31,7 +31,7 @@
     link: int
     role: str
     number: int
-    frame: frames.Any
+    frame: frames.AnyFrame
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
     lines: list[Line | Note] = field(default_factory=list)
 
 
-_frame_decoder = msgspec.json.Decoder(frames.Any)
+_frame_decoder = msgspec.json.Decoder(frames.AnyFrame)
 
 
 def read(lines: Iterable[bytes], where: str) -> Capture:
--- a/wellhitch/trunk/codec.py
+++ b/wellhitch/trunk/codec.py
@@ -15,24 +15,24 @@
 class BadFrame(Exception):
     """The other end broke the protocol; the text names what was wrong, and goes to it in a Fault."""
 
-    def __init__(self, text: str, before: list[frames.Any] | None = None) -> None:
+    def __init__(self, text: str, before: list[frames.AnyFrame] | None = None) -> None:
         super().__init__(text)
         self.before = before or []
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(frames.Any)
+_decoder = msgspec.msgpack.Decoder(frames.AnyFrame)
 
 
-def encode(frame: frames.Any) -> bytes:
+def encode(frame: frames.AnyFrame) -> bytes:
     """One frame as bytes. Raises BadFrame where it is over MAX_FRAME, or holds what msgpack has no form for, such
     as a number of more than 64 bits: nothing that the other end must refuse is ever sent."""
     try:
         body = _encoder.encode(frame)
     except (OverflowError, ValueError, TypeError) as fault:
-        raise BadFrame(f"{type(frame).__name__}: {fault}") from None
+        raise BadFrame(f"{frame.__struct_config__.tag}: {fault}") from None
     if len(body) > MAX_FRAME:
-        raise BadFrame(f"{type(frame).__name__} of {len(body)} bytes, over {MAX_FRAME}")
+        raise BadFrame(f"{frame.__struct_config__.tag} of {len(body)} bytes, over {MAX_FRAME}")
     return bytes((VERSION,)) + len(body).to_bytes(3, "big") + body
 
 
@@ -44,14 +44,14 @@
         self._held = bytearray()
         self._broken = False
 
-    def feed(self, data: bytes | memoryview) -> list[frames.Any]:
+    def feed(self, data: bytes | memoryview) -> list[frames.AnyFrame]:
         """Whole frames that are complete with `data`. Raises BadFrame; the frames before the bad one are in
         its `before`."""
         if self._broken:
             return []
         held = self._held
         held += data
-        out: list[frames.Any] = []
+        out: list[frames.AnyFrame] = []
         at = 0
         try:
             while len(held) - at >= HEADER:
--- a/wellhitch/trunk/frames.py
+++ b/wellhitch/trunk/frames.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-NUMBERS = 1 << 16  # exchanges are numbered below it, as sheets say
-MOST_WIDTH = 64  # circuits of one dialogue, as sheets say
+MAX_EXCHANGES = 1 << 16  # exchanges are numbered below it, as sheets say
+MAX_WIDTH = 64  # circuits of one dialogue, as sheets say
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -41,13 +41,13 @@
 class Mark(Frame, frozen=True):
     """Either end: say Marked(n) once you have read this far. All that was sent before it has been read then."""
 
-    n: int
+    sequence: int
 
 
 class Marked(Frame, frozen=True):
     """The answer to Mark(n)."""
 
-    n: int
+    sequence: int
 
 
 class Fault(Frame, frozen=True):
@@ -75,11 +75,11 @@
 
     id: int
     answer: str
-    come_back: int = 0
-    by: str = ""
+    retry_after: int = 0
+    hooks_version: str = ""
 
 
-class Leave(Frame, frozen=True):
+class HangUp(Frame, frozen=True, tag="Leave"):
     """Caller to call server: hung up, before the answer or after."""
 
     id: int
@@ -94,7 +94,7 @@
 class Setup(Frame, frozen=True):
     """Set a dialogue up: by a call server to an office, or by an office to its own call server (in transit)."""
 
-    ref: int
+    dial_ref: int
     origin: int
     dialogue: int
     dial: int
@@ -105,39 +105,39 @@
     width: int
 
 
-class Pass(Frame, frozen=True):
+class ProcessStep(Frame, frozen=True, tag="Pass"):
     """Call server to its own office: one step of a dial passes the processor. `what`: `setup`, `answer` or
     `release`."""
 
-    ref: int
-    what: str
+    dial_ref: int
+    step: str
 
 
-class Passed(Frame, frozen=True):
+class StepProcessed(Frame, frozen=True, tag="Passed"):
     """The own processor is done with a step; `taken` False: its queue was full."""
 
-    ref: int
-    what: str
-    taken: bool = True
+    dial_ref: int
+    step: str
+    accepted: bool = True
 
 
-class Drop(Frame, frozen=True):
+class DropStep(Frame, frozen=True, tag="Drop"):
     """Call server to its own office: the step of this ref is not needed any more."""
 
-    ref: int
+    dial_ref: int
 
 
 class Answer(Frame, frozen=True):
     """The set-up was answered; the dialogue stands."""
 
-    ref: int
+    dial_ref: int
     load: Load | None = None
 
 
-class PushBack(Frame, frozen=True):
+class Reject(Frame, frozen=True, tag="PushBack"):
     """The set-up was not taken. `reason` as `REASONS`; `wait` is named by some full processors, else 0."""
 
-    ref: int
+    dial_ref: int
     reason: str
     wait: int = 0
     load: Load | None = None
@@ -146,26 +146,26 @@
 class Cancel(Frame, frozen=True):
     """The sender of the Setup gives it up; confirmed by Released."""
 
-    ref: int
+    dial_ref: int
 
 
 class Release(Frame, frozen=True):
     """The sender of the Setup ends a dialogue that stood; confirmed by Released."""
 
-    ref: int
+    dial_ref: int
 
 
 class Released(Frame, frozen=True):
     """All that the dial held at this end is free."""
 
-    ref: int
+    dial_ref: int
     load: Load | None = None
 
 
 class Cut(Frame, frozen=True):
     """The taker of the Setup lost the dial, answered or not."""
 
-    ref: int
+    dial_ref: int
 
 
 class GroupState(Frame, frozen=True):
@@ -188,7 +188,7 @@
     asked: bool = True
 
 
-class Carried(Frame, frozen=True):
+class CarriedDialogue(Frame, frozen=True, tag="Carried"):
     """Office to its own call server, for the ledger: a dialogue that stood in this exchange is over, `released` or
     `cut`, after `stood`; `dial` as its Setup said."""
 
@@ -197,41 +197,41 @@
     use_case: str
     called: str | None
     width: int
-    how: str
-    stood: int
+    ending: str
+    duration: int
     dial: int = -1
 
 
-class Ledger(Frame, frozen=True):
+class LedgerMessage(Frame, frozen=True, tag="Ledger"):
     """Between call servers: a message of their ledgers, which alone read it. It may be lost."""
 
-    text: bytes
+    payload: bytes
 
 
-class Word(Frame, frozen=True):
+class PeerMessage(Frame, frozen=True, tag="Word"):
     """Between call servers: a short message of the decisions."""
 
-    text: bytes
+    payload: bytes
 
 
-class ListLine(msgspec.Struct, frozen=True, array_like=True):
+class OfficeListEntry(msgspec.Struct, frozen=True, array_like=True):
     """One office: `standing` is `ready`, `draining` or `gone`; `started` in us of the register's clock as an
     age when the frame was sent, None for long ago; addresses as host:port."""
 
     office: str
     number: int
-    standing: str
+    state: str
     age: int | None
     address: str
-    peer: str = ""
+    peer_address: str = ""
 
 
-class List(Frame, frozen=True):
+class OfficeList(Frame, frozen=True, tag="List"):
     """Register to call server: `changes` to the list, or the `whole` of it. Revisions never go back."""
 
     kind: str
     revision: int
-    lines: list[ListLine]
+    entries: list[OfficeListEntry]
 
 
 class Advice(Frame, frozen=True):
@@ -240,13 +240,13 @@
     tandems: list[int]
 
 
-Any = (
-    Hello | Heartbeat | Mark | Marked | Fault | Call | Final | Leave | Ended | Setup | Pass | Passed | Drop | Answer
-    | PushBack | Cancel | Release | Released | Cut | GroupState | Probe | LoadReport | Word | List | Advice | Carried
-    | Ledger
+AnyFrame = (
+    Hello | Heartbeat | Mark | Marked | Fault | Call | Final | HangUp | Ended | Setup | ProcessStep | StepProcessed
+    | DropStep | Answer | Reject | Cancel | Release | Released | Cut | GroupState | Probe | LoadReport | PeerMessage
+    | OfficeList | Advice | CarriedDialogue | LedgerMessage
 )  # fmt: skip
 
-REASONS = (
+REJECT_REASONS = (
     "no_circuit",
     "turned_back",
     "far_processor_full",
--- a/wellhitch/trunk/link.py
+++ b/wellhitch/trunk/link.py
@@ -12,29 +12,29 @@
 
 _ALWAYS = (frames.Hello, frames.Heartbeat, frames.Mark, frames.Marked, frames.Fault)
 _DIALS = (frames.Setup, frames.Cancel, frames.Release)
-_REPLIES = (frames.Answer, frames.PushBack, frames.Cut, frames.Released)
+_REPLIES = (frames.Answer, frames.Reject, frames.Cut, frames.Released)
 
 MAY_SAY: dict[tuple[str, str], tuple[type, ...]] = {
-    ("caller", "call_server"): (frames.Call, frames.Leave),
+    ("caller", "call_server"): (frames.Call, frames.HangUp),
     ("call_server", "caller"): (frames.Final, frames.Ended),
     ("call_server", "office"): (
         *_DIALS,
         *_REPLIES,
-        frames.Pass,
-        frames.Drop,
+        frames.ProcessStep,
+        frames.DropStep,
         frames.GroupState,
         frames.Probe,
     ),
     ("office", "call_server"): (
         *_DIALS,
         *_REPLIES,
-        frames.Passed,
+        frames.StepProcessed,
         frames.GroupState,
         frames.LoadReport,
-        frames.Carried,
+        frames.CarriedDialogue,
     ),
-    ("call_server", "call_server"): (frames.Word, frames.Ledger),
-    ("register", "call_server"): (frames.List,),
+    ("call_server", "call_server"): (frames.PeerMessage, frames.LedgerMessage),
+    ("register", "call_server"): (frames.OfficeList,),
     ("call_server", "register"): (),
     ("centre", "call_server"): (frames.Advice,),
     ("call_server", "centre"): (),
@@ -46,7 +46,7 @@
     """The link is to be closed. `tell` is whether the other end is sent the text as its one error; `before`
     holds the frames that were good."""
 
-    def __init__(self, text: str, tell: bool, before: list[frames.Any]) -> None:
+    def __init__(self, text: str, tell: bool, before: list[frames.AnyFrame]) -> None:
         super().__init__(text)
         self.tell = tell
         self.before = before
@@ -71,7 +71,7 @@
         self._decoder = codec.Decoder()
         self._may: tuple[type, ...] = _ALWAYS
 
-    def receive(self, data: bytes | memoryview, now: int) -> list[frames.Any]:
+    def receive(self, data: bytes | memoryview, now: int) -> list[frames.AnyFrame]:
         """Frames to act on. Raises LinkFault."""
         if self.state is State.CLOSED:
             return []
@@ -94,9 +94,9 @@
             raise LinkFault(str(fault), True, got)
         return got
 
-    def _wrong(self, frame: frames.Any) -> tuple[str, bool]:
+    def _wrong(self, frame: frames.AnyFrame) -> tuple[str, bool]:
         """What is wrong with a frame in this state, and whether the other end is told."""
-        name = type(frame).__name__
+        name = frame.__struct_config__.tag
         if isinstance(frame, frames.Fault):
             return f"told by the other end: {frame.text[:200]}", False
         if self.state is State.WAITING:
--- a/wellhitch/trunk/port.py
+++ b/wellhitch/trunk/port.py
@@ -17,7 +17,7 @@
 FRAMES_PER_S = 100_000  # from one link; over it, reading pauses until the second is over. Five times what one
 # process handles: at 20,000 the own office, with four frames a dialogue, was held at 5,000 dialogues a second
 
-Tap = Callable[[str, "Port", frames.Any], None]
+Tap = Callable[[str, "Port", frames.AnyFrame], None]
 """Sees each frame: direction (`in` or `out`), the port, the frame. What is `out` was handed to the transport."""
 
 
@@ -27,7 +27,7 @@
     def link_up(self, port: "Port") -> None:
         """The other end said who it is: `port.peer`."""
 
-    def link_frame(self, port: "Port", frame: frames.Any) -> None:
+    def link_frame(self, port: "Port", frame: frames.AnyFrame) -> None:
         """A frame came."""
 
     def link_down(self, port: "Port", why: str) -> None:
@@ -56,7 +56,7 @@
         self.refusal = ""  # why the link is closed as soon as it stands
         self.rate_pauses = 0
         self._down = down
-        self._outbox: deque[frames.Any] = deque()
+        self._outbox: deque[frames.AnyFrame] = deque()
         self._flushing = False
         self._buffer = memoryview(bytearray(READ_BUFFER))
         self._beat: asyncio.TimerHandle | None = None
@@ -75,7 +75,7 @@
 
     # -- sending --
 
-    def send(self, frame: frames.Any) -> bool:
+    def send(self, frame: frames.AnyFrame) -> bool:
         """Queue a frame; False where the link is closed. It goes out with what else this turn of the loop
         sends. A reader that has stopped costs MAX_UNSENT frames at most, then its link."""
         if self.link.state is State.CLOSED or self.transport is None:
@@ -99,7 +99,7 @@
         """Whether the other end has answered the mark."""
         return self._marked >= n
 
-    def withdraw(self, which: Callable[[frames.Any], bool]) -> list[frames.Any]:
+    def withdraw(self, which: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
         """Take back frames that were not handed to the transport yet."""
         taken = [frame for frame in self._outbox if which(frame)]
         if taken:
@@ -115,7 +115,7 @@
             batch = [self._outbox.popleft() for _ in range(min(len(self._outbox), 32))]
             self.transport.write(b"".join([self._encoded(frame) for frame in batch]))
 
-    def _encoded(self, frame: frames.Any) -> bytes:
+    def _encoded(self, frame: frames.AnyFrame) -> bytes:
         """A frame's bytes, shown to the tap. Guards against one that cannot be sent: it took the others of its batch
         along, answers among them, and nobody was told."""
         try:
@@ -184,9 +184,9 @@
                 self._told_up = True
                 self.owner.link_up(self)
             elif isinstance(frame, frames.Mark):
-                self.send(frames.Marked(frame.n))
+                self.send(frames.Marked(frame.sequence))
             elif isinstance(frame, frames.Marked):
-                self._marked = max(self._marked, min(frame.n, self._marks))
+                self._marked = max(self._marked, min(frame.sequence, self._marks))
             else:
                 self.owner.link_frame(self, frame)
         if fault:
@@ -308,7 +308,7 @@
         ):  # not one that the owner does not want: it would be tried at once
             self.redial.came_up()
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         """A frame came."""
         self.owner.link_frame(port, frame)
 
