--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -9,7 +9,7 @@
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 from wellhitch.platform.configuration import Place as Where
 from wellhitch.platform.configuration import Told
 from wellhitch.platform.service import Service
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -19,8 +19,8 @@
 from wellhitch.server.daemon import Daemon, Doors
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
-from wellhitch.trunk.link import MAY_SAY
-from wellhitch.trunk.port import Port
+from wellhitch.trunk.channel import Port
+from wellhitch.trunk.connection import MAY_SAY
 
 
 class Asking(asyncio.BufferedProtocol):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,8 +12,8 @@
 from wellhitch.server.daemon import MOST_LINKS, Daemon, Doors
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
+from wellhitch.trunk.channel import FRAMES_PER_S, MAX_UNSENT, Port
 from wellhitch.trunk.codec import encode
-from wellhitch.trunk.port import FRAMES_PER_S, MAX_UNSENT, Port
 
 
 @pytest.fixture
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from wellhitch.lab.loopback import own_address, own_host
-from wellhitch.net.seam import is_loopback, split
+from wellhitch.net.transport import is_loopback, split
 
 RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 
--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -5,7 +5,7 @@
 import pytest
 from platform_world import DRAINING, READY, UNIX, World, row, told
 
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 from wellhitch.platform.liveness import (
     QUIET_US,
     SAME_INCARNATION_US,
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -15,7 +15,7 @@
 import pytest
 
 from wellhitch.lab.loopback import own_address
-from wellhitch.net.seam import split
+from wellhitch.net.transport import split
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.settings.checked import Faults
 from wellhitch.sip import codec as sip
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -5,7 +5,7 @@
 import pytest
 from platform_world import USES, World, told
 
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 from wellhitch.platform.shutdown import Phase, nothing_left, shutdown_schedule
 from wellhitch.stand_ins.platform import invite, plain
 
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -8,7 +8,15 @@
 
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
-from wellhitch.net.seam import Listener, LoopbackNetwork, Network, Sender, is_loopback, only_numeric, split
+from wellhitch.net.transport import (
+    Listener,
+    LoopbackNetwork,
+    Network,
+    Sender,
+    is_loopback,
+    only_numeric,
+    split,
+)
 
 
 @pytest.mark.parametrize("host", ["localhost", "::1", "127.0.0.1", "127.8.9.10"])
--- a/tests/test_trunk.py
+++ b/tests/test_trunk.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from wellhitch.trunk import codec, frames
+from wellhitch.trunk.backoff import FIRST, LONGEST, Redial
 from wellhitch.trunk.circuits import Group, disagreement
-from wellhitch.trunk.link import SILENCE, Link, LinkFault, State
-from wellhitch.trunk.redial import FIRST, LONGEST, Redial
+from wellhitch.trunk.connection import SILENCE, Link, LinkFault, State
 
 HELLO = frames.Hello("office", 3, 1)
 SOME = [
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,7 +13,7 @@
 from wellhitch.settings.day import Day, check
 from wellhitch.stand_ins.town import Town
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import Port
+from wellhitch.trunk.channel import Port
 
 USE_CASES = [
     {
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -23,7 +23,7 @@
 from wellhitch.ledger.box import put_aside, put_whole
 from wellhitch.ledger.entries import Answered
 from wellhitch.ledger.rating import Tariff, faults_of, invoice, to_cents
-from wellhitch.net.seam import split
+from wellhitch.net.transport import split
 from wellhitch.settings.checked import Faults
 from wellhitch.settings.checked import read as read_settings
 from wellhitch.settings.sheet import Sheet
--- a/wellhitch/cli/platform.py
+++ b/wellhitch/cli/platform.py
@@ -11,7 +11,7 @@
 
 from wellhitch.cli.errors import told_plainly
 from wellhitch.net.collector import freeze_startup_objects
-from wellhitch.net.seam import LoopNetwork, only_numeric
+from wellhitch.net.transport import LoopNetwork, only_numeric
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.platform.event_log import EventLog
 from wellhitch.platform.service import WAITING, Service, shares
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -21,9 +21,9 @@
 from wellhitch.ledger.desk import Desk, Door
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.net.collector import freeze_startup_objects
-from wellhitch.net.seam import LoopbackNetwork, now_us
+from wellhitch.net.transport import LoopbackNetwork, now_us
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
-from wellhitch.server.hooked import WallClock
+from wellhitch.server.hook_runner import WallClock
 from wellhitch.settings.checked import Faults
 from wellhitch.settings.sheet import Sheet, opened
 from wellhitch.store.files import read_file
--- a/wellhitch/emulator/network.py
+++ b/wellhitch/emulator/network.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from wellhitch.emulator.party import PartyLoop
-from wellhitch.net.seam import ConnectFailure, Factory, Listener, Sender, Taken
+from wellhitch.net.transport import ConnectFailure, Factory, Listener, Sender, Taken
 
 Delay = Callable[[str, str], int]
 """One-way time in us between two hosts."""
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -22,7 +22,7 @@
 from wellhitch.lab.loopback import own_address
 from wellhitch.ledger.desk import Desk, Door
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.net.seam import LoopbackNetwork
+from wellhitch.net.transport import LoopbackNetwork
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
 from wellhitch.server.switch import Outlet, Switch
 from wellhitch.settings.day import Day
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -23,13 +23,13 @@
 from wellhitch.interface.state import Exchange
 from wellhitch.ledger.desk import Desk
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.net.seam import Listener, LoopbackNetwork, now_us
+from wellhitch.net.transport import Listener, LoopbackNetwork, now_us
 from wellhitch.rules import decide
 from wellhitch.server.daemon import Daemon, Doors, Log
 from wellhitch.server.switch import Outlet, Switch
 from wellhitch.store.system import SystemDisk
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import KeptLink, Port
+from wellhitch.trunk.channel import KeptLink, Port
 
 SECOND = 1_000_000
 USE = UseCase("measured", 1.0, 0.2, 1_500_000, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -13,7 +13,7 @@
 from wellhitch.judge.service import Service, service
 from wellhitch.lab.fleet import HostAddresses, InProcess, LoopbackAddresses, Processes, zone_delay
 from wellhitch.net.collector import startup_objects_frozen
-from wellhitch.net.seam import LoopbackNetwork
+from wellhitch.net.transport import LoopbackNetwork
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
 from wellhitch.settings.sheet import span
--- a/wellhitch/ledger/desk.py
+++ b/wellhitch/ledger/desk.py
@@ -35,7 +35,7 @@
 from wellhitch.ledger.entries import BadEntry, Corrected, NumberKeys
 from wellhitch.ledger.periods import Agreement, Kept, Outcome, end_of, next_of, period_of, previous_of
 from wellhitch.ledger.reconcile import Allowance, Collection, Pull
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 from wellhitch.store.engine import Engine
 from wellhitch.store.keeper import Disk, Keeper
 from wellhitch.store.records import Change, Damaged
--- a/wellhitch/platform/callers.py
+++ b/wellhitch/platform/callers.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol, cast
 
-from wellhitch.net.seam import Listener, Network
+from wellhitch.net.transport import Listener, Network
 from wellhitch.platform.door import names_call
 from wellhitch.platform.eviction import SILENT_S, ConnectionTable
 from wellhitch.sip import codec as sip
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -8,7 +8,7 @@
 from wellhitch.adapter.codec import read_opened
 from wellhitch.board import codec as board
 from wellhitch.interface.events import Opened
-from wellhitch.net.seam import only_numeric, split
+from wellhitch.net.transport import only_numeric, split
 from wellhitch.settings.checked import Faults, read_open, shown
 
 MAX_FILE = 4 * 1024 * 1024  # bytes; with hundreds of events under `known` it has some tens of thousands
--- a/wellhitch/platform/discovery.py
+++ b/wellhitch/platform/discovery.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 from wellhitch.board import codec
-from wellhitch.net.seam import ConnectFailure, Network
+from wellhitch.net.transport import ConnectFailure, Network
 from wellhitch.platform.watch_policy import MOST_WATCHES, Order, Revisions, WatchPolicy
 
 READ_BYTES = 16 * 1024
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Hashable
 
 from wellhitch.interface.events import Ending, Report, Standing
-from wellhitch.net.seam import Timer
+from wellhitch.net.transport import Timer
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.liveness import CallsLost, LivenessTest
 from wellhitch.platform.outlet import Outlet
--- a/wellhitch/platform/offices.py
+++ b/wellhitch/platform/offices.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from typing import Any, Protocol, cast
 
-from wellhitch.net.seam import ConnectFailure, Network
+from wellhitch.net.transport import ConnectFailure, Network
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.records import DialOut, OfficeEnd
 
--- a/wellhitch/platform/outlet.py
+++ b/wellhitch/platform/outlet.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Hashable
 from typing import Any, Protocol
 
-from wellhitch.net.seam import Timer
+from wellhitch.net.transport import Timer
 from wellhitch.platform.records import DialOut, OfficeEnd
 
 
--- a/wellhitch/platform/records.py
+++ b/wellhitch/platform/records.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 
 from wellhitch.interface.events import Standing
-from wellhitch.net.seam import Timer
+from wellhitch.net.transport import Timer
 from wellhitch.platform.liveness import EndpointLiveness
 
 REMEMBERED_US = 10_000_000  # that a ref given up is remembered at its office: longer than any deadline here
--- a/wellhitch/platform/releases.py
+++ b/wellhitch/platform/releases.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
 
-from wellhitch.net.seam import Timer
+from wellhitch.net.transport import Timer
 
 KEEP = 8_000_000  # us that a release may wait for a connection: the platform's time for what has stood and is over
 HEAR_WITHIN = (
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from wellhitch.board.codec import Notice
-from wellhitch.net.seam import Network, Sender, Timer, now_us
+from wellhitch.net.transport import Network, Sender, Timer, now_us
 from wellhitch.office_lines.codec import Line
 from wellhitch.platform.callers import CallerConnection, CallerConnections
 from wellhitch.platform.configuration import Told
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -15,13 +15,13 @@
 from wellhitch.hooks.tree import BadHooks
 from wellhitch.interface import events as ev
 from wellhitch.ledger.desk import Desk
-from wellhitch.net.seam import Listener, Network, now_us
-from wellhitch.server.hooked import NO_CLOCK, Hooked, WallClock
+from wellhitch.net.transport import Listener, Network, now_us
+from wellhitch.server.hook_runner import NO_CLOCK, Hooked, WallClock
 from wellhitch.server.metrics import exposition
 from wellhitch.server.switch import Outlet, Switch
 from wellhitch.settings.checked import Faults
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import KeptLink, Port
+from wellhitch.trunk.channel import KeptLink, Port
 
 MAX_LINE = (
     2_000  # bytes of an operator's request: a correction with who and why of 200 characters has up to 1,700
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -8,7 +8,7 @@
 from math import inf
 
 from wellhitch.interface.events import Blame, Ending, Standing
-from wellhitch.net.seam import Timer
+from wellhitch.net.transport import Timer
 from wellhitch.trunk import frames
 
 
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -17,7 +17,7 @@
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
 from wellhitch.ledger.book import Seen
-from wellhitch.net.seam import Timer
+from wellhitch.net.transport import Timer
 from wellhitch.server.dials import (
     ENDINGS,
     STANDINGS,
@@ -29,7 +29,7 @@
     load_of,
     turned_back_reason,
 )
-from wellhitch.server.hooked import TICK, Hooked
+from wellhitch.server.hook_runner import TICK, Hooked
 from wellhitch.trunk import frames
 from wellhitch.trunk.circuits import Group, disagreement
 
--- a/wellhitch/settings/sheet.py
+++ b/wellhitch/settings/sheet.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from wellhitch.interface import events, facts
-from wellhitch.net.seam import is_loopback, split
+from wellhitch.net.transport import is_loopback, split
 from wellhitch.settings.checked import Faults
 from wellhitch.trunk.frames import MAX_EXCHANGES, MAX_WIDTH
 
--- a/wellhitch/stand_ins/callers.py
+++ b/wellhitch/stand_ins/callers.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 
 from wellhitch.interface.facts import UseCase
-from wellhitch.net.seam import Network, now_us
+from wellhitch.net.transport import Network, now_us
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import KeptLink, Port
+from wellhitch.trunk.channel import KeptLink, Port
 
 
 @dataclass(slots=True)
--- a/wellhitch/stand_ins/office.py
+++ b/wellhitch/stand_ins/office.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wellhitch.net.seam import Listener, Network, now_us
+from wellhitch.net.transport import Listener, Network, now_us
 from wellhitch.stand_ins.processor import ColdStart, Job, Processor, Work
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
+from wellhitch.trunk.channel import Port
 from wellhitch.trunk.circuits import Group
-from wellhitch.trunk.port import Port
 
 REORDER_S = 0.5  # an answer that comes out of order is so late: several others are said meanwhile
 TELL_EVERY_S = 0.05  # group counts to the call server at most so often
--- a/wellhitch/stand_ins/platform.py
+++ b/wellhitch/stand_ins/platform.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from wellhitch.board import codec as board_codec
-from wellhitch.net.seam import ConnectFailure, Listener, Network, now_us
+from wellhitch.net.transport import ConnectFailure, Listener, Network, now_us
 from wellhitch.office_lines import codec as lines
 from wellhitch.sip import codec as sip
 
--- a/wellhitch/stand_ins/processor.py
+++ b/wellhitch/stand_ins/processor.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 
 
 @dataclass(frozen=True, slots=True)
--- a/wellhitch/stand_ins/recorder.py
+++ b/wellhitch/stand_ins/recorder.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import Port
+from wellhitch.trunk.channel import Port
 
 
 class Recorder:
--- a/wellhitch/stand_ins/register.py
+++ b/wellhitch/stand_ins/register.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wellhitch.net.seam import Listener, Network, now_us
+from wellhitch.net.transport import Listener, Network, now_us
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import Port
+from wellhitch.trunk.channel import Port
 
 
 @dataclass(slots=True)
--- a/wellhitch/stand_ins/town.py
+++ b/wellhitch/stand_ins/town.py
@@ -9,7 +9,7 @@
 from typing import Any, BinaryIO, Protocol
 
 from wellhitch.interface.facts import UseCase
-from wellhitch.net.seam import Network, now_us
+from wellhitch.net.transport import Network, now_us
 from wellhitch.settings.day import Day, ExchangeLine
 from wellhitch.settings.sheet import span
 from wellhitch.stand_ins.callers import Callers, Demand, Habits
--- a/wellhitch/store/keeper.py
+++ b/wellhitch/store/keeper.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 from wellhitch.store.engine import Engine, Scrub, StoreFault
 from wellhitch.store.records import Change, Damaged
 from wellhitch.store.upkeep import SCRUB_RECORDS, Upkeep
--- a/wellhitch/trunk/port.py
+++ b/wellhitch/trunk/channel.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from wellhitch.net.seam import Network, now_us
+from wellhitch.net.transport import Network, now_us
 from wellhitch.trunk import codec, frames
-from wellhitch.trunk.link import HEARTBEAT, SILENCE, Link, LinkFault, State
-from wellhitch.trunk.redial import Redial
+from wellhitch.trunk.backoff import Redial
+from wellhitch.trunk.connection import HEARTBEAT, SILENCE, Link, LinkFault, State
 
 READ_BUFFER = 16 * 1024  # bytes; some 300 frames a read
 MAX_UNSENT = 4096  # frames that wait for a reader that has stopped: the link is closed at one more
