--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -22,17 +22,17 @@
         line
         for one in done.captures
         if one.party == party
-        for line in one.lines
-        if not isinstance(line, Note) and line.way == way and isinstance(line.frame, kind)
+        for line in one.records
+        if not isinstance(line, Note) and line.direction == way and isinstance(line.frame, kind)
     ]
 
 
 def notes_of(done: Played, what: str, party: str) -> list[Note]:
     """Notes of one kind."""
     found = [
-        line for one in done.captures if one.party == party for line in one.lines if isinstance(line, Note)
+        line for one in done.captures if one.party == party for line in one.records if isinstance(line, Note)
     ]
-    return [note for note in found if note.what == what]
+    return [note for note in found if note.kind == what]
 
 
 def served(done: Played) -> float:
@@ -106,7 +106,9 @@
     out = 0
     for one in done.captures:
         if one.party == "callers":
-            times = [line.t for line in one.lines if not isinstance(line, Note) and line.way == "in"]
+            times = [
+                line.time_us for line in one.records if not isinstance(line, Note) and line.direction == "in"
+            ]
             out = max([out, *(b - a for a, b in zip(times, times[1:], strict=False))])
     return out
 
@@ -116,14 +118,14 @@
     asked, out = dict[tuple[str, int], tuple[int, int]](), -(1 << 40)
     for one in done.captures:
         if one.party == "callers":
-            for line in one.lines:
+            for line in one.records:
                 if isinstance(line, Note):
                     continue
                 if isinstance(line.frame, frames.Call):
-                    asked[one.name, line.frame.id] = line.t, line.frame.left
+                    asked[one.name, line.frame.id] = line.time_us, line.frame.left
                 elif isinstance(line.frame, frames.Final):
                     since, left = asked[one.name, line.frame.id]
-                    out = max(out, line.t - since - left)
+                    out = max(out, line.time_us - since - left)
     return out
 
 
@@ -193,7 +195,7 @@
 
 
 def digest(done: Played) -> str:
-    return hashlib.sha256(repr([(one.name, one.lines) for one in done.captures]).encode()).hexdigest()
+    return hashlib.sha256(repr([(one.name, one.records) for one in done.captures]).encode()).hexdigest()
 
 
 def mixed() -> Day:
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -19,8 +19,8 @@
 from wellhitch.server.daemon import Daemon, Doors
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import Port
-from wellhitch.trunk.connection import MAY_SAY
+from wellhitch.trunk.channel import Channel
+from wellhitch.trunk.connection import ALLOWED_FRAMES
 
 
 class Asking(asyncio.BufferedProtocol):
@@ -85,13 +85,13 @@
         """Somebody who listens at an address."""
         hand = Hand()
         self.net.at(address.partition(":")[0]).listen(
-            address, lambda: Port(self.loop, hand, hello, ("call_server",)), lambda listener: None
+            address, lambda: Channel(self.loop, hand, hello, ("call_server",)), lambda listener: None
         )
         return hand
 
     def listed(self, *lines: frames.OfficeListEntry, kind: str = "whole", revision: int = 1) -> None:
         frame = frames.OfficeList(kind, revision, list(lines))
-        self.daemon.guides.link_frame(cast(Port, None), frame)
+        self.daemon.guides.frame_received(cast(Channel, None), frame)
         self.loop.advance(1.0)
 
 
@@ -231,7 +231,7 @@
     }
     caller = frames.Hello("caller", 0, 1)
     door.net.at("c").connect(
-        "s:1", lambda: Port(door.loop, hands["caller"][0], caller, ("call_server",)), print
+        "s:1", lambda: Channel(door.loop, hands["caller"][0], caller, ("call_server",)), print
     )
     door.loop.advance(5.0)
     lines = [
@@ -246,7 +246,7 @@
                 known  # or all offices would soon be gone by an odd list, and nothing said of them heard
             )
         else:
-            kind = chance.choice(MAY_SAY[role, "call_server"])
+            kind = chance.choice(ALLOWED_FRAMES[role, "call_server"])
             frame = any_frame(kind, chance)
             if chance.random() < 0.8:
                 frame = a_sound_frame(kind, chance)
@@ -266,6 +266,6 @@
 def test_a_stranger_who_says_he_is_a_call_server_is_let_go() -> None:
     door, stranger = Door(limits={"may_tell_peers": True}), Hand()
     hello = frames.Hello("call_server", 9, 1)
-    door.net.at("x").connect("s:2", lambda: Port(door.loop, stranger, hello, ("call_server",)), print)
+    door.net.at("x").connect("s:2", lambda: Channel(door.loop, stranger, hello, ("call_server",)), print)
     door.loop.advance(1.0)
     assert stranger.down
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -19,7 +19,7 @@
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.store.engine import Engine
 from wellhitch.store.files import read_file
-from wellhitch.trunk.capture import BadCapture, read, read_folder
+from wellhitch.trunk.capture import BadCapture, read_capture, read_folder
 
 LEDGER = {
     "folder": "kept", "roster": [3], "number_keys": "keys.json", "export": "way", "export_key": "both.key",
@@ -148,7 +148,7 @@
 )  # fmt: skip
 def test_a_line_that_is_none_of_a_capture_is_named(line: bytes) -> None:
     with pytest.raises(BadCapture, match="x:2"):
-        read([HEAD, line, b'{"end":1}'], "x")
+        read_capture([HEAD, line, b'{"end":1}'], "x")
 
 
 @pytest.mark.parametrize("place", [a_pipe, a_directory], ids=lambda place: place.__name__)
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -317,7 +317,7 @@
         line.frame
         for one in done.captures
         if one.party == "callers"
-        for line in one.lines
+        for line in one.records
         if not isinstance(line, Note) and isinstance(line.frame, frames.Final)
     ]
     assert {final.hooks_version for final in finals} == {load(texts, PARSER).mark}
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -15,7 +15,7 @@
 from wellhitch.server.switch import Switch
 from wellhitch.settings.day import Day
 from wellhitch.trunk import frames
-from wellhitch.trunk.capture import BadCapture, read, read_folder
+from wellhitch.trunk.capture import BadCapture, read_capture, read_folder
 
 LOST = [trouble("answer_lost", length="8s", size=0.5)]
 DEPLOY = [trouble("deploy", on=[1], size=0.34, extra=4)]
@@ -203,7 +203,7 @@
 )
 def test_a_damaged_capture_is_an_error_and_no_pass(text: tuple[str, ...], said: str) -> None:
     with pytest.raises(BadCapture, match=said):
-        read(lines(*text), "x")
+        read_capture(lines(*text), "x")
 
 
 def test_captures_that_miss_a_party_or_hold_no_dialogue_are_no_pass(tmp_path: Path) -> None:
@@ -213,7 +213,7 @@
     with pytest.raises(BadCapture, match="'register'"):
         judge([one for one in done.captures if one.party != "register"])
     for one in done.captures:
-        one.lines.clear()
+        one.records.clear()
     with pytest.raises(BadCapture, match="nothing to judge"):
         judge(done.captures)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,7 +12,7 @@
 from wellhitch.server.daemon import MOST_LINKS, Daemon, Doors
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import FRAMES_PER_S, MAX_UNSENT, Port
+from wellhitch.trunk.channel import MAX_FRAMES_PER_S, MAX_UNSENT_FRAMES, Channel
 from wellhitch.trunk.codec import encode
 
 
@@ -77,19 +77,19 @@
         if ends.server.down:
             break
     assert "reads nothing" in ends.server.down[0]
-    assert len(ends.a._outbox) <= MAX_UNSENT
+    assert len(ends.a._unsent) <= MAX_UNSENT_FRAMES
 
 
 def test_a_mark_is_answered_once_all_before_it_was_read(ends: TwoEnds) -> None:
     assert ends.b.transport is not None
     ends.b.transport.pause_reading()
     ends.a.send(frames.Cancel(1))
-    mark = ends.a.mark()
+    mark = ends.a.send_mark()
     ends.loop.advance(0.3)
-    assert not ends.a.marked(mark)
+    assert not ends.a.mark_confirmed(mark)
     ends.b.transport.resume_reading()
     ends.loop.advance(0.1)
-    assert ends.a.marked(mark) and ends.office.got == [frames.Cancel(1)]
+    assert ends.a.mark_confirmed(mark) and ends.office.got == [frames.Cancel(1)]
 
 
 def test_frames_that_wait_here_can_be_taken_back(ends: TwoEnds) -> None:
@@ -103,7 +103,7 @@
 
 
 def test_a_sender_over_the_rate_is_read_later_and_loses_nothing(ends: TwoEnds) -> None:
-    whole = FRAMES_PER_S + 3000
+    whole = MAX_FRAMES_PER_S + 3000
     for at in range(whole):
         ends.a.send(frames.Cancel(at))
         if at % 1000 == 0:
@@ -128,7 +128,7 @@
 
 def test_an_end_whose_other_end_closed_in_the_silence_sees_a_reset_once_it_is_over(ends: TwoEnds) -> None:
     ends.net.spoil("s", "o").silent = True
-    ends.a.fail("test", tell=False)
+    ends.a.fail("test", notify_peer=False)
     ends.loop.advance(0.5)
     assert ends.office.down == []
     ends.net.spoil("s", "o").silent = False
@@ -153,7 +153,7 @@
     """A byte now and then is a sign of life, but of nobody: a thousand such links would stay for ever."""
     closed: list[str] = []
     hello = frames.Hello("call_server", 0, 1)
-    port = Port(ends.loop, Hand(), hello, ("caller",), down=closed.append)
+    port = Channel(ends.loop, Hand(), hello, ("caller",), on_closed=closed.append)
     ends.net.at("s").listen("s:9", lambda: port, lambda listener: None)
 
     class Dripping(asyncio.BufferedProtocol):
@@ -195,7 +195,9 @@
         hello = frames.Hello("caller", at, 1)
         net.at("c").connect(
             "s:1",
-            lambda hand=hand, hello=hello: Port(loop, hand, hello, ("call_server",), down=hand.down.append),
+            lambda hand=hand, hello=hello: Channel(
+                loop, hand, hello, ("call_server",), on_closed=hand.down.append
+            ),
             print,
         )
     loop.advance(1.0)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -181,7 +181,7 @@
                 out += [f"{end.id}: {name}" for _ in getattr(end, name)]
         out += [f"dialogue {taken.id}" for taken in switch.taken.values()]
         out += [f"decided {known}" for known in switch.exchange.dialogues]
-        out += [f"group {n}: {group.ours_count}" for n, group in switch.groups.items() if group.ours_count]
+        out += [f"group {n}: {group.local_count}" for n, group in switch.groups.items() if group.local_count]
         out += [f"timer of {name}" for name in self.timers(switch)]
         return [f"server {number}: {one}" for one in out]
 
@@ -268,9 +268,9 @@
 
 def restarted(s: Struck) -> None:
     if s.office is None:
-        port = s.town.callers[s.number].link.port
+        port = s.town.callers[s.number].link.current
         assert port
-        port.fail("restarts", tell=False)
+        port.fail("restarts", notify_peer=False)
     else:
         s.trouble("crash", 0.3, s.office)
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -524,7 +524,7 @@
         bench.call(id=n)
     assert bench.free() == 6
     bench.switch.group_told("o0", frames.GroupState(1, 1, 2), 0)
-    assert bench.free() == 0 and bench.switch.groups[1].ours_count == 4
+    assert bench.free() == 0 and bench.switch.groups[1].local_count == 4
     for n in range(4):
         bench.switch.leave("link", n, bench.out.now)
     bench.run(SECOND)
--- a/tests/test_trunk.py
+++ b/tests/test_trunk.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from wellhitch.trunk import codec, frames
-from wellhitch.trunk.backoff import FIRST, LONGEST, Redial
-from wellhitch.trunk.circuits import Group, disagreement
-from wellhitch.trunk.connection import SILENCE, Link, LinkFault, State
+from wellhitch.trunk.backoff import FIRST_WAIT_US, MAX_WAIT_US, ReconnectBackoff
+from wellhitch.trunk.circuits import TrunkGroup, track_disagreement
+from wellhitch.trunk.connection import SILENCE_TIMEOUT_US, Connection, ConnectionState, ProtocolError
 
 HELLO = frames.Hello("office", 3, 1)
 SOME = [
@@ -32,7 +32,7 @@
         got += decoder.feed(data[at : at + size])
         at += size
     assert got == sent
-    assert decoder.partial == 0
+    assert decoder.buffered_bytes == 0
 
 
 @given(st.binary(max_size=300))
@@ -42,7 +42,7 @@
         decoder.feed(data)
     except codec.BadFrame:
         assert decoder.feed(data) == []  # nothing more comes after the error
-    assert decoder.partial <= len(data)
+    assert decoder.buffered_bytes <= len(data)
 
 
 @pytest.mark.parametrize(
@@ -57,23 +57,23 @@
 def test_each_bad_frame_is_named_and_those_before_it_stand(data: bytes, said: str) -> None:
     with pytest.raises(codec.BadFrame, match=said) as bad:
         codec.Decoder().feed(codec.encode(HELLO) + data)
-    assert bad.value.before == [HELLO]
+    assert bad.value.frames_before == [HELLO]
 
 
 def test_a_frame_too_long_is_never_sent() -> None:
     with pytest.raises(codec.BadFrame, match="Word of"):
-        codec.encode(frames.PeerMessage(bytes(codec.MAX_FRAME)))
+        codec.encode(frames.PeerMessage(bytes(codec.MAX_FRAME_BYTES)))
 
 
-def up() -> Link:
-    link = Link("call_server", ("office",), 0)
+def up() -> Connection:
+    link = Connection("call_server", ("office",), 0)
     link.receive(codec.encode(HELLO), 0)
     return link
 
 
 def test_a_link_is_up_with_its_hello() -> None:
     link = up()
-    assert link.state is State.UP and link.peer == HELLO
+    assert link.state is ConnectionState.UP and link.peer == HELLO
     assert link.receive(codec.encode(frames.Answer(1)), 5) == [frames.Answer(1)]
 
 
@@ -87,60 +87,65 @@
     ],
 )
 def test_what_is_out_of_order_closes_the_link_with_one_error(sent: list[frames.AnyFrame], said: str) -> None:
-    link = Link("call_server", ("office",), 0)
-    with pytest.raises(LinkFault, match=said) as fault:
+    link = Connection("call_server", ("office",), 0)
+    with pytest.raises(ProtocolError, match=said) as fault:
         link.receive(b"".join(codec.encode(frame) for frame in sent), 0)
-    assert fault.value.tell and fault.value.before == sent[:-1]
+    assert fault.value.notify_peer and fault.value.frames_before == sent[:-1]
     assert link.receive(codec.encode(HELLO), 0) == []
 
 
 def test_a_told_fault_is_not_answered_with_another() -> None:
-    with pytest.raises(LinkFault) as fault:
+    with pytest.raises(ProtocolError) as fault:
         up().receive(codec.encode(frames.Fault("why")), 0)
-    assert not fault.value.tell
+    assert not fault.value.notify_peer
 
 
 def test_silence_is_found_after_its_limit_and_not_before() -> None:
     link = up()
-    assert not link.silent(SILENCE)
-    assert link.silent(SILENCE + 1)
+    assert not link.timed_out(SILENCE_TIMEOUT_US)
+    assert link.timed_out(SILENCE_TIMEOUT_US + 1)
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 5), st.integers(1, 3), st.booleans()), max_size=60), st.integers(0, 8)
 )
 def test_circuits_are_held_once_and_all_come_back(steps: list[tuple[int, int, bool]], size: int) -> None:
-    group, held = Group(size), {}
+    group, held = TrunkGroup(size), {}
     for holder, width, seize in steps:
         if seize:
             if group.seize(holder, width):
                 assert holder not in held
                 held[holder] = width
         else:
-            assert group.free_up(holder) == (held.pop(holder, None) is not None)
-        assert group.ours_count == sum(held.values()) <= size
-        assert group.free == size - group.ours_count
+            assert group.release(holder) == (held.pop(holder, None) is not None)
+        assert group.local_count == sum(held.values()) <= size
+        assert group.free == size - group.local_count
     for holder in list(held):
-        group.free_up(holder)
+        group.release(holder)
     assert group.free == size
 
 
 def test_the_other_sides_circuits_are_not_free_and_never_below_nought() -> None:
-    group = Group(4, theirs_count=3)
+    group = TrunkGroup(4, remote_count=3)
     assert group.seize("a", 1) and not group.seize("b", 1)
-    group.theirs_count = 4  # glare: both seized the last
+    group.remote_count = 4  # glare: both seized the last
     assert group.free == 0
 
 
 def test_counts_may_differ_for_a_while_and_no_longer() -> None:
-    since, say = disagreement(1, 0, None, 100, 50)
+    since, say = track_disagreement(1, 0, None, 100, 50)
     assert (since, say) == (100, False)
-    assert disagreement(1, 0, since, 151, 50) == (100, True)
-    assert disagreement(1, 1, since, 151, 50) == (None, False)
+    assert track_disagreement(1, 0, since, 151, 50) == (100, True)
+    assert track_disagreement(1, 1, since, 151, 50) == (None, False)
 
 
 def test_redials_double_to_a_limit_and_spread() -> None:
-    waits = [[redial.wait() for _ in range(12)] for redial in (Redial(random.Random(n)) for n in range(40))]
-    assert all(wait <= FIRST << at and wait <= LONGEST for one in waits for at, wait in enumerate(one))
+    waits = [
+        [redial.next_wait() for _ in range(12)]
+        for redial in (ReconnectBackoff(random.Random(n)) for n in range(40))
+    ]
+    assert all(
+        wait <= FIRST_WAIT_US << at and wait <= MAX_WAIT_US for one in waits for at, wait in enumerate(one)
+    )
     last = sorted(one[-1] for one in waits)
-    assert last[-1] - last[0] > LONGEST // 2  # not all at once
+    assert last[-1] - last[0] > MAX_WAIT_US // 2  # not all at once
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,7 +13,7 @@
 from wellhitch.settings.day import Day, check
 from wellhitch.stand_ins.town import Town
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import Port
+from wellhitch.trunk.channel import Channel
 
 USE_CASES = [
     {
@@ -108,21 +108,21 @@
     """An owner of ports that writes down what it is told."""
 
     def __init__(self) -> None:
-        self.up: list[Port] = []
+        self.up: list[Channel] = []
         self.got: list[frames.AnyFrame] = []
         self.down: list[str] = []
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         self.up.append(port)
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         if not isinstance(frame, frames.Heartbeat):
             self.got.append(frame)
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         self.down.append(why)
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         return 0
 
 
@@ -139,11 +139,11 @@
         self.loop.advance(0.1)
         self.a, self.b = self.server.up[0], self.office.up[0]
 
-    def _office(self) -> Port:
-        return Port(self.loop, self.office, frames.Hello("office", 1, 1), ("call_server",))
+    def _office(self) -> Channel:
+        return Channel(self.loop, self.office, frames.Hello("office", 1, 1), ("call_server",))
 
-    def _server(self) -> Port:
-        return Port(self.loop, self.server, frames.Hello("call_server", 0, 1), ("office",))
+    def _server(self) -> Channel:
+        return Channel(self.loop, self.server, frames.Hello("call_server", 0, 1), ("office",))
 
 
 def chance() -> random.Random:
--- a/wellhitch/judge/rules.py
+++ b/wellhitch/judge/rules.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from wellhitch.trunk import frames
-from wellhitch.trunk.capture import BadCapture, Capture, Line, Note
+from wellhitch.trunk.capture import BadCapture, Capture, CapturedFrame, Note
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,15 +94,15 @@
     out = _Outages()
     began: dict[int, int] = {}
     last = 0
-    for line in world.lines:
-        last = max(last, line.t)
+    for line in world.records:
+        last = max(last, line.time_us)
         if not isinstance(line, Note) or "server" not in line.facts:
             continue
         server = line.facts["server"]
-        if line.what in ("server_killed", "server_paused"):
-            began.setdefault(server, line.t)
-        elif line.what in ("server_started", "server_resumed") and server in began:
-            out.spans[server].append((began.pop(server), line.t))
+        if line.kind in ("server_killed", "server_paused"):
+            began.setdefault(server, line.time_us)
+        elif line.kind in ("server_started", "server_resumed") and server in began:
+            out.spans[server].append((began.pop(server), line.time_us))
     for server, t in began.items():
         out.spans[server].append((t, 1 << 62))
     return out
@@ -137,36 +137,36 @@
         if owed.answered is None and now >= due and not outages.touches(server, owed.t, due):
             broken(due, f"call {call_id}: no answer within its {owed.left} us")
 
-    for line in capture.lines:
-        last = max(last, line.t)
+    for line in capture.records:
+        last = max(last, line.time_us)
         if isinstance(line, Note):
-            if line.what == "down":
+            if line.kind == "down":
                 for key, owed in list(open_calls.items()):
                     if key[0] == line.facts["link"]:
                         if owed.over is None:
-                            missing(key[1], owed, line.t)
+                            missing(key[1], owed, line.time_us)
                         del open_calls[key]
             continue
         frame = line.frame
-        key = (line.link, getattr(frame, "id", -1))
+        key = (line.connection, getattr(frame, "id", -1))
         if isinstance(frame, frames.Call):
             verdict.seen["dialogues"] += 1
-            open_calls[key] = _Owed(line.t, frame.left, line.link)
+            open_calls[key] = _Owed(line.time_us, frame.left, line.connection)
         elif isinstance(frame, frames.HangUp):
             left = open_calls.get(key)
             if left and left.over is None:
-                missing(frame.id, left, line.t)
-                left.over = line.t
+                missing(frame.id, left, line.time_us)
+                left.over = line.time_us
         elif isinstance(frame, frames.Final):
             owed_now = open_calls.get(key)
             if owed_now is None:
-                broken(line.t, f"call {frame.id}: a final answer to no call of this link")
+                broken(line.time_us, f"call {frame.id}: a final answer to no call of this link")
             else:
                 _final(owed_now, line, frame, figures, outages, server, broken)
         elif isinstance(frame, frames.Ended):
             stood = open_calls.get(key)
             if stood is None or stood.answer != "stands":
-                broken(line.t, f"call {frame.id}: told of its end, and never stood")
+                broken(line.time_us, f"call {frame.id}: told of its end, and never stood")
     for (_, call_id), owed in open_calls.items():
         if owed.over is None:
             missing(call_id, owed, last)
@@ -174,7 +174,7 @@
 
 def _final(
     owed: _Owed,
-    line: Line,
+    line: CapturedFrame,
     frame: frames.Final,
     figures: Figures,
     outages: _Outages,
@@ -182,15 +182,23 @@
     broken: Callable[[int, str], None],
 ) -> None:
     if owed.answered is not None:
-        broken(line.t, f"call {frame.id}: a second answer, {frame.answer} after {owed.answer}")
-    elif owed.over is not None and line.t > owed.over + 2 * figures.way:
-        if not outages.touches(server, owed.over, line.t):
-            broken(line.t, f"call {frame.id}: {frame.answer} {line.t - owed.over} us after the caller left")
-    elif owed.over is None and line.t > owed.t + owed.left and not outages.touches(server, owed.t, line.t):
+        broken(line.time_us, f"call {frame.id}: a second answer, {frame.answer} after {owed.answer}")
+    elif owed.over is not None and line.time_us > owed.over + 2 * figures.way:
+        if not outages.touches(server, owed.over, line.time_us):
+            broken(
+                line.time_us,
+                f"call {frame.id}: {frame.answer} {line.time_us - owed.over} us after the caller left",
+            )
+    elif (
+        owed.over is None
+        and line.time_us > owed.t + owed.left
+        and not outages.touches(server, owed.t, line.time_us)
+    ):
         broken(
-            line.t, f"call {frame.id}: {frame.answer} {line.t - owed.t - owed.left} us after its time was up"
+            line.time_us,
+            f"call {frame.id}: {frame.answer} {line.time_us - owed.t - owed.left} us after its time was up",
         )
-    owed.answered, owed.answer = line.t, frame.answer
+    owed.answered, owed.answer = line.time_us, frame.answer
 
 
 def _one_answer_in_transit(capture: Capture, figures: Figures, outages: _Outages, verdict: Verdict) -> None:
@@ -214,42 +222,44 @@
         if owed.answered is None and now > due and not outages.touches(server, owed.t, due):
             broken(due, f"transit {ref}: no answer within its {owed.left} us")
 
-    for line in capture.lines:
-        last = max(last, line.t)
+    for line in capture.records:
+        last = max(last, line.time_us)
         if isinstance(line, Note):
-            if line.what == "down":
+            if line.kind == "down":
                 for key, owed in list(handed.items()):
                     if key[0] == line.facts["link"]:
                         if owed.over is None:
-                            missing(key[1], owed, line.t)
+                            missing(key[1], owed, line.time_us)
                         del handed[key]
             continue
         frame = line.frame
-        key = (line.link, getattr(frame, "dial_ref", -1))
-        if line.way == "out":
+        key = (line.connection, getattr(frame, "dial_ref", -1))
+        if line.direction == "out":
             if isinstance(frame, frames.Setup):
                 verdict.seen["transits"] += 1
-                handed[key] = _Owed(line.t, frame.left, line.link)
+                handed[key] = _Owed(line.time_us, frame.left, line.connection)
             elif isinstance(frame, (frames.Cancel, frames.Release)):
                 off = handed.get(key)
                 if off and off.over is None:
-                    missing(frame.dial_ref, off, line.t)
-                    off.over = line.t
+                    missing(frame.dial_ref, off, line.time_us)
+                    off.over = line.time_us
         elif isinstance(frame, (frames.Answer, frames.Reject)):
             owed_now = handed.get(key)
             name = str(frame.__struct_config__.tag)
             if owed_now is None:
-                broken(line.t, f"transit {frame.dial_ref}: {name} to nothing handed over")
+                broken(line.time_us, f"transit {frame.dial_ref}: {name} to nothing handed over")
             elif owed_now.answered is not None:
-                broken(line.t, f"transit {frame.dial_ref}: a second answer, {name} after {owed_now.answer}")
+                broken(
+                    line.time_us, f"transit {frame.dial_ref}: a second answer, {name} after {owed_now.answer}"
+                )
             elif (
                 owed_now.over is not None
-                and _earliest(unread, line.t) > owed_now.over + 2 * figures.way
-                and not outages.touches(server, owed_now.over, line.t)
+                and _earliest(unread, line.time_us) > owed_now.over + 2 * figures.way
+                and not outages.touches(server, owed_now.over, line.time_us)
             ):
-                broken(line.t, f"transit {frame.dial_ref}: {name} after it was called off")
+                broken(line.time_us, f"transit {frame.dial_ref}: {name} after it was called off")
             if owed_now is not None:
-                owed_now.answered, owed_now.answer = line.t, name
+                owed_now.answered, owed_now.answer = line.time_us, name
     for (_, ref), owed in handed.items():
         if owed.over is None:
             missing(ref, owed, last)
@@ -262,11 +272,11 @@
     """Spans in which a party read nothing, each with a way more: what is read at their end was sent within them."""
     out: list[tuple[int, int]] = []
     began: int | None = None
-    for line in capture.lines:
-        if isinstance(line, Note) and line.what == "reads_nothing":
-            began = line.t if began is None else began
-        elif isinstance(line, Note) and line.what in ("reads_on", "stopped") and began is not None:
-            out.append((began, line.t + way))
+    for line in capture.records:
+        if isinstance(line, Note) and line.kind == "reads_nothing":
+            began = line.time_us if began is None else began
+        elif isinstance(line, Note) and line.kind in ("reads_on", "stopped") and began is not None:
+            out.append((began, line.time_us + way))
             began = None
     if began is not None:
         out.append((began, 1 << 62))
@@ -278,14 +288,14 @@
     they came at the end of it."""
     out: dict[tuple[int, str], list[tuple[int, int]]] = defaultdict(list)
     began: dict[tuple[int, str], int] = {}
-    for line in world.lines:
-        if not isinstance(line, Note) or line.what not in ("silent", "silent_over"):
+    for line in world.records:
+        if not isinstance(line, Note) or line.kind not in ("silent", "silent_over"):
             continue
         key = (int(line.facts["here"].rpartition("-")[2]), str(line.facts["there"]))
-        if line.what == "silent":
-            began.setdefault(key, line.t)
+        if line.kind == "silent":
+            began.setdefault(key, line.time_us)
         elif key in began:
-            out[key].append((began.pop(key), line.t + 2 * way))
+            out[key].append((began.pop(key), line.time_us + 2 * way))
     for key, t in began.items():
         out[key].append((t, 1 << 62))
     return out
@@ -319,35 +329,37 @@
     """All set-ups that reached an office, each with its end: (sender, origin, dialogue) -> dial."""
     out: dict[tuple[int, int], _Dial] = {}
     unread = _unread(capture, way)
-    for line in capture.lines:
+    for line in capture.records:
         if isinstance(line, Note):
-            if line.what == "down":
-                heard = line.facts.get("heard", line.t)
+            if line.kind == "down":
+                heard = line.facts.get("heard", line.time_us)
                 late = unread + silences.get((line.facts["number"], capture.name), [])
-                half_open = line.t - heard > HALF_OPEN
+                half_open = line.time_us - heard > HALF_OPEN
                 for key in [key for key in out if key[0] == line.facts["link"]]:
                     # A half-open link was lost to its sender at a time that this end cannot know, and no
                     # sooner than it was last heard here.
                     _gone(
                         out.pop(key),
-                        max(heard, 0) if half_open else _earliest(late, line.t),
+                        max(heard, 0) if half_open else _earliest(late, line.time_us),
                         "lost" if half_open else "reset",
                     )
             continue
         frame = line.frame
-        key = (line.link, getattr(frame, "dial_ref", -1))
+        key = (line.connection, getattr(frame, "dial_ref", -1))
         late = unread + silences.get((line.number, capture.name), [])
-        if line.way == "in" and isinstance(frame, frames.Setup):
-            dial = out[key] = _Dial(line.number, line.t, capture.name, frame.dial, _earliest(late, line.t))
+        if line.direction == "in" and isinstance(frame, frames.Setup):
+            dial = out[key] = _Dial(
+                line.number, line.time_us, capture.name, frame.dial, _earliest(late, line.time_us)
+            )
             yield (line.number, frame.origin, frame.dialogue), dial
-        elif line.way == "in" and isinstance(frame, (frames.Cancel, frames.Release)) and key in out:
+        elif line.direction == "in" and isinstance(frame, (frames.Cancel, frames.Release)) and key in out:
             how = "called off" if isinstance(frame, frames.Cancel) else "released"
-            _gone(out.pop(key), _earliest(late, line.t), how)
-        elif line.way == "out" and isinstance(frame, (frames.Reject, frames.Cut)) and key in out:
+            _gone(out.pop(key), _earliest(late, line.time_us), how)
+        elif line.direction == "out" and isinstance(frame, (frames.Reject, frames.Cut)) and key in out:
             how = "pushed back" if isinstance(frame, frames.Reject) else "reset"
             # Where the Setup came late, so may a Cancel that was sent long before: it stands behind in the same read.
-            _gone(out.pop(key), _earliest(late, line.t), how)
-        elif line.way == "out" and isinstance(frame, frames.Answer) and key in out:
+            _gone(out.pop(key), _earliest(late, line.time_us), how)
+        elif line.direction == "out" and isinstance(frame, frames.Answer) and key in out:
             out[key].stood = True
 
 
@@ -405,8 +417,12 @@
     told: dict[tuple[int, str], list[tuple[int, bool]]] = defaultdict(list)
     for capture in registers:
         known: dict[tuple[int, str], bool] = {}
-        for line in capture.lines:
-            if isinstance(line, Note) or not isinstance(line.frame, frames.OfficeList) or line.way != "out":
+        for line in capture.records:
+            if (
+                isinstance(line, Note)
+                or not isinstance(line.frame, frames.OfficeList)
+                or line.direction != "out"
+            ):
                 continue
             lines = line.frame.entries
             named = {one.office: one.state == "ready" for one in lines}
@@ -416,23 +432,23 @@
                 )
             for office, ready in named.items():
                 known[line.number, office] = ready
-                told[line.number, office].append((line.t, ready))
+                told[line.number, office].append((line.time_us, ready))
     for capture in offices:
-        for line in capture.lines:
-            if isinstance(line, Note) or line.way != "in" or not isinstance(line.frame, frames.Setup):
+        for line in capture.records:
+            if isinstance(line, Note) or line.direction != "in" or not isinstance(line.frame, frames.Setup):
                 continue
             history = told.get((line.number, capture.name), [])
-            at = bisect_right(history, (line.t, True)) - 1
+            at = bisect_right(history, (line.time_us, True)) - 1
             if at < 0 or history[at][1]:
                 continue
             while at > 0 and not history[at - 1][1]:
                 at -= 1  # first told of it here
             since = history[at][0]
             verdict.seen["setups_after_drain"] += 1
-            late = line.t - since - figures.drain_grace - 2 * figures.way
-            if late > 0 and not outages.touches(line.number, since, line.t):
-                text = f"a set-up reached {capture.name} {line.t - since} us after it was told that it drains"
-                verdict.breaks.append(Break(3, line.t, line.number, text))
+            late = line.time_us - since - figures.drain_grace - 2 * figures.way
+            if late > 0 and not outages.touches(line.number, since, line.time_us):
+                text = f"a set-up reached {capture.name} {line.time_us - since} us after it was told that it drains"
+                verdict.breaks.append(Break(3, line.time_us, line.number, text))
 
 
 # ---- rule 4 ----
@@ -446,20 +462,20 @@
     window: list[tuple[int, int]] = []
     first = 0
     reported = False
-    for line in capture.lines:
+    for line in capture.records:
         if isinstance(line, Note):
-            if line.what == "fell_over":
-                verdict.breaks.append(Break(4, line.t, -1, f"{capture.name} fell over"))
+            if line.kind == "fell_over":
+                verdict.breaks.append(Break(4, line.time_us, -1, f"{capture.name} fell over"))
             continue
-        if started is None or line.way != "in" or not isinstance(line.frame, frames.Setup):
+        if started is None or line.direction != "in" or not isinstance(line.frame, frames.Setup):
             continue
-        age = line.t - int(started)
+        age = line.time_us - int(started)
         if age >= warm_after or line.number == number:
             continue
         verdict.seen["cold_setups"] += 1
         share = capture.facts["cold_share"] + (1 - capture.facts["cold_share"]) * max(0, age) / warm_after
-        window.append((line.t, line.number))
-        while window[first][0] <= line.t - figures.cold_window:
+        window.append((line.time_us, line.number))
+        while window[first][0] <= line.time_us - figures.cold_window:
             first += 1
         allowed = figures.cold_multiple * share * figures.cold_window / capture.facts["setup_us"] + COLD_SLACK
         if len(window) - first > allowed and not reported:
@@ -467,4 +483,4 @@
             senders = ", ".join(str(who) for who in sorted({who for _, who in window[first:]}))
             got = len(window) - first
             text = f"{capture.name}: {got} set-ups in a window that allows {allowed:.1f}, from {senders}"
-            verdict.breaks.append(Break(4, line.t, -1, text))
+            verdict.breaks.append(Break(4, line.time_us, -1, text))
--- a/wellhitch/judge/service.py
+++ b/wellhitch/judge/service.py
@@ -112,14 +112,14 @@
 def _wishes(capture: Capture, out: Service) -> list[_Wish]:
     wishes: dict[int, _Wish] = {}
     by_call: dict[int, _Wish] = {}
-    for line in capture.lines:
+    for line in capture.records:
         if isinstance(line, Note):
-            if line.what == "try":
+            if line.kind == "try":
                 facts = line.facts
                 wish = wishes.setdefault(facts["case"], _Wish(facts["use_case"], facts["began"]))
                 by_call[facts["id"]] = wish
                 wish.last = "unanswered"
-            elif line.what == "down":
+            elif line.kind == "down":
                 for wish in by_call.values():
                     wish.cut = wish.cut or wish.stood is not None
                 by_call.clear()
@@ -129,8 +129,8 @@
                 continue
             if line.frame.answer == "stands":
                 if found.stood is None:
-                    found.stood = line.t
-                    out.set_up_us.append(line.t - found.began)
+                    found.stood = line.time_us
+                    out.set_up_us.append(line.time_us - found.began)
             else:
                 found.last = line.frame.answer
         elif isinstance(line.frame, frames.Ended):
--- a/wellhitch/lab/hook_runs.py
+++ b/wellhitch/lab/hook_runs.py
@@ -37,11 +37,11 @@
 def arrivals(captures: list[Capture]) -> list[tuple[int, int, frames.Call]]:
     """Every Call that callers sent, in the order of time: when, at which exchange, the call."""
     found = [
-        (line.t, int(capture.facts["number"]), line.frame)
+        (line.time_us, int(capture.facts["number"]), line.frame)
         for capture in captures
         if capture.party == "callers"
-        for line in capture.lines
-        if not isinstance(line, Note) and isinstance(line.frame, frames.Call) and line.way == "out"
+        for line in capture.records
+        if not isinstance(line, Note) and isinstance(line.frame, frames.Call) and line.direction == "out"
     ]
     return sorted(found, key=lambda one: (one[0], one[1], one[2].id))
 
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -26,7 +26,7 @@
 from wellhitch.stand_ins.troubles import schedule
 from wellhitch.store.records import Damaged
 from wellhitch.trunk import frames
-from wellhitch.trunk.capture import Capture, Note, read, read_folder
+from wellhitch.trunk.capture import Capture, Note, read_capture, read_folder
 
 PERIOD = "2026-12"
 
@@ -134,7 +134,7 @@
         fleet.power_cut = lambda number: None
         fleet.close()
         town.close()
-        captures = [read(recorder.held, name) for name, recorder in town.recorders.items()]
+        captures = [read_capture(recorder.held, name) for name, recorder in town.recorders.items()]
         wrong = [one for disk in fleet.disks.values() for one in verified(disk)]
         return Books(
             judge(captures),
@@ -202,23 +202,23 @@
             setup = setups[key]
             into.setdefault(setup.called or "", []).append((standing.pop(key), at, setup))
 
-    for line in capture.lines:
+    for line in capture.records:
         if isinstance(line, Note):
-            if line.what == "down":
+            if line.kind == "down":
                 for key in [key for key in standing if key[0] == line.facts["link"]]:
-                    over(key, line.t)
+                    over(key, line.time_us)
             continue
-        frame, key = line.frame, (line.link, getattr(line.frame, "dial_ref", 0))
+        frame, key = line.frame, (line.connection, getattr(line.frame, "dial_ref", 0))
         if (
             isinstance(frame, frames.Setup)
-            and line.way == "in"
+            and line.direction == "in"
             and frame.destination == capture.facts["number"]
         ):
             setups[key] = frame
-        elif isinstance(frame, frames.Answer) and line.way == "out" and key in setups:
-            standing.setdefault(key, line.t)
-        elif isinstance(frame, frames.Release) or (isinstance(frame, frames.Cut) and line.way == "out"):
-            over(key, line.t)
+        elif isinstance(frame, frames.Answer) and line.direction == "out" and key in setups:
+            standing.setdefault(key, line.time_us)
+        elif isinstance(frame, frames.Release) or (isinstance(frame, frames.Cut) and line.direction == "out"):
+            over(key, line.time_us)
         elif isinstance(frame, frames.Cancel):
             standing.pop(key, None)
     for key in list(standing):
@@ -235,19 +235,19 @@
         if key in heard:
             out.append((calls[key], heard.pop(key), at))
 
-    for line in capture.lines:
+    for line in capture.records:
         if isinstance(line, Note):
-            if line.what == "down":
+            if line.kind == "down":
                 for key in [key for key in heard if key[0] == line.facts["link"]]:
-                    over(key, line.t)
+                    over(key, line.time_us)
             continue
-        frame, key = line.frame, (line.link, getattr(line.frame, "id", 0))
+        frame, key = line.frame, (line.connection, getattr(line.frame, "id", 0))
         if isinstance(frame, frames.Call):
             calls[key] = frame
         elif isinstance(frame, frames.Final) and frame.answer == "stands":
-            heard[key] = line.t
+            heard[key] = line.time_us
         elif isinstance(frame, (frames.HangUp, frames.Ended)):
-            over(key, line.t)
+            over(key, line.time_us)
     return out
 
 
@@ -300,8 +300,8 @@
             if one.state == "billed":
                 booked[one.name] = Booked(one.tenant, one.use_case, one.billed, 1)
     stood = stood_of(captures)
-    notes = [line for capture in captures for line in capture.lines if isinstance(line, Note)]
-    killed = sum(note.what == "server_killed" for note in notes)
+    notes = [line for capture in captures for line in capture.records if isinstance(line, Note)]
+    killed = sum(note.kind == "server_killed" for note in notes)
     books = Books(Verdict([], Counter()), stood, booked, [], Counter(), {}, Counter())
     # A process that was killed is billed to its last note of life: a second, and as long as that waits for the disk.
     found_wrong = differences(books, 1_200_000 if killed else 0)
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -29,7 +29,7 @@
 from wellhitch.server.switch import Outlet, Switch
 from wellhitch.store.system import SystemDisk
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import KeptLink, Port
+from wellhitch.trunk.channel import Channel, PersistentChannel
 
 SECOND = 1_000_000
 USE = UseCase("measured", 1.0, 0.2, 1_500_000, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
@@ -67,17 +67,17 @@
     def __init__(self, number: int) -> None:
         self.number = number
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """The own call server is told the sizes of its groups."""
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """Nothing is held."""
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """Nothing is held."""
         return 0
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """Answer at once."""
         match frame:
             case frames.Setup(ref):
@@ -93,7 +93,7 @@
         super().__init__(number)
         self.offices = offices
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         for other in range(self.offices):
             if other != self.number:
                 port.send(frames.GroupState(other, 0, GROUP))
@@ -104,7 +104,7 @@
         super().__init__(-1)
         self.lines = lines
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         port.send(frames.OfficeList("whole", 1, self.lines))
 
 
@@ -113,7 +113,7 @@
 ) -> None:
     hello = frames.Hello(role, number, 1)
     LoopbackNetwork(loop).listen(
-        "127.0.0.1:0", lambda: Port(loop, owner, hello, ("call_server",)), lambda listener: ready(listener)
+        "127.0.0.1:0", lambda: Channel(loop, owner, hello, ("call_server",)), lambda listener: ready(listener)
     )
 
 
@@ -217,18 +217,18 @@
     stood: int = 0
     others: int = 0
     next_id: int = 0
-    port: Port | None = None
+    port: Channel | None = None
     closed: bool = False
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """The call server answers."""
         self.port = port
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """It is gone."""
         self.port = None
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """No circuits."""
         return 0
 
@@ -241,7 +241,7 @@
         if self.port:
             self.port.send(call)
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """An answer."""
         if not isinstance(frame, frames.Final):
             return
@@ -264,11 +264,13 @@
             self.port.send(frames.HangUp(id))
 
 
-async def _linked(address: str, offices: int) -> tuple[_Load, KeptLink]:
+async def _linked(address: str, offices: int) -> tuple[_Load, PersistentChannel]:
     loop = asyncio.get_running_loop()
     load = _Load(loop, offices, random.Random(3))
     hello = frames.Hello("caller", 0, 1)
-    link = KeptLink(loop, LoopbackNetwork(loop), address, load, hello, ("call_server",), random.Random(4))
+    link = PersistentChannel(
+        loop, LoopbackNetwork(loop), address, load, hello, ("call_server",), random.Random(4)
+    )
     while load.port is None:
         await asyncio.sleep(0.01)
     return load, link
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -19,7 +19,7 @@
 from wellhitch.settings.sheet import span
 from wellhitch.stand_ins.town import Town
 from wellhitch.stand_ins.troubles import schedule
-from wellhitch.trunk.capture import Capture, read, read_folder
+from wellhitch.trunk.capture import Capture, read_capture, read_folder
 
 COME_UP_S = 3.0  # until all links stand, before the first caller
 LAST_S = 2.0  # after the last caller hung up: releases and counts are on their way
@@ -159,7 +159,7 @@
     if folder is not None:
         captures = read_folder(folder)
     else:
-        captures = [read(recorder.held, name) for name, recorder in town.recorders.items()]
+        captures = [read_capture(recorder.held, name) for name, recorder in town.recorders.items()]
     offices = {office.name: dict(office.counts) for office in [*town.past, *town.offices.values()]}
     return Played(
         judge(captures),
@@ -179,6 +179,8 @@
     out = []
     for number, trunks in sorted(town.trunks.items()):
         for other, group in sorted(trunks.groups.items()):
-            if group.ours_count or group.theirs_count:
-                out.append(f"{number}-{other}: {group.ours_count} from there, {group.theirs_count} from here")
+            if group.local_count or group.remote_count:
+                out.append(
+                    f"{number}-{other}: {group.local_count} from there, {group.remote_count} from here"
+                )
     return out
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -21,7 +21,7 @@
 from wellhitch.server.switch import Outlet, Switch
 from wellhitch.settings.checked import Faults
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import KeptLink, Port
+from wellhitch.trunk.channel import Channel, PersistentChannel
 
 MAX_LINE = (
     2_000  # bytes of an operator's request: a correction with who and why of 200 characters has up to 1,700
@@ -81,12 +81,12 @@
         self.peers_in = _Peers(self)
         self.guides = _Guides(self)
         self.offices: dict[str, _OfficeLink] = {}
-        self.peer_links: dict[str, KeptLink] = {}
+        self.peer_links: dict[str, PersistentChannel] = {}
         self.peer_numbers: dict[int, str] = {}
-        self.peers_here: dict[int, Port] = {}
+        self.peers_here: dict[int, Channel] = {}
         self.listeners: dict[str, Listener] = {}
-        self.kept: list[KeptLink] = []
-        self.ports: dict[Port, None] = {}
+        self.kept: list[PersistentChannel] = []
+        self.ports: dict[Channel, None] = {}
         self.operators: dict[asyncio.Transport, None] = {}
         self.reread = reread
         self.parser: Parser | None = None
@@ -117,7 +117,7 @@
         for address, role in ((self.doors.register, "register"), (self.doors.centre, "centre")):
             if address:
                 self.kept.append(
-                    KeptLink(
+                    PersistentChannel(
                         self.loop,
                         self.network,
                         address,
@@ -139,12 +139,12 @@
         """A generator of its own for each link, so that none disturbs another's draws."""
         return random.Random(f"{self.switch.opened.seed} {self.hello.boot} {what}")
 
-    def _port(self, owner: Any, takes: tuple[str, ...]) -> Port:
-        port: Port
-        port = Port(self.loop, owner, self.hello, takes, down=lambda why: self.ports.pop(port, None))
+    def _port(self, owner: Any, takes: tuple[str, ...]) -> Channel:
+        port: Channel
+        port = Channel(self.loop, owner, self.hello, takes, on_closed=lambda why: self.ports.pop(port, None))
         if len(self.ports) >= MOST_LINKS:
             # Guards the links that stand, and those that this call server itself must open, against one too many.
-            port.refusal = f"{MOST_LINKS} links stand here already"
+            port.refusal_reason = f"{MOST_LINKS} links stand here already"
             self.switch.counts["links_refused"] += 1
         else:
             self.ports[port] = None
@@ -195,16 +195,16 @@
 
     def to_caller(self, link: Hashable, frame: frames.AnyFrame) -> bool:
         """As `Outlet`."""
-        return cast(Port, link).send(frame)
+        return cast(Channel, link).send(frame)
 
     def to_office(self, office: str, frame: frames.AnyFrame) -> bool:
         """As `Outlet`."""
         port = self._office_port(office)
         return port.send(frame) if port else False
 
-    def _office_port(self, office: str) -> Port | None:
+    def _office_port(self, office: str) -> Channel | None:
         kept = self.offices.get(office)
-        return kept.link.port if kept else None
+        return kept.link.current if kept else None
 
     def withdraw(self, office: str, which: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
         """As `Outlet`."""
@@ -214,18 +214,18 @@
     def mark(self, office: str) -> int:
         """As `Outlet`."""
         port = self._office_port(office)
-        return port.mark() if port else 0
+        return port.send_mark() if port else 0
 
     def marked(self, office: str, n: int) -> bool:
         """As `Outlet`."""
         port = self._office_port(office)
-        return port is None or port.marked(n)
+        return port is None or port.mark_confirmed(n)
 
     def reset(self, office: str, why: str) -> None:
         """As `Outlet`."""
         port = self._office_port(office)
         if port:
-            port.fail(why, tell=False)
+            port.fail(why, notify_peer=False)
 
     def keep_link(self, office: str, address: str) -> None:
         """As `Outlet`."""
@@ -243,8 +243,8 @@
         """As `Outlet`."""
         word = frames.PeerMessage(text)
         for kept in self.peer_links.values():
-            if kept.port:
-                kept.port.send(word)
+            if kept.current:
+                kept.current.send(word)
 
     def timer(self, after: int, ring: Callable[[int], None]) -> asyncio.TimerHandle:
         """As `Outlet`."""
@@ -273,7 +273,7 @@
                     # Guards against links to where a peer was, each tried for ever.
                     self.peer_links.pop(before).close()
             if line.number != self.switch.number and address and address not in self.peer_links:
-                self.peer_links[address] = KeptLink(
+                self.peer_links[address] = PersistentChannel(
                     self.loop,
                     self.network,
                     address,
@@ -287,7 +287,7 @@
         """Carry a message of the ledger's to another call server; False where no link stands. One that is lost is
         asked for again."""
         kept = self.peer_links.get(self.peer_numbers.get(to, ""))
-        port = (kept.port if kept else None) or self.peers_here.get(to)
+        port = (kept.current if kept else None) or self.peers_here.get(to)
         return port.send(frames.LedgerMessage(data)) if port else False
 
     def ledger_asked(self, what: str) -> str:
@@ -396,7 +396,7 @@
                 for end in switch.offices.values()
             ],
             "groups": {
-                str(number): {"size": g.size, "free": g.free, "ours": g.ours_count, "theirs": g.theirs_count}
+                str(number): {"size": g.size, "free": g.free, "ours": g.local_count, "theirs": g.remote_count}
                 for number, g in sorted(switch.groups.items())
             },
             "counts": dict(sorted(switch.counts.items())),
@@ -410,13 +410,13 @@
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """A link stands."""
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """A link is gone."""
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """Nothing is held on these links."""
         return 0
 
@@ -424,7 +424,7 @@
 class _Callers(_Part):
     """Links from callers."""
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """A caller says something."""
         now = self.daemon.now()
         if isinstance(frame, frames.Call):
@@ -432,7 +432,7 @@
         elif isinstance(frame, frames.HangUp):
             self.daemon.switch.leave(port, frame.id, now)
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """A caller's link is gone."""
         self.daemon.switch.caller_lost(port, self.daemon.now())
 
@@ -440,27 +440,27 @@
 class _Peers(_Part):
     """Links with other call servers."""
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """A peer says something."""
         if isinstance(frame, frames.PeerMessage):
             self.daemon.switch.word(port.peer.number, frame.payload, self.daemon.now())
         elif isinstance(frame, frames.LedgerMessage) and self.daemon.desk:
             self.daemon.desk.heard_from(port.peer.number, frame.payload)
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """A peer is there: either end may have opened the link."""
         self.daemon.peers_here[port.peer.number] = port
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """It is gone."""
-        if port.link.peer and self.daemon.peers_here.get(port.peer.number) is port:
+        if port.connection.peer and self.daemon.peers_here.get(port.peer.number) is port:
             del self.daemon.peers_here[port.peer.number]
 
 
 class _Guides(_Part):
     """Links to the register and the centre."""
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """The register or the centre says something."""
         if isinstance(frame, frames.OfficeList):
             if self.daemon.switch.listed(frame, self.daemon.now()):
@@ -474,27 +474,27 @@
 
     def __init__(self, daemon: Daemon, office: str, address: str) -> None:
         self.daemon, self.office = daemon, office
-        self.link = KeptLink(
+        self.link = PersistentChannel(
             daemon.loop, daemon.network, address, self, daemon.hello, ("office",), daemon._fork(office)
         )
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """The office answers."""
         peer = port.peer
         unwanted = self.daemon.switch.office_up(self.office, peer.number, peer.boot, self.daemon.now())
         if unwanted:
             port.fail(unwanted)
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """The office is lost."""
         if self.daemon.offices.get(self.office) is self:
             self.daemon.switch.office_down(self.office, why, self.daemon.now())
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """Circuits that our dials hold there."""
         return self.daemon.switch.held_for(self.office)
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """The office says something."""
         switch, now = self.daemon.switch, self.daemon.now()
         match frame:
--- a/wellhitch/server/hook_runner.py
+++ b/wellhitch/server/hook_runner.py
@@ -10,7 +10,7 @@
 from wellhitch.interface.state import Exchange
 from wellhitch.server.dials import OfficeEnd, Taken
 from wellhitch.trunk import frames
-from wellhitch.trunk.circuits import Group
+from wellhitch.trunk.circuits import TrunkGroup
 
 SECOND = 1_000_000
 TICK = SECOND  # us between runs of `on tick`
@@ -71,7 +71,7 @@
         return Record(fields, 1)
 
     def arrives(
-        self, call: frames.Call, held: int, groups: Mapping[int, Group], now: int
+        self, call: frames.Call, held: int, groups: Mapping[int, TrunkGroup], now: int
     ) -> tuple[Said, str]:
         """What is said of a dialogue before it is told to the decisions, and by which version."""
         if not self.hooks.wants("arrive"):
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -31,7 +31,7 @@
 )
 from wellhitch.server.hook_runner import TICK, Hooked
 from wellhitch.trunk import frames
-from wellhitch.trunk.circuits import Group, disagreement
+from wellhitch.trunk.circuits import TrunkGroup, track_disagreement
 
 # Taken off each deadline, so that the answer is there in time although a turn of the loop is late by most of it: a
 # collection of garbage or a process that is not scheduled holds a turn up for tens of milliseconds.
@@ -63,7 +63,7 @@
         """Whether it has read all that was sent before the mark."""
 
     def reset(self, office: str, why: str) -> None:
-        """Break the link to an office; link_down follows."""
+        """Break the link to an office; channel_closed follows."""
 
     def keep_link(self, office: str, address: str) -> None:
         """Keep a link to an office up."""
@@ -107,7 +107,7 @@
         self.by_caller: dict[tuple[Hashable, int], Taken] = {}
         self.heard: dict[Hashable, Recent] = {}
         self.offices: dict[str, OfficeEnd] = {}
-        self.groups: dict[int, Group] = {}
+        self.groups: dict[int, TrunkGroup] = {}
         self.advice: list[int] = []
         self.revision = -1
         self.stopping = False
@@ -664,15 +664,15 @@
         if group is None:
             if frame.size < 0:
                 return
-            group = self.groups[frame.number] = Group(frame.size)
+            group = self.groups[frame.number] = TrunkGroup(frame.size)
         if frame.size >= 0:
             group.size = frame.size
-        group.theirs_count = max(0, frame.held)
+        group.remote_count = max(0, frame.held)
         self._changed(frame.number)
 
     def _free(self, dial: DialOut) -> None:
         group = self.groups.get(dial.office.number)
-        if group and group.free_up(dial):
+        if group and group.release(dial):
             self._changed(dial.office.number)
 
     def _changed(self, number: int) -> None:
@@ -689,7 +689,7 @@
         for number in numbers:
             group = self.groups[number]
             for home in own:
-                self.outlet.to_office(home.id, frames.GroupState(number, group.ours_count))
+                self.outlet.to_office(home.id, frames.GroupState(number, group.local_count))
             for end in self.offices.values():
                 if end.number == number and end.standing is not ev.Standing.GONE:
                     self.feed(ev.Reported(end.id, False, True, self._report(number, None)), now)
@@ -716,7 +716,9 @@
         apart."""
         end = self.offices[office]
         allowed = 2 * self.opened.release.release_wait + 2_000_000  # two heartbeats
-        end.differs_since, say = disagreement(self.held_for(office), theirs, end.differs_since, now, allowed)
+        end.differs_since, say = track_disagreement(
+            self.held_for(office), theirs, end.differs_since, now, allowed
+        )
         if say:
             self.counts["circuits_disagree"] += 1
             mine = self.held_for(office)
@@ -756,9 +758,9 @@
         if self._home() is None:
             for number, group in self.groups.items():
                 if (
-                    group.theirs_count
+                    group.remote_count
                 ):  # what came in over a dead office is gone with it; the next one tells anew
-                    group.theirs_count = 0
+                    group.remote_count = 0
                     self._changed(number)
         for other in self.offices.values():
             for dial in [dial for dial in other.dials.values() if dial.home is end]:
--- a/wellhitch/stand_ins/callers.py
+++ b/wellhitch/stand_ins/callers.py
@@ -12,7 +12,7 @@
 from wellhitch.net.transport import Network, now_us
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import KeptLink, Port
+from wellhitch.trunk.channel import Channel, PersistentChannel
 
 
 @dataclass(slots=True)
@@ -98,7 +98,9 @@
         self._next_id = 0
         self._next_case = 0
         hello = frames.Hello("caller", number, boot)
-        self.link = KeptLink(loop, network, address, self, hello, ("call_server",), chance, recorder.tap)
+        self.link = PersistentChannel(
+            loop, network, address, self, hello, ("call_server",), chance, recorder.tap
+        )
 
     def now(self) -> int:
         """Time in us."""
@@ -200,7 +202,7 @@
         if left <= 0:
             self._done(case, "out_of_time")
             return
-        port = self.link.port
+        port = self.link.current
         call = frames.Call(
             case.id,
             use.name,
@@ -212,7 +214,7 @@
             self.habits.tenant_of(case.called),
         )
         self.recorder.note("try", id=case.id, case=case.number, use_case=use.name, began=case.began)
-        if port is None or port.link.peer is None or not port.send(call):
+        if port is None or port.connection.peer is None or not port.send(call):
             self._unserved(case, 0)
             return
         self.cases[case.id] = case
@@ -227,8 +229,8 @@
         self._unserved(case, 0)
 
     def _leave(self, case: Case) -> None:
-        if self.cases.pop(case.id, None) and self.link.port:
-            self.link.port.send(frames.HangUp(case.id))
+        if self.cases.pop(case.id, None) and self.link.current:
+            self.link.current.send(frames.HangUp(case.id))
 
     def _unserved(self, case: Case, come_back: int) -> None:
         """Try again, or not."""
@@ -268,14 +270,14 @@
 
     # -- Owner --
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """The call server answers."""
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """Callers hold no circuits."""
         return 0
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """The call server is gone: whoever waited tries again, whoever talked was cut."""
         self.recorder.down(port)
         for case in list(self.cases.values()):
@@ -286,7 +288,7 @@
             else:
                 self._unserved(case, 0)
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """The call server says something."""
         if not isinstance(frame, (frames.Final, frames.Ended)):
             return
--- a/wellhitch/stand_ins/office.py
+++ b/wellhitch/stand_ins/office.py
@@ -13,8 +13,8 @@
 from wellhitch.stand_ins.processor import ColdStart, Job, Processor, Work
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import Port
-from wellhitch.trunk.circuits import Group
+from wellhitch.trunk.channel import Channel
+from wellhitch.trunk.circuits import TrunkGroup
 
 REORDER_S = 0.5  # an answer that comes out of order is so late: several others are said meanwhile
 TELL_EVERY_S = 0.05  # group counts to the call server at most so often
@@ -25,7 +25,7 @@
     """The exchange's end of its trunk groups, and the lines of the numbers called there."""
 
     number: int
-    groups: dict[int, Group]
+    groups: dict[int, TrunkGroup]
     lines: int
     busy_lines: Counter[str] = field(default_factory=Counter)
 
@@ -34,7 +34,7 @@
 class Leg:
     """One set-up that came in."""
 
-    port: Port
+    port: Channel
     setup: frames.Setup
     came: int
     job: Job | None = None
@@ -91,9 +91,9 @@
         )
         self.hello = frames.Hello("office", trunks.number, boot)
         self.ills = Ills()
-        self.ports: dict[Port, dict[int, Leg]] = {}
+        self.ports: dict[Channel, dict[int, Leg]] = {}
         self.transits: dict[int, Leg] = {}
-        self.passing: dict[tuple[Port, int], Job] = {}
+        self.passing: dict[tuple[Channel, int], Job] = {}
         self.counts: Counter[str] = Counter()
         self.listener: Listener | None = None
         self.address = address
@@ -116,9 +116,9 @@
         if not self.up:
             listener.close()
 
-    def _port(self) -> Port:
-        port: Port
-        port = Port(
+    def _port(self) -> Channel:
+        port: Channel
+        port = Channel(
             self.loop,
             self,
             self.hello,
@@ -129,7 +129,7 @@
         self.ports[port] = {}
         return port
 
-    def _forget_port(self, port: Port) -> None:
+    def _forget_port(self, port: Channel) -> None:
         self.ports.pop(port, None)  # also one that was lost before it said who it is
 
     def now(self) -> int:
@@ -146,39 +146,39 @@
         if self.listener:
             self.listener.close()
         for port in list(self.ports):
-            port.fail("office stopped", tell=False)
+            port.fail("office stopped", notify_peer=False)
 
     def _fell(self) -> None:
         self.counts["fell_over"] += 1
         self.recorder.note("fell_over")
         self.loop.call_soon(self.stop, "fell over")
 
-    def home(self) -> Port | None:
+    def home(self) -> Channel | None:
         """The link of the own call server."""
         for port in self.ports:
-            own = port.link.peer is not None and port.peer.number == self.trunks.number
+            own = port.connection.peer is not None and port.peer.number == self.trunks.number
             if own and port.transport and not port.transport.is_closing():
                 return port
         return None
 
     # -- Owner --
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """A call server came. An older link of the same one is half-open and goes."""
         for other in list(self.ports):
-            if other is not port and other.link.peer and other.peer.number == port.peer.number:
-                other.fail("a newer link of the same call server", tell=False)
+            if other is not port and other.connection.peer and other.peer.number == port.peer.number:
+                other.fail("a newer link of the same call server", notify_peer=False)
                 self._lost_port(other)
         if port.peer.number == self.trunks.number:
             self._untold.update(self.trunks.groups)
             self._tell_soon()
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """A call server's link is gone: what it held is freed."""
         self.recorder.down(port)
         self._lost_port(port)
 
-    def _lost_port(self, port: Port) -> None:
+    def _lost_port(self, port: Channel) -> None:
         legs = self.ports.pop(port, None)
         if legs is None:
             return  # lost before, when a newer link of the same call server came
@@ -189,11 +189,11 @@
                 self._onward(frames.Cancel(leg.onward))
             self._carried(leg, "cut")
             self._end(leg)
-        if port.link.peer and port.peer.number == self.trunks.number:
+        if port.connection.peer and port.peer.number == self.trunks.number:
             # What a call server held that is gone is held by nobody; its next one tells anew.
             for number, group in self.trunks.groups.items():
-                if group.theirs_count:
-                    group.theirs_count = 0
+                if group.remote_count:
+                    group.remote_count = 0
                     self._changed(number)
             for leg in list(self.transits.values()):
                 self._say(
@@ -201,11 +201,11 @@
                 )
                 self._end(leg)
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """Circuits held for this link's dials."""
         return sum(leg.setup.width for leg in self.ports.get(port, {}).values())
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """A call server says something."""
         match frame:
             case frames.Setup():
@@ -220,7 +220,7 @@
                     self.processor.drop(job)
             case frames.GroupState():
                 if port.peer.number == self.trunks.number and frame.number in self.trunks.groups:
-                    self.trunks.groups[frame.number].theirs_count = max(0, frame.held)
+                    self.trunks.groups[frame.number].remote_count = max(0, frame.held)
             case frames.Answer():
                 self._transit_answered(frame.dial_ref)
             case frames.Reject() | frames.Cut():
@@ -230,13 +230,15 @@
                     self.work.look, lambda: self._send(port, frames.LoadReport(self.load() or frames.Load()))
                 )
 
-    def _send(self, port: Port, frame: frames.AnyFrame) -> None:
+    def _send(self, port: Channel, frame: frames.AnyFrame) -> None:
         if self.up:
             port.send(frame)
 
     def legs_from(self, number: int) -> list[Leg]:
         """Set-ups that hold circuits of the group from another exchange."""
-        found = [legs for port, legs in self.ports.items() if port.link.peer and port.peer.number == number]
+        found = [
+            legs for port, legs in self.ports.items() if port.connection.peer and port.peer.number == number
+        ]
         return [leg for legs in found for leg in legs.values()]
 
     def cut(self, leg: Leg) -> None:
@@ -282,7 +284,7 @@
 
     # -- set-ups --
 
-    def _setup(self, port: Port, setup: frames.Setup) -> None:
+    def _setup(self, port: Channel, setup: frames.Setup) -> None:
         now = self.now()
         self.counts["setups"] += 1
         self.processor.pressed(1.0, now)
@@ -413,7 +415,7 @@
         else:
             self._turn_back(leg, frame.reason if frame.reason in frames.REJECT_REASONS else "turned_back")
 
-    def _given_up(self, port: Port, ref: int, stood: bool) -> None:
+    def _given_up(self, port: Channel, ref: int, stood: bool) -> None:
         """The sender cancelled or released a set-up."""
         leg = self.ports.get(port, {}).get(ref)
         if leg is None:
@@ -467,12 +469,12 @@
             if not self.trunks.busy_lines[leg.setup.called]:
                 del self.trunks.busy_lines[leg.setup.called]
         group = self.trunks.groups.get(leg.port.peer.number)
-        if group and group.free_up(leg):
+        if group and group.release(leg):
             self._changed(leg.port.peer.number)
 
     # -- the own call server's --
 
-    def _pass(self, port: Port, step: frames.ProcessStep) -> None:
+    def _pass(self, port: Channel, step: frames.ProcessStep) -> None:
         if port.peer.number != self.trunks.number:
             return
         now = self.now()
@@ -492,7 +494,7 @@
         else:
             self.processor.submit(cost, lambda: None, ahead)
 
-    def _passed(self, port: Port, ref: int, what: str) -> None:
+    def _passed(self, port: Channel, ref: int, what: str) -> None:
         if self.passing.pop((port, ref), None):
             self._send(port, frames.StepProcessed(ref, what))
 
@@ -511,5 +513,5 @@
         if home and self.up:
             for number in sorted(self._untold):
                 group = self.trunks.groups[number]
-                home.send(frames.GroupState(number, group.ours_count, group.size))
+                home.send(frames.GroupState(number, group.local_count, group.size))
             self._untold.clear()
--- a/wellhitch/stand_ins/recorder.py
+++ b/wellhitch/stand_ins/recorder.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import Port
+from wellhitch.trunk.channel import Channel
 
 
 class Recorder:
@@ -35,29 +35,29 @@
         else:
             self.held.append(line)
 
-    def tap(self, way: str, port: Port, frame: frames.AnyFrame) -> None:
+    def tap(self, way: str, port: Channel, frame: frames.AnyFrame) -> None:
         """Note a frame. Heartbeats and loads tell nothing that is judged and are left out."""
         if isinstance(
             frame, (frames.Heartbeat, frames.Mark, frames.Marked, frames.GroupState, frames.Advice)
         ):
             return
-        peer = port.link.peer
+        peer = port.connection.peer
         shown = self._encoder.encode(frame)
         head = [self._now(), way, self._link(port), peer.role if peer else "", peer.number if peer else -1]
         self._write(self._encoder.encode(head)[:-1] + b"," + shown[1:])
 
-    def _link(self, port: Port) -> int:
+    def _link(self, port: Channel) -> int:
         link = self._links.get(id(port))
         if link is None:
             self._next += 1
             link = self._links[id(port)] = self._next
         return link
 
-    def down(self, port: Port) -> None:
+    def down(self, port: Channel) -> None:
         """Note that a link is gone; its number is not used again."""
-        peer = port.link.peer
+        peer = port.connection.peer
         number, role = (peer.number, peer.role) if peer else (-1, "")
-        self.note("down", link=self._link(port), number=number, role=role, heard=port.link.heard_at)
+        self.note("down", link=self._link(port), number=number, role=role, heard=port.connection.received_at)
         self._links.pop(id(port), None)
 
     def note(self, what: str, **facts: Any) -> None:
--- a/wellhitch/stand_ins/register.py
+++ b/wellhitch/stand_ins/register.py
@@ -9,7 +9,7 @@
 from wellhitch.net.transport import Listener, Network, now_us
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
-from wellhitch.trunk.channel import Port
+from wellhitch.trunk.channel import Channel
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
         self.hello = frames.Hello("register", -1, boot)
         self.known: dict[str, Known] = {}
         self.revision = 0
-        self.told: dict[Port, int] = {}
+        self.told: dict[Channel, int] = {}
         self.goes_back = False  # trouble: an old revision is told after each new one
         self._last: frames.OfficeList | None = None
         self.listener: Listener | None = None
@@ -53,8 +53,8 @@
     def _ready(self, listener: Listener) -> None:
         self.listener = listener
 
-    def _port(self) -> Port:
-        return Port(self.loop, self, self.hello, ("call_server",), self.recorder.tap)
+    def _port(self) -> Channel:
+        return Channel(self.loop, self, self.hello, ("call_server",), self.recorder.tap)
 
     def now(self) -> int:
         """Time in us."""
@@ -80,7 +80,7 @@
             # What is told is as it was at the change; its age counts on.
             self.loop.call_later((due - self.now()) / 1e6, self._tell, port, known, standing, revision)
 
-    def _tell(self, port: Port, known: Known, standing: str, revision: int) -> None:
+    def _tell(self, port: Channel, known: Known, standing: str, revision: int) -> None:
         if port not in self.told:
             return
         line = self._line(
@@ -96,24 +96,24 @@
         """The register restarts with a list `older_by` revisions old: all links drop and come back."""
         self.revision = max(0, self.revision - older_by)
         for port in list(self.told):
-            port.fail("register restarted", tell=False)
+            port.fail("register restarted", notify_peer=False)
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """A call server came: it is told the whole list at once."""
         self.told[port] = self.now()
         port.send(
             frames.OfficeList("whole", self.revision, [self._line(known) for known in self.known.values()])
         )
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """It left."""
         self.told.pop(port, None)
         self.recorder.down(port)
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """Call servers say nothing here."""
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """No circuits."""
         return 0
 
@@ -137,15 +137,15 @@
         self.loop, self.free, self.numbers = loop, free, numbers
         self.period, self.late, self.recorder = period, late, recorder
         self.hello = frames.Hello("centre", -1, boot)
-        self.ports: dict[Port, None] = {}
+        self.ports: dict[Channel, None] = {}
         self.lost = False  # trouble: what it says is lost
         network.listen(address, self._port, self._ready)
 
     def _ready(self, listener: Listener) -> None:
         self.loop.call_later(self.period / 1e6, self._look)
 
-    def _port(self) -> Port:
-        return Port(self.loop, self, self.hello, ("call_server",), self.recorder.tap)
+    def _port(self) -> Channel:
+        return Channel(self.loop, self, self.hello, ("call_server",), self.recorder.tap)
 
     def _look(self) -> None:
         self.loop.call_later(self.period / 1e6, self._look)
@@ -170,21 +170,21 @@
             out.append(tandem if room > 0 and destination != here else -1)
         return out
 
-    def _tell(self, port: Port, tandems: list[int]) -> None:
+    def _tell(self, port: Channel, tandems: list[int]) -> None:
         if port in self.ports and not self.lost:
             port.send(frames.Advice(tandems))
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """A call server came."""
         self.ports[port] = None
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """It left."""
         self.ports.pop(port, None)
 
-    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """Call servers say nothing here."""
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """No circuits."""
         return 0
--- a/wellhitch/stand_ins/town.py
+++ b/wellhitch/stand_ins/town.py
@@ -17,7 +17,7 @@
 from wellhitch.stand_ins.processor import ColdStart, Work
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.stand_ins.register import Centre, Register
-from wellhitch.trunk.circuits import Group
+from wellhitch.trunk.circuits import TrunkGroup
 
 
 class Servers(Protocol):
@@ -99,12 +99,12 @@
         self.zones = {one.number: one.zone for one in day.exchanges}
         for one in day.exchanges:
             # A pair without a group has one of no circuits: both ends tell so, and nobody dials over it.
-            none = {other: Group(0) for other in self.zones if other != one.number}
+            none = {other: TrunkGroup(0) for other in self.zones if other != one.number}
             self.trunks[one.number] = Trunks(one.number, none, day.offices.lines)
         for group in day.groups:
             a, b = group.ends
-            self.trunks[a].groups[b] = Group(group.size)
-            self.trunks[b].groups[a] = Group(group.size)
+            self.trunks[a].groups[b] = TrunkGroup(group.size)
+            self.trunks[b].groups[a] = TrunkGroup(group.size)
         late = day.register
         waits = {"ready": span(late.add), "draining": span(late.notice), "gone": span(late.silent_notice)}
         self.register = Register(
--- a/wellhitch/trunk/capture.py
+++ b/wellhitch/trunk/capture.py
@@ -23,12 +23,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class CapturedFrame:
     """One frame of a capture."""
 
-    t: int
-    way: str
-    link: int
+    time_us: int
+    direction: str
+    connection: int
     role: str
     number: int
     frame: frames.AnyFrame
@@ -38,8 +38,8 @@
 class Note:
     """Something else that happened."""
 
-    t: int
-    what: str
+    time_us: int
+    kind: str
     facts: dict[str, Any]
 
 
@@ -50,13 +50,13 @@
     party: str
     name: str
     facts: dict[str, Any]
-    lines: list[Line | Note] = field(default_factory=list)
+    records: list[CapturedFrame | Note] = field(default_factory=list)
 
 
 _frame_decoder = msgspec.json.Decoder(frames.AnyFrame)
 
 
-def read(lines: Iterable[bytes], where: str) -> Capture:
+def read_capture(lines: Iterable[bytes], where: str) -> Capture:
     """A whole capture. Raises BadCapture where it is empty, cut off or not one."""
     capture: Capture | None = None
     ended = False
@@ -75,16 +75,16 @@
             elif isinstance(value, list):
                 t, way, link, role, number = msgspec.convert(value[:5], tuple[int, str, int, str, int])
                 frame = _frame_decoder.decode(msgspec.json.encode(value[5:]))
-                capture.lines.append(Line(t, way, link, role, number, frame))
+                capture.records.append(CapturedFrame(t, way, link, role, number, frame))
             elif not isinstance(value, dict):
                 raise ValueError("no frame, note or end")
             elif "end" in value:
-                if value["end"] != len(capture.lines):
-                    raise BadCapture(f"{where}:{at}: {len(capture.lines)} lines, not {value['end']}")
+                if value["end"] != len(capture.records):
+                    raise BadCapture(f"{where}:{at}: {len(capture.records)} lines, not {value['end']}")
                 ended = True
             else:
                 facts = {k: v for k, v in value.items() if k not in ("t", "note")}
-                capture.lines.append(Note(msgspec.convert(value["t"], int), str(value["note"]), facts))
+                capture.records.append(Note(msgspec.convert(value["t"], int), str(value["note"]), facts))
         except (msgspec.DecodeError, KeyError, TypeError, ValueError, RecursionError) as fault:
             raise BadCapture(f"{where}:{at}: {fault}") from None
     if capture is None:
@@ -106,5 +106,5 @@
         if not file.is_file():  # a pipe would hold the judge up
             raise BadCapture(f"{file.name}: not a file")
         with file.open("rb") as source:
-            out.append(read(source, file.name))
+            out.append(read_capture(source, file.name))
     return out
--- a/wellhitch/trunk/circuits.py
+++ b/wellhitch/trunk/circuits.py
@@ -10,36 +10,36 @@
 
 
 @dataclass(slots=True)
-class Group:
+class TrunkGroup:
     """One trunk group: its size, what this end's dials hold, and what the other side told it holds."""
 
     size: int
-    ours: dict[Hashable, int] = field(default_factory=dict)
-    ours_count: int = 0
-    theirs_count: int = 0
+    local_holders: dict[Hashable, int] = field(default_factory=dict)
+    local_count: int = 0
+    remote_count: int = 0
 
     @property
     def free(self) -> int:
         """Circuits that neither side holds, as far as is known here. Never below nought: while both ends seize
         the last circuit the counts may overlap until one is turned back."""
-        return max(0, self.size - self.ours_count - self.theirs_count)
+        return max(0, self.size - self.local_count - self.remote_count)
 
     def seize(self, holder: Hashable, width: int) -> bool:
         """Take `width` circuits for `holder`, or none where they are not there."""
-        if self.free < width or holder in self.ours:
+        if self.free < width or holder in self.local_holders:
             return False
-        self.ours[holder] = width
-        self.ours_count += width
+        self.local_holders[holder] = width
+        self.local_count += width
         return True
 
-    def free_up(self, holder: Hashable) -> bool:
+    def release(self, holder: Hashable) -> bool:
         """Give back what `holder` holds; False where it held nothing, for a release may be told twice."""
-        width = self.ours.pop(holder, 0)
-        self.ours_count -= width
+        width = self.local_holders.pop(holder, 0)
+        self.local_count -= width
         return width > 0
 
 
-def disagreement(
+def track_disagreement(
     mine: int, theirs: int, since: int | None, now: int, allowed: int
 ) -> tuple[int | None, bool]:
     """Whether the two ends' counts of one link have differed for longer than `allowed` (us): frames on the way
--- a/wellhitch/trunk/codec.py
+++ b/wellhitch/trunk/codec.py
@@ -7,17 +7,17 @@
 
 from wellhitch.trunk import frames
 
-VERSION = 1
-HEADER = 4
-MAX_FRAME = 64 * 1024  # a list of 500 offices takes some 40 KB; nothing else comes near
+PROTOCOL_VERSION = 1
+HEADER_BYTES = 4
+MAX_FRAME_BYTES = 64 * 1024  # a list of 500 offices takes some 40 KB; nothing else comes near
 
 
 class BadFrame(Exception):
     """The other end broke the protocol; the text names what was wrong, and goes to it in a Fault."""
 
-    def __init__(self, text: str, before: list[frames.AnyFrame] | None = None) -> None:
+    def __init__(self, text: str, frames_before: list[frames.AnyFrame] | None = None) -> None:
         super().__init__(text)
-        self.before = before or []
+        self.frames_before = frames_before or []
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -31,9 +31,9 @@
         body = _encoder.encode(frame)
     except (OverflowError, ValueError, TypeError) as fault:
         raise BadFrame(f"{frame.__struct_config__.tag}: {fault}") from None
-    if len(body) > MAX_FRAME:
-        raise BadFrame(f"{frame.__struct_config__.tag} of {len(body)} bytes, over {MAX_FRAME}")
-    return bytes((VERSION,)) + len(body).to_bytes(3, "big") + body
+    if len(body) > MAX_FRAME_BYTES:
+        raise BadFrame(f"{frame.__struct_config__.tag} of {len(body)} bytes, over {MAX_FRAME_BYTES}")
+    return bytes((PROTOCOL_VERSION,)) + len(body).to_bytes(3, "big") + body
 
 
 class Decoder:
@@ -41,7 +41,7 @@
     Holds at most one frame and one read."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
         self._broken = False
 
     def feed(self, data: bytes | memoryview) -> list[frames.AnyFrame]:
@@ -49,21 +49,21 @@
         its `before`."""
         if self._broken:
             return []
-        held = self._held
+        held = self._buffer
         held += data
         out: list[frames.AnyFrame] = []
         at = 0
         try:
-            while len(held) - at >= HEADER:
-                if held[at] != VERSION:
-                    raise BadFrame(f"version {held[at]}, not {VERSION}")
-                length = int.from_bytes(held[at + 1 : at + HEADER], "big")
-                if length > MAX_FRAME:
-                    raise BadFrame(f"length {length}, over {MAX_FRAME}")
-                if len(held) - at - HEADER < length:
+            while len(held) - at >= HEADER_BYTES:
+                if held[at] != PROTOCOL_VERSION:
+                    raise BadFrame(f"version {held[at]}, not {PROTOCOL_VERSION}")
+                length = int.from_bytes(held[at + 1 : at + HEADER_BYTES], "big")
+                if length > MAX_FRAME_BYTES:
+                    raise BadFrame(f"length {length}, over {MAX_FRAME_BYTES}")
+                if len(held) - at - HEADER_BYTES < length:
                     break
-                body = held[at + HEADER : at + HEADER + length]
-                at += HEADER + length
+                body = held[at + HEADER_BYTES : at + HEADER_BYTES + length]
+                at += HEADER_BYTES + length
                 try:
                     out.append(_decoder.decode(body))
                 except (msgspec.DecodeError, RecursionError) as fault:
@@ -71,12 +71,12 @@
         except BadFrame as fault:
             self._broken = True
             held.clear()
-            fault.before = out
+            fault.frames_before = out
             raise
         del held[:at]
         return out
 
     @property
-    def partial(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes held of a frame that is not whole yet."""
-        return len(self._held)
+        return len(self._buffer)
--- a/wellhitch/trunk/connection.py
+++ b/wellhitch/trunk/connection.py
@@ -7,14 +7,16 @@
 
 from wellhitch.trunk import codec, frames
 
-HEARTBEAT = 1_000_000  # us; one small frame a second and link is nothing, and three missed ones are no chance
-SILENCE = 3_500_000  # us without a byte: three heartbeats and half another for a busy loop
+HEARTBEAT_INTERVAL_US = (
+    1_000_000  # us; one small frame a second and link is nothing, and three missed ones are no chance
+)
+SILENCE_TIMEOUT_US = 3_500_000  # us without a byte: three heartbeats and half another for a busy loop
 
 _ALWAYS = (frames.Hello, frames.Heartbeat, frames.Mark, frames.Marked, frames.Fault)
 _DIALS = (frames.Setup, frames.Cancel, frames.Release)
 _REPLIES = (frames.Answer, frames.Reject, frames.Cut, frames.Released)
 
-MAY_SAY: dict[tuple[str, str], tuple[type, ...]] = {
+ALLOWED_FRAMES: dict[tuple[str, str], tuple[type, ...]] = {
     ("caller", "call_server"): (frames.Call, frames.HangUp),
     ("call_server", "caller"): (frames.Final, frames.Ended),
     ("call_server", "office"): (
@@ -42,17 +44,17 @@
 """Who may send what to whom, beyond Hello, Heartbeat, Mark, Marked and Fault."""
 
 
-class LinkFault(Exception):
+class ProtocolError(Exception):
     """The link is to be closed. `tell` is whether the other end is sent the text as its one error; `before`
     holds the frames that were good."""
 
-    def __init__(self, text: str, tell: bool, before: list[frames.AnyFrame]) -> None:
+    def __init__(self, text: str, notify_peer: bool, frames_before: list[frames.AnyFrame]) -> None:
         super().__init__(text)
-        self.tell = tell
-        self.before = before
+        self.notify_peer = notify_peer
+        self.frames_before = frames_before
 
 
-class State(Enum):
+class ConnectionState(Enum):
     """Where in its life a link is."""
 
     WAITING = auto()
@@ -60,63 +62,66 @@
     CLOSED = auto()
 
 
-class Link:
+class Connection:
     """One end's view of a link. `takes`: the roles that this end takes at the other."""
 
-    def __init__(self, role: str, takes: tuple[str, ...], now: int) -> None:
-        self.role, self.takes = role, takes
-        self.state = State.WAITING
+    def __init__(self, role: str, accepted_roles: tuple[str, ...], now: int) -> None:
+        self.role, self.accepted_roles = role, accepted_roles
+        self.state = ConnectionState.WAITING
         self.peer: frames.Hello | None = None
-        self.heard_at = self.began = now
+        self.received_at = self.opened_at = now
         self._decoder = codec.Decoder()
-        self._may: tuple[type, ...] = _ALWAYS
+        self._allowed: tuple[type, ...] = _ALWAYS
 
     def receive(self, data: bytes | memoryview, now: int) -> list[frames.AnyFrame]:
         """Frames to act on. Raises LinkFault."""
-        if self.state is State.CLOSED:
+        if self.state is ConnectionState.CLOSED:
             return []
-        self.heard_at = now
+        self.received_at = now
         fault: codec.BadFrame | None = None
         try:
             got = self._decoder.feed(data)
         except codec.BadFrame as bad:
-            got, fault = bad.before, bad
+            got, fault = bad.frames_before, bad
         for at, frame in enumerate(got):
-            wrong, tell = self._wrong(frame)
+            wrong, tell = self._violation(frame)
             if wrong:
-                self.state = State.CLOSED
-                raise LinkFault(wrong, tell, got[:at])
+                self.state = ConnectionState.CLOSED
+                raise ProtocolError(wrong, tell, got[:at])
             if isinstance(frame, frames.Hello):
-                self.peer, self.state = frame, State.UP
-                self._may = _ALWAYS + MAY_SAY.get((frame.role, self.role), ())
+                self.peer, self.state = frame, ConnectionState.UP
+                self._allowed = _ALWAYS + ALLOWED_FRAMES.get((frame.role, self.role), ())
         if fault:
-            self.state = State.CLOSED
-            raise LinkFault(str(fault), True, got)
+            self.state = ConnectionState.CLOSED
+            raise ProtocolError(str(fault), True, got)
         return got
 
-    def _wrong(self, frame: frames.AnyFrame) -> tuple[str, bool]:
+    def _violation(self, frame: frames.AnyFrame) -> tuple[str, bool]:
         """What is wrong with a frame in this state, and whether the other end is told."""
         name = frame.__struct_config__.tag
         if isinstance(frame, frames.Fault):
             return f"told by the other end: {frame.text[:200]}", False
-        if self.state is State.WAITING:
+        if self.state is ConnectionState.WAITING:
             if not isinstance(frame, frames.Hello):
                 return f"{name} before Hello", True
-            if frame.role not in self.takes:
-                return f"role {frame.role[:40]!r} is not taken here, but {' or '.join(self.takes)}", True
+            if frame.role not in self.accepted_roles:
+                return (
+                    f"role {frame.role[:40]!r} is not taken here, but {' or '.join(self.accepted_roles)}",
+                    True,
+                )
         elif isinstance(frame, frames.Hello):
             return "a second Hello", True
-        elif not isinstance(frame, self._may):
+        elif not isinstance(frame, self._allowed):
             return f"{name} is not for a {self.peer.role if self.peer else '?'} to say here", True
         return "", False
 
-    def silent(self, now: int) -> bool:
+    def timed_out(self, now: int) -> bool:
         """Whether the other end has been silent for too long: half-open, paused or dead. Until it has said who it is,
         nothing but its Hello counts: one that drips a byte now and then would hold its link for ever."""
-        if self.state is State.WAITING:
-            return now - self.began > SILENCE
-        return self.state is not State.CLOSED and now - self.heard_at > SILENCE
+        if self.state is ConnectionState.WAITING:
+            return now - self.opened_at > SILENCE_TIMEOUT_US
+        return self.state is not ConnectionState.CLOSED and now - self.received_at > SILENCE_TIMEOUT_US
 
-    def closed(self) -> None:
+    def mark_closed(self) -> None:
         """The bytes have ended."""
-        self.state = State.CLOSED
+        self.state = ConnectionState.CLOSED
