--- a/wellhitch/trunk/channel.py
+++ b/wellhitch/trunk/channel.py
@@ -12,6 +12,7 @@
 from wellhitch.trunk.backoff import ReconnectBackoff
 from wellhitch.trunk.connection import (
     HEARTBEAT_INTERVAL_US,
+    SILENCE_TIMEOUT_US,
     Connection,
     ConnectionState,
     ProtocolError,
