--- a/tests/world.py
+++ b/tests/world.py
@@ -13,7 +13,7 @@
 from wellhitch.settings.day import Day, check
 from wellhitch.stand_ins.town import Town
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import Port
+from wellhitch.trunk.channel import Port
 
 USE_CASES = [
     {
@@ -109,13 +109,13 @@
 
     def __init__(self) -> None:
         self.up: list[Port] = []
-        self.got: list[frames.Any] = []
+        self.got: list[frames.AnyFrame] = []
         self.down: list[str] = []
 
     def link_up(self, port: Port) -> None:
         self.up.append(port)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def link_frame(self, port: Port, frame: frames.AnyFrame) -> None:
         if not isinstance(frame, frames.Heartbeat):
             self.got.append(frame)
 
