--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -11,9 +11,9 @@
 from wellhitch.hooks.check import check
 from wellhitch.hooks.emit import SEEN, compiled
 from wellhitch.hooks.grammar import Parser
-from wellhitch.hooks.points import FAVOUR, BadAnswer, read_answer
-from wellhitch.hooks.tree import BadHooks
-from wellhitch.hooks.values import Budget, HookFault, Items, Record, Span, Value
+from wellhitch.hooks.points import FAVOUR, InvalidHookResult, parse_result
+from wellhitch.hooks.tree import InvalidHooks
+from wellhitch.hooks.values import Budget, HookError, Items, Record, Span, Value
 from wellhitch.hooks.walker import Walker
 
 PARSER = Parser()
@@ -140,10 +140,10 @@
     file = PARSER.parse(PROGRAM, "t.hook")
     program = compiled(file, Budget())
     program.test(0, Budget())
-    with pytest.raises(HookFault, match="what is expected") as fault:
+    with pytest.raises(HookError, match="what is expected") as fault:
         program.test(1, Budget())
     expected = next(n for n, line in enumerate(PROGRAM.split("\n"), 1) if "== 4 }" in line)
-    assert fault.value.at[0] == expected
+    assert fault.value.position[0] == expected
 
 
 @pytest.mark.parametrize(
@@ -189,8 +189,8 @@
 def test_what_is_wrong_is_told_at_load_with_its_place(text: str, said: str) -> None:
     try:
         faults = [str(fault) for fault in check(PARSER.parse(text, "t.hook"))]
-    except BadHooks as bad:
-        faults = [str(fault) for fault in bad.faults]
+    except InvalidHooks as bad:
+        faults = [str(fault) for fault in bad.diagnostics]
     assert any(said in fault for fault in faults) or not said, faults
 
 
@@ -221,9 +221,9 @@
     budget = Budget()
     program = compiled(file, budget)
     began = time.process_time()
-    with pytest.raises(HookFault) as fault:
+    with pytest.raises(HookError) as fault:
         program.run("arrive", INPUTS, budget)
-    assert fault.value.kind in ("steps", "memory", "depth", "wrong") and fault.value.at != (0, 0)
+    assert fault.value.kind in ("steps", "memory", "depth", "wrong") and fault.value.position != (0, 0)
     assert time.process_time() - began < 5  # far over the aim of 2 ms; `measure hooks` measures
 
 
@@ -347,8 +347,8 @@
 def outcome(run_it: Any, budget: Budget) -> tuple[Any, ...]:
     try:
         return ("value", run_it(), budget.steps, budget.memory)
-    except HookFault as fault:
-        return ("fault", fault.kind, fault.text, fault.at, budget.steps, budget.memory)
+    except HookError as fault:
+        return ("fault", fault.kind, fault.text, fault.position, budget.steps, budget.memory)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -359,7 +359,7 @@
     one, two = Budget(steps=3000, memory=3000), Budget(steps=3000, memory=3000)
     try:
         program = compiled(file, one)
-    except HookFault:
+    except HookError:
         return
     walker = Walker(file, two)
     found = outcome(lambda: program.run("arrive", dict(INPUTS), one), one)
@@ -374,7 +374,7 @@
     file = PARSER.parse(text, "g")
     try:
         program = compiled(file, Budget())
-    except HookFault:
+    except HookError:
         return
     functions = {f"f{at}" for at in range(len(file.functions))} | {f"h_{point}" for point in file.hooks}
     for node in ast.walk(ast.parse(program.source)):
@@ -400,8 +400,8 @@
     text = PROGRAM[:at] + put + PROGRAM[at + cut :]
     try:
         file = PARSER.parse(text, "m")
-    except BadHooks as bad:
-        assert bad.faults
+    except InvalidHooks as bad:
+        assert bad.diagnostics
         return
     if not check(file):
         outcome(lambda: compiled(file, Budget()).run("arrive", INPUTS, Budget()), Budget())
@@ -411,11 +411,11 @@
 
 
 def said(**fields: Value) -> Any:
-    return read_answer("arrive", Record(dict(fields), 1), frozenset({"card-lock"}))
+    return parse_result("arrive", Record(dict(fields), 1), frozenset({"card-lock"}))
 
 
 def test_what_is_said_is_brought_within_its_bounds() -> None:
-    assert read_answer("arrive", None, frozenset()).favour == 1.0
+    assert parse_result("arrive", None, frozenset()).favour == 1.0
     assert said(favour=1000).favour == FAVOUR and said(favour=-5).favour == 1 / FAVOUR
     assert said(use_case="card-lock", tags=Items(("a",), 1)).tags == ("a",)
 
@@ -432,5 +432,5 @@
     ],
 )
 def test_what_may_not_be_said_is_told(fields: dict[str, Value], why: str) -> None:
-    with pytest.raises(BadAnswer, match=why):
+    with pytest.raises(InvalidHookResult, match=why):
         said(**fields)
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -22,7 +22,7 @@
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.host import BUCKETS, MOST_KEPT, Hooks, Kept, load
 from wellhitch.hooks.keeping import dump, read
-from wellhitch.hooks.tree import BadHooks
+from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.hooks.values import Items, Record, Span
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
@@ -159,7 +159,7 @@
 
 
 def test_a_version_that_fails_its_own_tests_is_not_taken() -> None:
-    with pytest.raises(BadHooks, match="a:1:36: test 'no': what is expected is not so"):
+    with pytest.raises(InvalidHooks, match="a:1:36: test 'no': what is expected is not so"):
         load({"a": 'on arrive { return } test "no" {   expect arrive({}, {}, {}, {}) != none }'}, PARSER)
 
 
--- a/wellhitch/cli/check.py
+++ b/wellhitch/cli/check.py
@@ -7,7 +7,7 @@
 from wellhitch.cli.errors import told_plainly
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.host import load
-from wellhitch.hooks.tree import BadHooks
+from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.settings import checked, day, sheet
 from wellhitch.settings.template import evaluate
 
@@ -43,8 +43,8 @@
     if texts:
         try:
             load(texts, Parser())
-        except BadHooks as bad:
-            raise checked.Faults(where, [f"hooks: {fault}" for fault in bad.faults]) from None
+        except InvalidHooks as bad:
+            raise checked.Faults(where, [f"hooks: {fault}" for fault in bad.diagnostics]) from None
 
 
 def read_day(file: Path) -> day.Day:
--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -14,9 +14,9 @@
 from wellhitch.hooks.grammar import MAX_SOURCE, Parser
 from wellhitch.hooks.host import LOAD_STEPS, MEMORY, STEPS, Version, as_value, load, run_tests
 from wellhitch.hooks.layout import lay_out
-from wellhitch.hooks.points import POINTS, BadAnswer, read_answer
-from wellhitch.hooks.tree import BadHooks
-from wellhitch.hooks.values import Budget, HookFault, text_of
+from wellhitch.hooks.points import POINTS, InvalidHookResult, parse_result
+from wellhitch.hooks.tree import InvalidHooks
+from wellhitch.hooks.values import Budget, HookError, text_of
 from wellhitch.judge.page import service_page, verdict_page
 from wellhitch.lab.hook_runs import differences, facts_of, page, run, shown
 from wellhitch.lab.play import play_virtual
@@ -59,7 +59,7 @@
         texts = texts_of(folder)
     try:
         return load(texts, Parser())
-    except BadHooks as bad:
+    except InvalidHooks as bad:
         click.echo(str(bad), err=True)
         sys.exit(1)
 
@@ -78,8 +78,8 @@
     for name, text in texts.items():
         try:
             faults = check_file(parser.parse(text, name))
-        except BadHooks as bad:
-            faults = bad.faults
+        except InvalidHooks as bad:
+            faults = bad.diagnostics
         wrong += len(faults)
         for fault in faults:
             click.echo(str(fault), err=True)
@@ -106,10 +106,10 @@
             if not wrong:
                 wrong = run_tests(compiled(file, Budget(LOAD_STEPS, LOAD_STEPS)))
                 passed += len(file.tests) - len(wrong)
-        except BadHooks as bad:
-            wrong = bad.faults
-        except HookFault as fault:
-            click.echo(f"{name}:{fault.at[0]}:{fault.at[1]}: {fault.text}", err=True)
+        except InvalidHooks as bad:
+            wrong = bad.diagnostics
+        except HookError as fault:
+            click.echo(f"{name}:{fault.position[0]}:{fault.position[1]}: {fault.text}", err=True)
             failed += 1
             continue
         failed += len(wrong)
@@ -175,13 +175,13 @@
         budget = Budget(STEPS, MEMORY)
         try:
             value = program.run("arrive", inputs, budget)
-            said = shown(read_answer("arrive", value, use_cases))
+            said = shown(parse_result("arrive", value, use_cases))
             click.echo(
                 f"{program.file.name}: {said}  (returned {text_of(value, Budget())}; {STEPS - budget.steps} steps)"
             )
-        except HookFault as fault:
-            click.echo(f"{program.file.name}:{fault.at[0]}:{fault.at[1]}: fails: {fault.text}")
-        except BadAnswer as bad:
+        except HookError as fault:
+            click.echo(f"{program.file.name}:{fault.position[0]}:{fault.position[1]}: fails: {fault.text}")
+        except InvalidHookResult as bad:
             click.echo(f"{program.file.name}: its answer is not taken: {bad}")
 
 
--- a/wellhitch/hooks/check.py
+++ b/wellhitch/hooks/check.py
@@ -36,39 +36,39 @@
 @dataclass
 class _Checker:
     file: tree.File
-    faults: list[tree.Fault] = field(default_factory=list)
+    faults: list[tree.Diagnostic] = field(default_factory=list)
     scope: _Scope = field(default_factory=_Scope)
     point: Point | None = None
     point_name: str = ""
     loops: int = 0
     in_test: bool = False
 
-    def say(self, at: tree.At, text: str, hint: str = "") -> None:
-        self.faults.append(tree.Fault(self.file.name, at, text, hint))
+    def say(self, at: tree.Position, text: str, hint: str = "") -> None:
+        self.faults.append(tree.Diagnostic(self.file.name, at, text, hint))
 
     # -- a file --
 
-    def run(self) -> list[tree.Fault]:
+    def run(self) -> list[tree.Diagnostic]:
         known: dict[str, Type] = {}
         for constant in self.file.constants.values():
             self.scope = _Scope([dict(known)])
             known[constant.name] = self.expr(constant.value)
         for function in self.file.functions.values():
             if function.name in BUILTINS or function.name in POINTS:
-                self.say(function.at, f"{function.name} is a name of the language's own")
+                self.say(function.position, f"{function.name} is a name of the language's own")
             if len(set(function.names)) != len(function.names):
-                self.say(function.at, f"function {function.name} takes a name twice")
+                self.say(function.position, f"function {function.name} takes a name twice")
             self._body(known, dict.fromkeys(function.names, ANY), function.block, None, "")
         for hook in self.file.hooks.values():
             point = POINTS.get(hook.point)
             if point is None:
-                self.say(hook.at, f"no hook point {hook.point}", f"there are {', '.join(POINTS)}")
+                self.say(hook.position, f"no hook point {hook.point}", f"there are {', '.join(POINTS)}")
                 continue
             self._body(known, dict(point.inputs), hook.block, point, hook.point)
         self.in_test = True
         for test in self.file.tests:
             self._body(known, {}, test.block, None, "")
-        return sorted(self.faults, key=lambda fault: fault.at)
+        return sorted(self.faults, key=lambda fault: fault.position)
 
     def _body(
         self,
@@ -91,7 +91,7 @@
         told = False
         for statement in block.statements:
             if ended and not told:
-                self.say(statement.at, "this is never reached")
+                self.say(statement.position, "this is never reached")
                 told = True
             ended = self.statement(statement) or ended
         self.scope.blocks.pop()
@@ -148,12 +148,14 @@
                     self.say(at, "this does nothing", "a call, or name = value")
         return False
 
-    def _loop(self, at: tree.At) -> None:
+    def _loop(self, at: tree.Position) -> None:
         self.loops += 1
         if self.loops > MAX_LOOPS:
             self.say(at, f"loops in each other over {MAX_LOOPS} deep", "use functions")
 
-    def _assign(self, at: tree.At, name: str, path: tuple[str | tree.Expr, ...], value: tree.Expr) -> None:
+    def _assign(
+        self, at: tree.Position, name: str, path: tuple[str | tree.Expr, ...], value: tree.Expr
+    ) -> None:
         found = self.expr(value)
         for key in path:
             if not isinstance(key, str):
@@ -184,9 +186,9 @@
     def _condition(self, value: tree.Expr) -> None:
         found = self.expr(value)
         if found not in (ANY, "truth"):
-            self.say(value.at, f"a {_name(found)} is no condition", "compare it with something")
+            self.say(value.position, f"a {_name(found)} is no condition", "compare it with something")
 
-    def _return(self, at: tree.At, value: tree.Expr | None) -> None:
+    def _return(self, at: tree.Position, value: tree.Expr | None) -> None:
         found = self.expr(value) if value else "none"
         if self.point is None:
             return
@@ -197,9 +199,9 @@
                 wanted = self.point.says.get(name)
                 if wanted is None:
                     may = ", ".join(self.point.says) or "nothing"
-                    self.say(one.at, f"on {self.point_name} may not say {name}", f"it may say {may}")
+                    self.say(one.position, f"on {self.point_name} may not say {name}", f"it may say {may}")
                 elif isinstance(one, tree.Literal) and one.value is not None and kind(one.value) != wanted:
-                    self.say(one.at, f"{name} is a {wanted}, not a {kind(one.value)}")
+                    self.say(one.position, f"{name} is a {wanted}, not a {kind(one.value)}")
 
     # -- expressions --
 
@@ -247,11 +249,11 @@
         left, right = self.expr(e.left), self.expr(e.right)
         if e.op in ("==", "!="):
             if ANY not in (left, right) and _name(left) != _name(right) and "none" not in (left, right):
-                self.say(e.at, f"a {_name(left)} is never equal to a {_name(right)}")
+                self.say(e.position, f"a {_name(left)} is never equal to a {_name(right)}")
             return "truth"
         if e.op in ("in", "<", "<=", ">", ">="):
             if e.op != "in" and ANY not in (left, right) and _name(left) != _name(right):
-                self.say(e.at, f"{_name(left)} {e.op} {_name(right)} means nothing")
+                self.say(e.position, f"{_name(left)} {e.op} {_name(right)} means nothing")
             return "truth"
         if ANY in (left, right):
             return ANY
@@ -262,10 +264,12 @@
             return "number"
         if names in (("duration", "number"), ("number", "duration")) and e.op in "*/" and names[0] != e.op:
             return "duration"
-        self.say(e.at, f"{names[0]} {e.op} {names[1]} means nothing", "text(x) makes a text of anything")
+        self.say(
+            e.position, f"{names[0]} {e.op} {names[1]} means nothing", "text(x) makes a text of anything"
+        )
         return ANY
 
-    def _field(self, at: tree.At, found: Type, name: str) -> Type:
+    def _field(self, at: tree.Position, found: Type, name: str) -> Type:
         if isinstance(found, dict):
             if name not in found:
                 self.say(at, f"no field {name}", _near(name, list(found)) or f"there are {', '.join(found)}")
@@ -287,10 +291,10 @@
             wanted = BUILTINS[e.name][0]
         else:
             known = [*self.file.functions, *BUILTINS]
-            self.say(e.at, f"no function {e.name}", _near(e.name, known))
+            self.say(e.position, f"no function {e.name}", _near(e.name, known))
             return ANY
         if wanted != len(e.arguments):
-            self.say(e.at, f"{e.name} takes {wanted} values, not {len(e.arguments)}")
+            self.say(e.position, f"{e.name} takes {wanted} values, not {len(e.arguments)}")
         return _GIVES.get(e.name, ANY) if e.name not in self.file.functions else ANY
 
 
@@ -300,7 +304,7 @@
 }  # fmt: skip
 
 
-def check(file: tree.File) -> list[tree.Fault]:
+def check(file: tree.File) -> list[tree.Diagnostic]:
     """All faults of a file, in its order."""
     return _Checker(file).run()
 
--- a/wellhitch/hooks/emit.py
+++ b/wellhitch/hooks/emit.py
@@ -19,7 +19,7 @@
 from wellhitch.hooks import values as v
 from wellhitch.hooks.cost import children, own_size, size, weight
 from wellhitch.hooks.points import POINTS
-from wellhitch.hooks.values import Budget, HookFault, Items, Record, Value
+from wellhitch.hooks.values import Budget, HookError, Items, Record, Value
 from wellhitch.hooks.walker import Walker
 
 SHORT = 64  # characters: comparing with a shorter text costs no step (`values.same`)
@@ -44,7 +44,7 @@
     "make_list": v.make_list,
     "make_record": v.make_record,
     "text_of": v.text_of,
-    "HookFault": HookFault,
+    "HookError": HookError,
     **{f"b_{name}": builtin for name, (_, builtin) in v.BUILTINS.items()},
 }
 """All that the source can name besides its own."""
@@ -77,31 +77,31 @@
 
     file: tree.File
     source: str = ""
-    places: dict[int, tree.At] = field(default_factory=dict)
+    places: dict[int, tree.Position] = field(default_factory=dict)
     hooks: dict[str, Callable[..., Value]] = field(default_factory=dict)
     tests: list[Callable[..., Value]] = field(default_factory=list)
 
     def run(self, point: str, inputs: dict[str, Value], budget: Budget) -> Value:
-        """Run the hook of a point. Raises HookFault, with the place in the file."""
+        """Run the hook of a point. Raises HookError, with the place in the file."""
         try:
             return self.hooks[point](*[inputs[name] for name in POINTS[point].inputs], budget)
-        except HookFault as fault:
+        except HookError as fault:
             self._placed(fault)
             raise
 
     def test(self, at: int, budget: Budget) -> Value:
-        """Run a test. Raises HookFault where what it expects is not so."""
+        """Run a test. Raises HookError where what it expects is not so."""
         try:
             return self.tests[at](budget)
-        except HookFault as fault:
+        except HookError as fault:
             self._placed(fault)
             raise
 
-    def _placed(self, fault: HookFault) -> None:
+    def _placed(self, fault: HookError) -> None:
         step: TracebackType | None = fault.__traceback__
         while step is not None:
             if step.tb_frame.f_code.co_filename == MARK and step.tb_lineno in self.places:
-                fault.at = self.places[step.tb_lineno]
+                fault.position = self.places[step.tb_lineno]
             step = step.tb_next
 
 
@@ -114,7 +114,7 @@
     def __init__(self, file: tree.File, constants: dict[str, Value]) -> None:
         self.file, self.given = file, constants
         self.lines: list[str] = []
-        self.places: dict[int, tree.At] = {}
+        self.places: dict[int, tree.Position] = {}
         self.seen: dict[str, Any] = dict(SEEN)
         self.functions = {name: f"f{at}" for at, name in enumerate(file.functions)}
         self.hooks = {point: f"h_{point}" for point in file.hooks}
@@ -169,7 +169,7 @@
         self.line(f"def {name}({', '.join([*scope.values(), 'b'])}):")
         self.depth = 1
         self.line(f"if b.depth < {self.heavy}:")
-        self.line(f"    raise HookFault('depth', {'calls in each other too deep, at ' + title!r})")
+        self.line(f"    raise HookError('depth', {'calls in each other too deep, at ' + title!r})")
         if not self.leaves:
             self.line(f"b.depth -= {self.heavy}")
         self.block(block)
@@ -184,10 +184,10 @@
     def block(self, block: tree.Block) -> None:
         self.scopes.append({})
         for s in block.statements:
-            self.at = s.at
+            self.at = s.position
             self.pay(1 + own_size(s))
             self.statement(s)
-            self.at = s.at
+            self.at = s.position
         if not block.statements:
             self.line("pass")
         self.scopes.pop()
@@ -238,7 +238,7 @@
                 self.leave(self.expr(value).atom if value else "None")
             case tree.Expect(_, value):
                 self.line(
-                    f"if not {self.condition(value)}: raise HookFault('wrong', 'what is expected is not so')"
+                    f"if not {self.condition(value)}: raise HookError('wrong', 'what is expected is not so')"
                 )
             case tree.Do(_, value):
                 self.expr(value)
@@ -455,7 +455,7 @@
 
 def compiled(file: tree.File, budget: Budget) -> Program:
     """The file ready to run; its constants are reckoned within `budget`. The file was checked before. Raises
-    HookFault."""
+    HookError."""
     writer = _Writer(file, Walker(file, budget).constants)
     source = "\n".join(writer.lines) + "\n"
     seen = writer.seen
--- a/wellhitch/hooks/grammar.py
+++ b/wellhitch/hooks/grammar.py
@@ -105,31 +105,33 @@
         self._lark = Lark(GRAMMAR, parser="lalr", propagate_positions=True, maybe_placeholders=True)
 
     def parse(self, text: str, name: str) -> tree.File:
-        """The file as a tree. Raises tree.BadHooks with the first thing that cannot be read."""
+        """The file as a tree. Raises tree.InvalidHooks with the first thing that cannot be read."""
         if len(text) > MAX_SOURCE:
-            raise tree.BadHooks([tree.Fault(name, (1, 1), f"{len(text)} characters, over {MAX_SOURCE}")])
+            raise tree.InvalidHooks(
+                [tree.Diagnostic(name, (1, 1), f"{len(text)} characters, over {MAX_SOURCE}")]
+            )
         try:
             raw = self._lark.parse(text)
         except UnexpectedInput as fault:
-            raise tree.BadHooks([_unexpected(fault, name)]) from None
+            raise tree.InvalidHooks([_unexpected(fault, name)]) from None
         _depth(raw, name)
         try:
             return _Builder(name).file(raw)
-        except tree.BadHooks as bad:
-            raise tree.BadHooks([replace(fault, file=name) for fault in bad.faults]) from None
+        except tree.InvalidHooks as bad:
+            raise tree.InvalidHooks([replace(fault, file=name) for fault in bad.diagnostics]) from None
 
 
-def _unexpected(fault: UnexpectedInput, name: str) -> tree.Fault:
+def _unexpected(fault: UnexpectedInput, name: str) -> tree.Diagnostic:
     at = (max(1, fault.line or 1), max(1, fault.column or 1))
     if isinstance(fault, UnexpectedCharacters):
-        return tree.Fault(name, at, f"{fault.char!r} means nothing here", _char_hint(fault.char))
+        return tree.Diagnostic(name, at, f"{fault.char!r} means nothing here", _char_hint(fault.char))
     if isinstance(fault, UnexpectedToken):
         if fault.token.type == "$END":
-            return tree.Fault(name, at, "the file ends too soon", "a } or ) is missing")
+            return tree.Diagnostic(name, at, "the file ends too soon", "a } or ) is missing")
         word = str(fault.token)
         hint = "= sets, == compares" if word == "=" else "a name, or a { before it, may be missing"
-        return tree.Fault(name, at, f"{word!r} cannot stand here", hint)
-    return tree.Fault(name, at, "cannot be read")
+        return tree.Diagnostic(name, at, f"{word!r} cannot stand here", hint)
+    return tree.Diagnostic(name, at, "cannot be read")
 
 
 def _char_hint(char: str) -> str:
@@ -149,7 +151,9 @@
         node, depth = held.pop()
         if depth > MAX_NEST:
             at = (getattr(node.meta, "line", 1), getattr(node.meta, "column", 1))
-            raise tree.BadHooks([tree.Fault(name, at, f"nested over {MAX_NEST} deep", "use functions")])
+            raise tree.InvalidHooks(
+                [tree.Diagnostic(name, at, f"nested over {MAX_NEST} deep", "use functions")]
+            )
         held += [(child, depth + 1) for child in node.children if isinstance(child, Tree)]
 
 
@@ -162,8 +166,12 @@
             held += [(one, depth) for one in node]
         elif isinstance(node, tree.Node):
             if depth > MAX_NEST:
-                raise tree.BadHooks([tree.Fault(name, node.at, f"nested over {MAX_NEST} deep", "use let")])
-            held += [(getattr(node, one), depth + 1) for one in node.__dataclass_fields__ if one != "at"]
+                raise tree.InvalidHooks(
+                    [tree.Diagnostic(name, node.position, f"nested over {MAX_NEST} deep", "use let")]
+                )
+            held += [
+                (getattr(node, one), depth + 1) for one in node.__dataclass_fields__ if one != "position"
+            ]
 
 
 class _Builder:
@@ -171,7 +179,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.faults: list[tree.Fault] = []
+        self.faults: list[tree.Diagnostic] = []
 
     def file(self, raw: Tree[Token]) -> tree.File:
         """All items; a name that stands twice is a fault."""
@@ -195,14 +203,16 @@
         for node in [*out.hooks.values(), *out.functions.values(), *out.constants.values(), *out.tests]:
             _nested(node, self.name)
         if self.faults:
-            raise tree.BadHooks(self.faults)
+            raise tree.InvalidHooks(self.faults)
         return out
 
     def _once(self, known: dict[str, Any], name: str, made: tree.Node, what: str) -> None:
         if name in known:
-            first = known[name].at
+            first = known[name].position
             self.faults.append(
-                tree.Fault(self.name, made.at, f"{what} {name} stands twice", f"first in line {first[0]}")
+                tree.Diagnostic(
+                    self.name, made.position, f"{what} {name} stands twice", f"first in line {first[0]}"
+                )
             )
         known[name] = made
 
@@ -234,13 +244,13 @@
                 return tree.Expect(at, self.expr(parts[0]))
         return tree.Do(at, self.expr(parts[0]))
 
-    def _assign(self, at: tree.At, target: tree.Expr, value: tree.Expr) -> tree.Assign:
+    def _assign(self, at: tree.Position, target: tree.Expr, value: tree.Expr) -> tree.Assign:
         path: list[str | tree.Expr] = []
         while isinstance(target, (tree.Field, tree.Index)):
             path.append(target.name if isinstance(target, tree.Field) else target.key)
             target = target.value
         if not isinstance(target, tree.Name):
-            self.faults.append(tree.Fault(self.name, at, "only a name, a field or a place can be set"))
+            self.faults.append(tree.Diagnostic(self.name, at, "only a name, a field or a place can be set"))
             return tree.Assign(at, "", (), value)
         return tree.Assign(at, target.name, tuple(reversed(path)), value)
 
@@ -274,7 +284,7 @@
                 low, high = (_literal(one) for one in raw.children)
                 if kind(low) != kind(high) or kind(low) not in ("number", "duration", "text"):
                     self.faults.append(
-                        tree.Fault(self.name, at, "a range needs two of a kind", "1..5 or 8h..18h")
+                        tree.Diagnostic(self.name, at, "a range needs two of a kind", "1..5 or 8h..18h")
                     )
                 return tree.RangePattern(at, low, high)
         return tree.SamePattern(at, _literal(raw.children[0]))
@@ -314,7 +324,7 @@
         return tree.RecordOf(at, tuple((str(one.children[0]), self.expr(one.children[1])) for one in pairs))
 
 
-def _at(raw: Any) -> tree.At:
+def _at(raw: Any) -> tree.Position:
     meta = raw.meta
     return (getattr(meta, "line", 1), getattr(meta, "column", 1))
 
@@ -325,10 +335,10 @@
 def _digits(token: Any) -> str:
     text = str(token)
     if len(text) > MAX_DIGITS:
-        fault = tree.Fault(
+        fault = tree.Diagnostic(
             "", (token.line, token.column), f"a number of {len(text)} characters", "15 digits at most"
         )
-        raise tree.BadHooks([fault])
+        raise tree.InvalidHooks([fault])
     return text
 
 
--- a/wellhitch/hooks/host.py
+++ b/wellhitch/hooks/host.py
@@ -13,8 +13,8 @@
 from wellhitch.hooks.containment import Standing, Steps
 from wellhitch.hooks.emit import Program, compiled
 from wellhitch.hooks.grammar import Parser
-from wellhitch.hooks.points import FAVOUR, MAX_TAGS, POINTS, BadAnswer, Said, Type, read_answer
-from wellhitch.hooks.values import Budget, HookFault, Items, Record, Span, Value
+from wellhitch.hooks.points import FAVOUR, MAX_TAGS, POINTS, HookResult, InvalidHookResult, Type, parse_result
+from wellhitch.hooks.values import Budget, HookError, Items, Record, Span, Value
 
 STEPS = 5_000  # of one run; a ten-line hook takes some 60, and the worst program ends in about 2 ms
 MEMORY = 5_000  # cells of one run
@@ -73,9 +73,9 @@
 
 
 def load(texts: Mapping[str, str], parser: Parser) -> Version:
-    """Read, check and test all files; their names' order is their standing. Raises tree.BadHooks with all faults:
+    """Read, check and test all files; their names' order is their standing. Raises tree.InvalidHooks with all faults:
     a version that fails its own tests is not taken."""
-    faults: list[tree.Fault] = []
+    faults: list[tree.Diagnostic] = []
     programs: list[Program] = []
     for name in sorted(texts):
         try:
@@ -86,24 +86,26 @@
                 program = compiled(file, Budget(LOAD_STEPS, LOAD_STEPS))
                 faults += run_tests(program)
                 programs.append(program)
-        except tree.BadHooks as bad:
-            faults += bad.faults
-        except HookFault as fault:
-            faults.append(tree.Fault(name, fault.at, f"a constant: {fault.text}"))
+        except tree.InvalidHooks as bad:
+            faults += bad.diagnostics
+        except HookError as fault:
+            faults.append(tree.Diagnostic(name, fault.position, f"a constant: {fault.text}"))
     if faults:
-        raise tree.BadHooks(faults)
+        raise tree.InvalidHooks(faults)
     whole = "".join(f"{name}\0{texts[name]}\0" for name in sorted(texts))
     return Version(blake3(whole.encode()).hexdigest()[:12], tuple(programs))
 
 
-def run_tests(program: Program) -> list[tree.Fault]:
+def run_tests(program: Program) -> list[tree.Diagnostic]:
     """The faults of a file's own tests."""
     out = []
     for at, test in enumerate(program.file.tests):
         try:
             program.test(at, Budget(LOAD_STEPS, LOAD_STEPS))
-        except HookFault as fault:
-            out.append(tree.Fault(program.file.name, fault.at, f"test {test.what!r}: {fault.text}"))
+        except HookError as fault:
+            out.append(
+                tree.Diagnostic(program.file.name, fault.position, f"test {test.what!r}: {fault.text}")
+            )
     return out
 
 
@@ -175,7 +177,7 @@
 
     def consult(
         self, point: str, facts: Mapping[str, Any], key: str, now: int, called: str | None
-    ) -> tuple[Said, str]:
+    ) -> tuple[HookResult, str]:
         """What is said, and the version that said it. A shadow is run too, and where it differs that is counted."""
         chosen = self.decides(called)
         said = chosen.said(point, facts, key, now)
@@ -197,24 +199,24 @@
         self.standings.clear()
         self.drop_shadow()
 
-    def said(self, point: str, facts: Mapping[str, Any], key: str, now: int) -> Said:
+    def said(self, point: str, facts: Mapping[str, Any], key: str, now: int) -> HookResult:
         """What all hooks of a point say together. Never raises: a hook that fails is passed over.
 
         Of two that contradict each other the one of higher standing holds; favours multiply, within bounds."""
         programs = self._at[point]
         if not programs:
-            return Said()
+            return HookResult()
         inputs = {name: as_value(facts[name], wanted) for name, wanted in POINTS[point].inputs.items()}
-        together: Said | None = None
+        together: HookResult | None = None
         for place, program in enumerate(programs):
             one = self._run(program, point, inputs, key, place, len(programs), now)
             if one is not None:
                 together = one if together is None else _joined(together, one)
-        return together or Said()
+        return together or HookResult()
 
     def _run(
         self, program: Program, point: str, inputs: dict[str, Value], key: str, place: int, of: int, now: int
-    ) -> Said | None:
+    ) -> HookResult | None:
         name = program.file.name
         standing = self.standings.get(name)
         if standing is None:
@@ -232,8 +234,8 @@
         budget = Budget(STEPS, MEMORY, store=view)
         self.counts["hooks_run"] += 1
         try:
-            said = read_answer(point, program.run(point, inputs, budget), self.use_cases)
-        except (HookFault, BadAnswer) as fault:
+            said = parse_result(point, program.run(point, inputs, budget), self.use_cases)
+        except (HookError, InvalidHookResult) as fault:
             self._failed(fault, name, point, key, standing, now)
             return None
         finally:
@@ -244,10 +246,16 @@
         return said
 
     def _failed(
-        self, fault: HookFault | BadAnswer, name: str, point: str, key: str, standing: Standing, now: int
+        self,
+        fault: HookError | InvalidHookResult,
+        name: str,
+        point: str,
+        key: str,
+        standing: Standing,
+        now: int,
     ) -> None:
-        what = fault.kind if isinstance(fault, HookFault) else "answer"
-        at = fault.at[0] if isinstance(fault, HookFault) else 0
+        what = fault.kind if isinstance(fault, HookError) else "answer"
+        at = fault.position[0] if isinstance(fault, HookError) else 0
         self.counts[f"hooks_failed.{what}"] += 1
         benched = standing.failed(key, now)
         if benched:
@@ -255,11 +263,11 @@
             self.log("hook_benched", hook=name, point=point, line=at, why=str(fault), of=benched, key=key)
 
 
-def _joined(first: Said, then: Said) -> Said:
+def _joined(first: HookResult, then: HookResult) -> HookResult:
     """What two say together; the first has the higher standing."""
     favour = min(FAVOUR, max(1 / FAVOUR, first.favour * then.favour))
     tags = (*first.tags, *(tag for tag in then.tags if tag not in first.tags))[:MAX_TAGS]
-    return Said(
+    return HookResult(
         use_case=first.use_case or then.use_case,
         favour=favour,
         tags=tags,
--- a/wellhitch/hooks/keeping.py
+++ b/wellhitch/hooks/keeping.py
@@ -17,7 +17,7 @@
     LARGEST_KEPT,
     LONGEST_KEY,
     Budget,
-    HookFault,
+    HookError,
     Items,
     Record,
     Span,
@@ -43,7 +43,7 @@
 
 
 def value_of(given: Any, budget: Budget) -> Value:
-    """A value from JSON. Raises HookFault or ValueError for what is none."""
+    """A value from JSON. Raises HookError or ValueError for what is none."""
     if given is None or isinstance(given, (bool, str)):
         return given
     if isinstance(given, (int, float)):
@@ -97,7 +97,7 @@
                 value = value_of(given, budget)
                 if len(key) > LONGEST_KEY or cells(value, budget) > LARGEST_KEPT or left > LARGEST:
                     raise ValueError("too large")
-            except (HookFault, ValueError, RecursionError) as fault:
+            except (HookError, ValueError, RecursionError) as fault:
                 words.append(f"{name}, key {key[:40]!r}: {fault}: dropped")
                 continue
             if left > 0:
--- a/wellhitch/hooks/points.py
+++ b/wellhitch/hooks/points.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class Said:
+class HookResult:
     """What a hook said, within bounds. Not frozen: one is made at each dialogue, and that trebles its cost."""
 
     use_case: str | None = None
@@ -72,27 +72,29 @@
     mark: str | None = None
 
 
-class BadAnswer(Exception):
+class InvalidHookResult(Exception):
     """A hook returned what its point does not take."""
 
 
-def read_answer(point: str, value: Value, use_cases: frozenset[str]) -> Said:
-    """What was said. Raises BadAnswer with why; a favour beyond its bounds is brought within them."""
+def parse_result(point: str, value: Value, use_cases: frozenset[str]) -> HookResult:
+    """What was said. Raises InvalidHookResult with why; a favour beyond its bounds is brought within them."""
     if value is None:
-        return Said()
+        return HookResult()
     if not isinstance(value, Record):
-        raise BadAnswer(f"on {point} returns a record or nothing, not a {kind(value)}")
+        raise InvalidHookResult(f"on {point} returns a record or nothing, not a {kind(value)}")
     says = POINTS[point].says
     for name, one in value.fields.items():
         if name not in says:
-            raise BadAnswer(f"on {point} may not say {name}; it may say {', '.join(says) or 'nothing'}")
+            raise InvalidHookResult(
+                f"on {point} may not say {name}; it may say {', '.join(says) or 'nothing'}"
+            )
         if one is not None and kind(one) != says[name]:
-            raise BadAnswer(f"{name} is a {kind(one)}, not a {says[name]}")
+            raise InvalidHookResult(f"{name} is a {kind(one)}, not a {says[name]}")
     get = value.fields.get
     use_case, favour, tags = get("use_case"), get("favour"), get("tags")
     if isinstance(use_case, str) and use_case not in use_cases:
-        raise BadAnswer(f"no use case {use_case[:40]!r}")
-    return Said(
+        raise InvalidHookResult(f"no use case {use_case[:40]!r}")
+    return HookResult(
         use_case=use_case if isinstance(use_case, str) else None,
         favour=_favour(favour),
         tags=_tags(tags),
@@ -111,7 +113,7 @@
     if not isinstance(value, str):
         return None
     if len(value) > MAX_TEXT:
-        raise BadAnswer(f"{name} of {len(value)} characters, over {MAX_TEXT}")
+        raise InvalidHookResult(f"{name} of {len(value)} characters, over {MAX_TEXT}")
     return value
 
 
@@ -119,10 +121,10 @@
     if not isinstance(value, Items):
         return ()
     if len(value.items) > MAX_TAGS:
-        raise BadAnswer(f"{len(value.items)} tags, over {MAX_TAGS}")
+        raise InvalidHookResult(f"{len(value.items)} tags, over {MAX_TAGS}")
     out = []
     for one in value.items:
         if not isinstance(one, str):
-            raise BadAnswer(f"a tag is a text, not a {kind(one)}")
+            raise InvalidHookResult(f"a tag is a text, not a {kind(one)}")
         out.append(_short("a tag", one) or "")
     return tuple(out)
--- a/wellhitch/hooks/tree.py
+++ b/wellhitch/hooks/tree.py
@@ -1,4 +1,4 @@
-"""A hook file as a tree. Plain records; `at` is line and column, from 1."""
+"""A hook file as a tree. Plain records; `position` is line and column, from 1."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from wellhitch.hooks.values import Value
 
-At = tuple[int, int]
+Position = tuple[int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Node:
     """Anything with a place in the file."""
 
-    at: At
+    position: Position
 
 
 # ---- expressions ----
@@ -280,22 +280,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Diagnostic:
     """One thing wrong with a file."""
 
     file: str
-    at: At
+    position: Position
     text: str
     hint: str = ""
 
     def __str__(self) -> str:
         hint = f" ({self.hint})" if self.hint else ""
-        return f"{self.file}:{self.at[0]}:{self.at[1]}: {self.text}{hint}"
+        return f"{self.file}:{self.position[0]}:{self.position[1]}: {self.text}{hint}"
 
 
-class BadHooks(Exception):
+class InvalidHooks(Exception):
     """A file that cannot be taken, with all that is wrong."""
 
-    def __init__(self, faults: list[Fault]) -> None:
+    def __init__(self, faults: list[Diagnostic]) -> None:
         super().__init__("\n".join(str(fault) for fault in faults))
-        self.faults = faults
+        self.diagnostics = faults
--- a/wellhitch/hooks/values.py
+++ b/wellhitch/hooks/values.py
@@ -17,13 +17,13 @@
 DEEPEST = 16  # lists in lists; every pass over a value recurses as deep
 
 
-class HookFault(Exception):
+class HookError(Exception):
     """A hook failed: what it did cannot be done, or its budget is spent. `kind`: `steps`, `memory`, `depth` or
     `wrong`."""
 
     def __init__(self, kind: str, text: str, at: tuple[int, int] = (0, 0)) -> None:
         super().__init__(text)
-        self.kind, self.text, self.at = kind, text, at
+        self.kind, self.text, self.position = kind, text, at
 
 
 class Span(int):
@@ -63,16 +63,16 @@
     store: dict[str, tuple[Value, Span]] = field(default_factory=dict)
 
     def pay(self, steps: int) -> None:
-        """Raises HookFault where the steps are spent."""
+        """Raises HookError where the steps are spent."""
         self.steps -= steps
         if self.steps < 0:
-            raise HookFault("steps", "the budget of steps is spent: does a loop never end?")
+            raise HookError("steps", "the budget of steps is spent: does a loop never end?")
 
     def take(self, cells: int) -> None:
-        """Pay for memory, and for the work of filling it. Raises HookFault."""
+        """Pay for memory, and for the work of filling it. Raises HookError."""
         self.memory -= cells
         if self.memory < 0:
-            raise HookFault("memory", "the budget of memory is spent: does something grow in a loop?")
+            raise HookError("memory", "the budget of memory is spent: does something grow in a loop?")
         self.steps -= cells // 4
         if self.steps < 0:
             self.pay(0)
@@ -95,9 +95,9 @@
 }
 
 
-def wrong(text: str) -> HookFault:
+def wrong(text: str) -> HookError:
     """A fault of the program's own."""
-    return HookFault("wrong", text)
+    return HookError("wrong", text)
 
 
 def depth(value: Value) -> int:
@@ -118,18 +118,18 @@
 
 
 def _around(values: Iterable[Value]) -> int:
-    """The depth of what holds these. Raises HookFault where it is too deep."""
+    """The depth of what holds these. Raises HookError where it is too deep."""
     deep = 0
     for one in values:
         if (one.__class__ is Record or one.__class__ is Items) and one.depth > deep:
             deep = one.depth
     if deep >= DEEPEST:
-        raise HookFault("depth", f"lists and records in each other over {DEEPEST} deep")
+        raise HookError("depth", f"lists and records in each other over {DEEPEST} deep")
     return deep + 1
 
 
 def bounded(value: int | float) -> int | float:
-    """A number within bounds. Raises HookFault: also for what is no number."""
+    """A number within bounds. Raises HookError: also for what is no number."""
     if not -LARGEST <= value <= LARGEST:
         raise wrong("a number beyond 9007199254740992")
     return value
@@ -189,7 +189,7 @@
 
 
 def binary(op: str, left: Value, right: Value, budget: Budget) -> Value:
-    """Arithmetic and comparison. Raises HookFault where the kinds do not go together."""
+    """Arithmetic and comparison. Raises HookError where the kinds do not go together."""
     if op == "==":
         return same(left, right, budget)
     if op == "!=":
@@ -210,7 +210,7 @@
 def _room(left: Items, right: Items, budget: Budget) -> bool:
     """Raises before a list is made that the budget would not bear."""
     if len(left.items) + len(right.items) > budget.memory:
-        raise HookFault("memory", "the budget of memory is spent: does something grow in a loop?")
+        raise HookError("memory", "the budget of memory is spent: does something grow in a loop?")
     return True
 
 
@@ -466,7 +466,7 @@
     if len(name) > LONGEST_KEY:
         raise wrong(f"a key of {len(name)} characters, over {LONGEST_KEY}")
     if cells(value, budget) > LARGEST_KEPT:
-        raise HookFault("memory", f"a value too large to remember: over {LARGEST_KEPT} cells")
+        raise HookError("memory", f"a value too large to remember: over {LARGEST_KEPT} cells")
     budget.take(8)
     budget.store[name] = (value, span)
     return value
--- a/wellhitch/hooks/walker.py
+++ b/wellhitch/hooks/walker.py
@@ -8,7 +8,7 @@
 from wellhitch.hooks.cost import own_size, size, weight
 from wellhitch.hooks.patterns import fits
 from wellhitch.hooks.points import POINTS
-from wellhitch.hooks.values import Budget, HookFault, Value
+from wellhitch.hooks.values import Budget, HookError, Value
 
 
 class _Return(Exception):
@@ -39,12 +39,12 @@
             self.constants[constant.name] = self.expr(constant.value, [{}])
 
     def run(self, point: str, inputs: dict[str, Value]) -> Value:
-        """Run the hook of a point. Raises HookFault, with the place in the file."""
+        """Run the hook of a point. Raises HookError, with the place in the file."""
         try:
             return self.call(point, self.file.hooks[point].block, dict(inputs))
-        except HookFault as fault:
-            if fault.at == (0, 0):
-                fault.at = self.budget.used_at
+        except HookError as fault:
+            if fault.position == (0, 0):
+                fault.position = self.budget.used_at
             raise
 
     def call(self, name: str, block: tree.Block, given: dict[str, Value]) -> Value:
@@ -52,7 +52,7 @@
         heavy = weight(block)
         self.budget.depth -= heavy
         if self.budget.depth < 0:
-            raise HookFault("depth", f"calls in each other too deep, at {name}")
+            raise HookError("depth", f"calls in each other too deep, at {name}")
         at, out = self.budget.used_at, None
         try:
             self.block(block, [given])
@@ -66,7 +66,7 @@
         """Statements in order, in a scope of their own."""
         inner = [*env, {}]
         for s in block.statements:
-            self.budget.used_at = s.at
+            self.budget.used_at = s.position
             self.budget.pay(1 + own_size(s))
             self.statement(s, inner)
 
@@ -102,7 +102,7 @@
                 self._while(condition, block, env)
             case tree.For(_, name, value, block):
                 for one in v.each(self.expr(value, env)):
-                    self.budget.used_at = s.at
+                    self.budget.used_at = s.position
                     self.budget.pay(1)
                     if self._turn(block, [*env, {name: one}]):
                         return
@@ -112,7 +112,7 @@
                 raise _Return(self.expr(value, env) if value else None)
             case tree.Expect(_, value):
                 if not v.truth(self.expr(value, env)):
-                    raise HookFault("wrong", "what is expected is not so")
+                    raise HookError("wrong", "what is expected is not so")
             case tree.Do(_, value):
                 self.expr(value, env)
 
--- a/wellhitch/lab/hook_runs.py
+++ b/wellhitch/lab/hook_runs.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from wellhitch.hooks.host import Hooks, Version
-from wellhitch.hooks.points import Said
+from wellhitch.hooks.points import HookResult
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Capture, Note
 
@@ -31,7 +31,7 @@
 
     by_use_case: dict[str, Tally] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
-    said: list[tuple[frames.Call, Said]] = field(default_factory=list)
+    said: list[tuple[frames.Call, HookResult]] = field(default_factory=list)
 
 
 def arrivals(captures: list[Capture]) -> list[tuple[int, int, frames.Call]]:
@@ -125,7 +125,7 @@
     return "\n".join(out)
 
 
-def shown(said: Said) -> str:
+def shown(said: HookResult) -> str:
     """What was said, without what was not."""
     parts: Mapping[str, object] = {
         "use case": said.use_case,
--- a/wellhitch/lab/measure_hooks.py
+++ b/wellhitch/lab/measure_hooks.py
@@ -11,7 +11,7 @@
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.host import MEMORY, STEPS, Hooks, as_value, load
 from wellhitch.hooks.points import POINTS
-from wellhitch.hooks.values import Budget, HookFault, Value
+from wellhitch.hooks.values import Budget, HookError, Value
 from wellhitch.hooks.walker import Walker
 from wellhitch.lab.hook_runs import facts_of
 from wellhitch.trunk import frames
@@ -111,7 +111,7 @@
         kind = "ended"
         try:
             worst.run("arrive", inputs, Budget(STEPS, MEMORY))
-        except HookFault as fault:
+        except HookError as fault:
             kind = fault.kind
         out.append(f"  {name:36} {(time.perf_counter() - began) * 1000:8.2f} ms   {kind}")
     many = {f"{at:03}": TEN_LINES for at in range(200)}
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -12,7 +12,7 @@
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.host import BUCKETS, Hooks, Version, load
 from wellhitch.hooks.keeping import dump, read
-from wellhitch.hooks.tree import BadHooks
+from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.interface import events as ev
 from wellhitch.ledger.desk import Desk
 from wellhitch.net.seam import Listener, Network, now_us
@@ -325,7 +325,7 @@
         if word in ("reload", "shadow"):
             try:
                 version = load(self.reread(), self.parser) if self.reread else hooks.version
-            except (BadHooks, Faults) as bad:
+            except (InvalidHooks, Faults) as bad:
                 return f"not taken, {hooks.version.mark} runs on\n{bad}"
             if version.mark == hooks.version.mark:
                 return f"{version.mark} runs already"
--- a/wellhitch/server/hooked.py
+++ b/wellhitch/server/hooked.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from wellhitch.hooks.host import Hooks
-from wellhitch.hooks.points import Said
+from wellhitch.hooks.points import HookResult
 from wellhitch.hooks.values import Record, Span, Value
 from wellhitch.interface.state import Exchange
 from wellhitch.server.dials import OfficeEnd, Taken
@@ -72,10 +72,10 @@
 
     def arrives(
         self, call: frames.Call, held: int, groups: Mapping[int, Group], now: int
-    ) -> tuple[Said, str]:
+    ) -> tuple[HookResult, str]:
         """What is said of a dialogue before it is told to the decisions, and by which version."""
         if not self.hooks.wants("arrive"):
-            return Said(), self.hooks.decides(call.called).version.mark
+            return HookResult(), self.hooks.decides(call.called).version.mark
         there = self.exchange.by_number.get(call.destination)
         group = groups.get(call.destination)
         load: dict[str, Value] = {
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from wellhitch.deciding.runner import Runner
-from wellhitch.hooks.points import Said
+from wellhitch.hooks.points import HookResult
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
 from wellhitch.ledger.book import Seen
@@ -183,7 +183,7 @@
             self.counts[f"turned_away.{fault}"] += 1
             self.outlet.to_caller(link, frames.Final(call.id, "pushed_back", 0))
             return
-        said, version = Said(), ""
+        said, version = HookResult(), ""
         if self.hooked:
             said, version = self.hooked.arrives(call, len(self.taken), self.groups, now)
         if said.push_back is not None:
