--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -9,16 +9,16 @@
 from hypothesis import strategies as st
 
 from wellhitch.hooks.check import check
-from wellhitch.hooks.emit import SEEN, compiled
+from wellhitch.hooks.emit import SEEN, compile_file
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.points import FAVOUR, InvalidHookResult, parse_result
 from wellhitch.hooks.tree import InvalidHooks
-from wellhitch.hooks.values import Budget, HookError, Items, Record, Span, Value
-from wellhitch.hooks.walker import Walker
+from wellhitch.hooks.values import Budget, Duration, HookError, ListValue, Record, Value
+from wellhitch.hooks.walker import Interpreter
 
 PARSER = Parser()
 CLOCK = Record(
-    {"hour": 9, "minute": 5, "weekday": 2, "date": "2026-12-01", "since_start": Span(5_000_000)}, 1
+    {"hour": 9, "minute": 5, "weekday": 2, "date": "2026-12-01", "since_start": Duration(5_000_000)}, 1
 )
 CALL = Record(
     {
@@ -29,7 +29,7 @@
         "redialled": False,
         "transit": False,
         "tenant": None,
-        "left": Span(3_000_000),
+        "left": Duration(3_000_000),
     },
     1,
 )
@@ -42,8 +42,8 @@
     file = PARSER.parse(text, "t.hook")
     assert check(file) == [], [str(fault) for fault in check(file)]
     mine, other = Budget(), Budget()
-    found = compiled(file, mine).run("arrive", INPUTS, mine)
-    assert Walker(file, other).run("arrive", dict(INPUTS)) == found and mine.steps == other.steps
+    found = compile_file(file, mine).run("arrive", INPUTS, mine)
+    assert Interpreter(file, other).run("arrive", dict(INPUTS)) == found and mine.steps == other.steps
     return found
 
 
@@ -54,8 +54,8 @@
     )
     assert check(file) == [], [str(fault) for fault in check(file)]
     budget = Budget()
-    made = compiled(file, budget).run("arrive", INPUTS, budget)
-    assert isinstance(made, Record) and isinstance(made.fields["tags"], Items)
+    made = compile_file(file, budget).run("arrive", INPUTS, budget)
+    assert isinstance(made, Record) and isinstance(made.fields["tags"], ListValue)
     return made.fields["tags"].items[0]
 
 
@@ -67,9 +67,9 @@
         ("7 / 2", 3.5),
         ("7 % 4", 3),
         ('"a" + "b"', "ab"),
-        ("2s + 500ms", Span(2_500_000)),
+        ("2s + 500ms", Duration(2_500_000)),
         ("2s / 500ms", 4.0),
-        ("1h / 2", Span(1_800_000_000)),
+        ("1h / 2", Duration(1_800_000_000)),
         ("2 < 3 and not false", True),
         ('"b" in ["a", "b"]', True),
         ('"use_case" in call', True),
@@ -133,12 +133,12 @@
 
 
 def test_a_program_with_everything() -> None:
-    assert run(PROGRAM) == Record({"favour": 2, "tags": Items(("11", "[7, 2, 3]"), 1)}, 2)
+    assert run(PROGRAM) == Record({"favour": 2, "tags": ListValue(("11", "[7, 2, 3]"), 1)}, 2)
 
 
 def test_tests_beside_the_hook() -> None:
     file = PARSER.parse(PROGRAM, "t.hook")
-    program = compiled(file, Budget())
+    program = compile_file(file, Budget())
     program.test(0, Budget())
     with pytest.raises(HookError, match="what is expected") as fault:
         program.test(1, Budget())
@@ -219,7 +219,7 @@
     file = PARSER.parse("function down(n) { return down(n + 1) } on arrive { " + WORST[name] + " }", "w")
     assert check(file) == []
     budget = Budget()
-    program = compiled(file, budget)
+    program = compile_file(file, budget)
     began = time.process_time()
     with pytest.raises(HookError) as fault:
         program.run("arrive", INPUTS, budget)
@@ -358,10 +358,10 @@
     check(file)  # whatever it says, it does not fail
     one, two = Budget(steps=3000, memory=3000), Budget(steps=3000, memory=3000)
     try:
-        program = compiled(file, one)
+        program = compile_file(file, one)
     except HookError:
         return
-    walker = Walker(file, two)
+    walker = Interpreter(file, two)
     found = outcome(lambda: program.run("arrive", dict(INPUTS), one), one)
     assert found == outcome(lambda: walker.run("arrive", dict(INPUTS)), two)
     assert one.store == two.store
@@ -373,7 +373,7 @@
     """Nothing of a file reaches Python but literals: no import, no attribute but three, no name that was not given."""
     file = PARSER.parse(text, "g")
     try:
-        program = compiled(file, Budget())
+        program = compile_file(file, Budget())
     except HookError:
         return
     functions = {f"f{at}" for at in range(len(file.functions))} | {f"h_{point}" for point in file.hooks}
@@ -404,7 +404,7 @@
         assert bad.diagnostics
         return
     if not check(file):
-        outcome(lambda: compiled(file, Budget()).run("arrive", INPUTS, Budget()), Budget())
+        outcome(lambda: compile_file(file, Budget()).run("arrive", INPUTS, Budget()), Budget())
 
 
 # ---- what a hook may say ----
@@ -417,7 +417,7 @@
 def test_what_is_said_is_brought_within_its_bounds() -> None:
     assert parse_result("arrive", None, frozenset()).favour == 1.0
     assert said(favour=1000).favour == FAVOUR and said(favour=-5).favour == 1 / FAVOUR
-    assert said(use_case="card-lock", tags=Items(("a",), 1)).tags == ("a",)
+    assert said(use_case="card-lock", tags=ListValue(("a",), 1)).tags == ("a",)
 
 
 @pytest.mark.parametrize(
@@ -426,8 +426,8 @@
         ({"use_case": "unheard-of"}, "no use case"),
         ({"favour": "much"}, "favour is a text"),
         ({"route": "office-3"}, "may not say route"),
-        ({"tags": Items((1,), 1)}, "a tag is a text"),
-        ({"tags": Items(("a",) * 9, 1)}, "9 tags"),
+        ({"tags": ListValue((1,), 1)}, "a tag is a text"),
+        ({"tags": ListValue(("a",) * 9, 1)}, "9 tags"),
         ({"push_back": "x" * 65}, "push_back of 65"),
     ],
 )
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -23,7 +23,7 @@
 from wellhitch.hooks.host import BUCKETS, MOST_KEPT, Hooks, Kept, load
 from wellhitch.hooks.keeping import dump, read
 from wellhitch.hooks.tree import InvalidHooks
-from wellhitch.hooks.values import Items, Record, Span
+from wellhitch.hooks.values import Duration, ListValue, Record
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
 from wellhitch.stand_ins.town import Town
@@ -325,7 +325,7 @@
 
 def remembering() -> dict[str, Kept]:
     kept = Kept()
-    shown = Record({"n": 1, "spans": Items((Span(5), None, True), 1)}, 2)
+    shown = Record({"n": 1, "spans": ListValue((Duration(5), None, True), 1)}, 2)
     kept.values = {"a": (shown, 10 * SECOND), "ended": (1, 0)}
     return {"f": kept}
 
--- a/tests/test_hooks_tools.py
+++ b/tests/test_hooks_tools.py
@@ -11,7 +11,7 @@
 from world import USE_CASES, day, rules, trouble
 
 from wellhitch.cli.main import main
-from wellhitch.hooks.layout import lay_out
+from wellhitch.hooks.layout import format_source
 from wellhitch.lab.play import play_sockets
 
 SAMPLES = str(Path(__file__).parents[1] / "hooks")
@@ -80,8 +80,8 @@
 
 @given(st.text(alphabet='{}[]()"#\\ab \n', max_size=80))
 def test_laying_out_twice_is_laying_out_once_and_changes_only_space(text: str) -> None:
-    once = lay_out(text)
-    assert lay_out(once) == once
+    once = format_source(text)
+    assert format_source(once) == once
     assert [line.strip() for line in once.splitlines() if line.strip()] == [
         line.strip() for line in text.splitlines() if line.strip()
     ]
--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -10,13 +10,13 @@
 from wellhitch.cli.check import read_day
 from wellhitch.cli.errors import told_plainly
 from wellhitch.hooks.check import check as check_file
-from wellhitch.hooks.emit import compiled
-from wellhitch.hooks.grammar import MAX_SOURCE, Parser
-from wellhitch.hooks.host import LOAD_STEPS, MEMORY, STEPS, Version, as_value, load, run_tests
-from wellhitch.hooks.layout import lay_out
+from wellhitch.hooks.emit import compile_file
+from wellhitch.hooks.grammar import MAX_SOURCE_CHARS, Parser
+from wellhitch.hooks.host import LOAD_STEPS, MEMORY, STEPS, Version, load, run_tests, to_value
+from wellhitch.hooks.layout import format_source
 from wellhitch.hooks.points import POINTS, InvalidHookResult, parse_result
 from wellhitch.hooks.tree import InvalidHooks
-from wellhitch.hooks.values import Budget, HookError, text_of
+from wellhitch.hooks.values import Budget, HookError, to_text
 from wellhitch.judge.page import service_page, verdict_page
 from wellhitch.lab.hook_runs import differences, facts_of, page, run, shown
 from wellhitch.lab.play import play_virtual
@@ -48,7 +48,7 @@
     if not files:
         raise Faults(str(folder), ["no files *.hook in it"])
     try:
-        return {file.name: read_file(file, 4 * MAX_SOURCE).decode() for file in files}
+        return {file.name: read_file(file, 4 * MAX_SOURCE_CHARS).decode() for file in files}
     except (OSError, UnicodeDecodeError) as fault:
         raise Faults(str(folder), [str(fault)]) from None
 
@@ -104,7 +104,7 @@
             file = parser.parse(text, name)
             wrong = check_file(file)
             if not wrong:
-                wrong = run_tests(compiled(file, Budget(LOAD_STEPS, LOAD_STEPS)))
+                wrong = run_tests(compile_file(file, Budget(LOAD_STEPS, LOAD_STEPS)))
                 passed += len(file.tests) - len(wrong)
         except InvalidHooks as bad:
             wrong = bad.diagnostics
@@ -132,11 +132,11 @@
     """
     with told_plainly():
         texts = texts_of(folder)
-    changed = [name for name, text in texts.items() if lay_out(text) != text]
+    changed = [name for name, text in texts.items() if format_source(text) != text]
     for name in changed:
         click.echo(f"{name}: {'would be ' if only_check else ''}laid out anew")
         if not only_check:
-            (folder / name).write_text(lay_out(texts[name]), encoding="utf-8")
+            (folder / name).write_text(format_source(texts[name]), encoding="utf-8")
     sys.exit(1 if changed and only_check else 0)
 
 
@@ -167,7 +167,7 @@
         click.echo(f"--call: {name}{str(fault).partition(' - at')[0]}", err=True)
         sys.exit(2)
     facts = facts_of(made, 0, hour * 3600 * 1_000_000)
-    inputs = {name: as_value(facts[name], wanted) for name, wanted in POINTS["arrive"].inputs.items()}
+    inputs = {name: to_value(facts[name], wanted) for name, wanted in POINTS["arrive"].inputs.items()}
     use_cases = frozenset({made.use_case, "balance-check", "card-lock", "loan-simulation"})
     for program in version.programs:
         if "arrive" not in program.hooks:
@@ -177,7 +177,7 @@
             value = program.run("arrive", inputs, budget)
             said = shown(parse_result("arrive", value, use_cases))
             click.echo(
-                f"{program.file.name}: {said}  (returned {text_of(value, Budget())}; {STEPS - budget.steps} steps)"
+                f"{program.file.name}: {said}  (returned {to_text(value, Budget())}; {STEPS - budget.steps} steps)"
             )
         except HookError as fault:
             click.echo(f"{program.file.name}:{fault.position[0]}:{fault.position[1]}: fails: {fault.text}")
--- a/wellhitch/hooks/emit.py
+++ b/wellhitch/hooks/emit.py
@@ -19,13 +19,13 @@
 from wellhitch.hooks import values as v
 from wellhitch.hooks.cost import children, own_size, size, weight
 from wellhitch.hooks.points import POINTS
-from wellhitch.hooks.values import Budget, HookError, Items, Record, Value
-from wellhitch.hooks.walker import Walker
+from wellhitch.hooks.values import Budget, HookError, ListValue, Record, Value
+from wellhitch.hooks.walker import Interpreter
 
 SHORT = 64  # characters: comparing with a shorter text costs no step (`values.same`)
 SEEN: dict[str, Any] = {
     "__builtins__": {},
-    "Items": Items,
+    "ListValue": ListValue,
     "Record": Record,
     "int": int,
     "float": float,
@@ -43,7 +43,7 @@
     "in_range": v.in_range,
     "make_list": v.make_list,
     "make_record": v.make_record,
-    "text_of": v.text_of,
+    "to_text": v.to_text,
     "HookError": HookError,
     **{f"b_{name}": builtin for name, (_, builtin) in v.BUILTINS.items()},
 }
@@ -362,7 +362,7 @@
         if items and all(one.known and v.depth(one.value) == 0 for one in items):
             # The same list each time: values never change, so one serves all runs, and each run pays for it.
             self.line(f"b.take({len(items) + 1})")
-            return self.constant(Items(tuple(one.value for one in items), 1))
+            return self.constant(ListValue(tuple(one.value for one in items), 1))
         return self.set(f"make_list(({''.join(one.atom + ', ' for one in items)}), b)", "list")
 
     def call(self, name: str, given: list[_Got]) -> _Got:
@@ -372,7 +372,7 @@
             return self.set(f"{own}({atoms})")
         if name == "text":
             only = given[0].atom
-            return self.set(f"{only} if {only}.__class__ is str else text_of({only}, b)", "text")
+            return self.set(f"{only} if {only}.__class__ is str else to_text({only}, b)", "text")
         return self.set(f"b_{name}({atoms})", GIVES.get(name, "any"))
 
     def equal(self, left: _Got, right: _Got) -> str:
@@ -422,11 +422,11 @@
 
     def within(self, left: _Got, right: _Got) -> _Got:
         """`in`; among a list of short texts that is known, one look."""
-        items = right.value.items if right.known and isinstance(right.value, Items) else ()
+        items = right.value.items if right.known and isinstance(right.value, ListValue) else ()
         if not items or not all(isinstance(one, str) and len(one) < SHORT for one in items):
             return self.set(f"within({left.atom}, {right.atom}, b)", "truth")
         place = self.new()
-        self.line(f"if {left.atom}.__class__ is not Items and {left.atom}.__class__ is not Record:")
+        self.line(f"if {left.atom}.__class__ is not ListValue and {left.atom}.__class__ is not Record:")
         self.depth += 1
         self.pay(len(items))
         self.line(f"{place} = {left.atom} in {self.keep(frozenset(items))}")
@@ -453,10 +453,10 @@
     )
 
 
-def compiled(file: tree.File, budget: Budget) -> Program:
+def compile_file(file: tree.File, budget: Budget) -> Program:
     """The file ready to run; its constants are reckoned within `budget`. The file was checked before. Raises
     HookError."""
-    writer = _Writer(file, Walker(file, budget).constants)
+    writer = _Writer(file, Interpreter(file, budget).constants)
     source = "\n".join(writer.lines) + "\n"
     seen = writer.seen
     exec(compile(source, MARK, "exec", dont_inherit=True), seen)  # noqa: S102 - of what is written, see above
--- a/wellhitch/hooks/grammar.py
+++ b/wellhitch/hooks/grammar.py
@@ -10,9 +10,9 @@
 from lark import Lark, Token, Tree, UnexpectedCharacters, UnexpectedInput, UnexpectedToken
 
 from wellhitch.hooks import tree
-from wellhitch.hooks.values import Span, Value, kind
+from wellhitch.hooks.values import Duration, Value, kind
 
-MAX_SOURCE = 64 * 1024  # characters; the longest sample hook has some 1,500
+MAX_SOURCE_CHARS = 64 * 1024  # characters; the longest sample hook has some 1,500
 MAX_NEST = 60  # nodes in each other; a deep sample has 12, and every pass over the tree recurses as deep
 
 GRAMMAR = r"""
@@ -106,9 +106,9 @@
 
     def parse(self, text: str, name: str) -> tree.File:
         """The file as a tree. Raises tree.InvalidHooks with the first thing that cannot be read."""
-        if len(text) > MAX_SOURCE:
+        if len(text) > MAX_SOURCE_CHARS:
             raise tree.InvalidHooks(
-                [tree.Diagnostic(name, (1, 1), f"{len(text)} characters, over {MAX_SOURCE}")]
+                [tree.Diagnostic(name, (1, 1), f"{len(text)} characters, over {MAX_SOURCE_CHARS}")]
             )
         try:
             raw = self._lark.parse(text)
@@ -356,10 +356,10 @@
     return "".join(out)
 
 
-def _duration(token: Any) -> Span:
+def _duration(token: Any) -> Duration:
     text = _digits(token)
     unit = next(name for name in ("us", "ms", "min", "s", "h") if text.endswith(name))
-    return Span(round(float(text[: -len(unit)]) * UNITS[unit]))
+    return Duration(round(float(text[: -len(unit)]) * UNITS[unit]))
 
 
 _LITERALS: dict[str, Callable[[Any], Value]] = {"number": _number, "duration": _duration, "text": _text}
--- a/wellhitch/hooks/host.py
+++ b/wellhitch/hooks/host.py
@@ -11,10 +11,10 @@
 from wellhitch.hooks import tree
 from wellhitch.hooks.check import check
 from wellhitch.hooks.containment import Standing, Steps
-from wellhitch.hooks.emit import Program, compiled
+from wellhitch.hooks.emit import Program, compile_file
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.points import FAVOUR, MAX_TAGS, POINTS, HookResult, InvalidHookResult, Type, parse_result
-from wellhitch.hooks.values import Budget, HookError, Items, Record, Span, Value
+from wellhitch.hooks.values import Budget, Duration, HookError, ListValue, Record, Value
 
 STEPS = 5_000  # of one run; a ten-line hook takes some 60, and the worst program ends in about 2 ms
 MEMORY = 5_000  # cells of one run
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.values: dict[str, tuple[Value, int]] = {}
 
-    def take(self, changes: Mapping[str, tuple[Value, Span]], now: int) -> int:
+    def take(self, changes: Mapping[str, tuple[Value, Duration]], now: int) -> int:
         """Keep what a run remembered; returns how many keys had to go for it."""
         for key, (value, span) in changes.items():
             self.values[key] = (value, now + int(span))
@@ -45,7 +45,7 @@
         return len(dropped)
 
 
-class _View(dict[str, tuple[Value, Span]]):
+class _View(dict[str, tuple[Value, Duration]]):
     """A run's own view: what it writes is kept only if it ends well."""
 
     def __init__(self, kept: Kept, now: int) -> None:
@@ -57,7 +57,7 @@
         if key in self:
             return self[key]
         found = self._kept.values.get(key)
-        return (found[0], Span(0)) if found and found[1] > self._now else default
+        return (found[0], Duration(0)) if found and found[1] > self._now else default
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
             found = check(file)
             faults += found
             if not found:
-                program = compiled(file, Budget(LOAD_STEPS, LOAD_STEPS))
+                program = compile_file(file, Budget(LOAD_STEPS, LOAD_STEPS))
                 faults += run_tests(program)
                 programs.append(program)
         except tree.InvalidHooks as bad:
@@ -109,16 +109,16 @@
     return out
 
 
-def as_value(given: Any, wanted: Type) -> Value:
+def to_value(given: Any, wanted: Type) -> Value:
     """A fact of the server as a value of the language, by the point's type; a record that is one already stays."""
     if isinstance(given, Record):
         return given
     if isinstance(wanted, dict):
-        return Record({name: as_value(given[name], inner) for name, inner in wanted.items()}, 1)
+        return Record({name: to_value(given[name], inner) for name, inner in wanted.items()}, 1)
     if wanted == "duration":
-        return Span(int(given))
+        return Duration(int(given))
     if isinstance(given, (list, tuple)):
-        return Items(tuple(given), 1)
+        return ListValue(tuple(given), 1)
     value: Value = given
     return value
 
@@ -206,7 +206,7 @@
         programs = self._at[point]
         if not programs:
             return HookResult()
-        inputs = {name: as_value(facts[name], wanted) for name, wanted in POINTS[point].inputs.items()}
+        inputs = {name: to_value(facts[name], wanted) for name, wanted in POINTS[point].inputs.items()}
         together: HookResult | None = None
         for place, program in enumerate(programs):
             one = self._run(program, point, inputs, key, place, len(programs), now)
--- a/wellhitch/hooks/keeping.py
+++ b/wellhitch/hooks/keeping.py
@@ -17,10 +17,10 @@
     LARGEST_KEPT,
     LONGEST_KEY,
     Budget,
+    Duration,
     HookError,
-    Items,
+    ListValue,
     Record,
-    Span,
     Value,
     cells,
     make_list,
@@ -33,9 +33,9 @@
 
 def plain(value: Value) -> Any:
     """A value as JSON has it."""
-    if isinstance(value, Span):
+    if isinstance(value, Duration):
         return {"d": int(value)}
-    if isinstance(value, Items):
+    if isinstance(value, ListValue):
         return [plain(one) for one in value.items]
     if isinstance(value, Record):
         return {"r": {name: plain(one) for name, one in value.fields.items()}}
@@ -54,7 +54,7 @@
         return make_list(tuple(value_of(one, budget) for one in given), budget)
     if isinstance(given, dict) and len(given) == 1:
         if type(us := given.get("d")) is int and -LARGEST <= us <= LARGEST:
-            return Span(us)
+            return Duration(us)
         if isinstance(fields := given.get("r"), dict):
             return make_record({name: value_of(one, budget) for name, one in fields.items()}, budget)
     raise ValueError("no value")
--- a/wellhitch/hooks/layout.py
+++ b/wellhitch/hooks/layout.py
@@ -24,7 +24,7 @@
     return -lowest, depth
 
 
-def lay_out(text: str) -> str:
+def format_source(text: str) -> str:
     """The text laid out; laid out again it is the same."""
     out: list[str] = []
     depth = 0
--- a/wellhitch/hooks/points.py
+++ b/wellhitch/hooks/points.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wellhitch.hooks.values import Items, Record, Value, is_number, kind
+from wellhitch.hooks.values import ListValue, Record, Value, is_number, kind
 
 # A type: the name of a kind, "any", or a record's fields by name.
 Type = str | dict[str, Any]
@@ -118,7 +118,7 @@
 
 
 def _tags(value: Value) -> tuple[str, ...]:
-    if not isinstance(value, Items):
+    if not isinstance(value, ListValue):
         return ()
     if len(value.items) > MAX_TAGS:
         raise InvalidHookResult(f"{len(value.items)} tags, over {MAX_TAGS}")
--- a/wellhitch/hooks/values.py
+++ b/wellhitch/hooks/values.py
@@ -3,8 +3,8 @@
     none, true/false      Python's
     number                int or float, within 2^53 either way
     text                  str
-    duration              Span: whole microseconds
-    list, record          Items, Record: never changed once made; setting a place makes a new one
+    duration              Duration: whole microseconds
+    list, record          ListValue, Record: never changed once made; setting a place makes a new one
 
 Nothing here may run long or grow large without the budget knowing: every operation of which the work depends on its
 values' size pays for that size first.
@@ -26,14 +26,14 @@
         self.kind, self.text, self.position = kind, text, at
 
 
-class Span(int):
+class Duration(int):
     """A duration in whole microseconds."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True)
-class Items:
+class ListValue:
     """A list. Never changed once made; not frozen, since that trebles the time to make one."""
 
     items: tuple["Value", ...]
@@ -48,7 +48,7 @@
     depth: int
 
 
-Value = None | bool | int | float | str | Span | Items | Record
+Value = None | bool | int | float | str | Duration | ListValue | Record
 
 
 @dataclass(slots=True)
@@ -60,7 +60,7 @@
     memory: int = 20_000
     depth: int = 300
     used_at: tuple[int, int] = (0, 0)
-    store: dict[str, tuple[Value, Span]] = field(default_factory=dict)
+    store: dict[str, tuple[Value, Duration]] = field(default_factory=dict)
 
     def pay(self, steps: int) -> None:
         """Raises HookError where the steps are spent."""
@@ -86,11 +86,11 @@
 KINDS: dict[type, str] = {
     type(None): "none",
     bool: "truth",
-    Span: "duration",
+    Duration: "duration",
     int: "number",
     float: "number",
     str: "text",
-    Items: "list",
+    ListValue: "list",
     Record: "record",
 }
 
@@ -102,13 +102,13 @@
 
 def depth(value: Value) -> int:
     """How deep lists and records lie in it."""
-    return value.depth if isinstance(value, (Items, Record)) else 0
+    return value.depth if isinstance(value, (ListValue, Record)) else 0
 
 
-def make_list(items: tuple[Value, ...], budget: Budget) -> Items:
+def make_list(items: tuple[Value, ...], budget: Budget) -> ListValue:
     """A list, paid for."""
     budget.take(len(items) + 1)
-    return Items(items, _around(items))
+    return ListValue(items, _around(items))
 
 
 def make_record(fields: dict[str, Value], budget: Budget) -> Record:
@@ -121,7 +121,7 @@
     """The depth of what holds these. Raises HookError where it is too deep."""
     deep = 0
     for one in values:
-        if (one.__class__ is Record or one.__class__ is Items) and one.depth > deep:
+        if (one.__class__ is Record or one.__class__ is ListValue) and one.depth > deep:
             deep = one.depth
     if deep >= DEEPEST:
         raise HookError("depth", f"lists and records in each other over {DEEPEST} deep")
@@ -137,7 +137,7 @@
 
 def is_number(value: Value) -> bool:
     """Whether it is a number, and no duration or truth."""
-    return isinstance(value, (int, float)) and not isinstance(value, (bool, Span))
+    return isinstance(value, (int, float)) and not isinstance(value, (bool, Duration))
 
 
 def truth(value: Value) -> bool:
@@ -147,11 +147,11 @@
     raise wrong(f"a {kind(value)} is no condition; compare it with something")
 
 
-def text_of(value: Value, budget: Budget) -> str:
+def to_text(value: Value, budget: Budget) -> str:
     """A value as text."""
     if isinstance(value, str):
         return value
-    if isinstance(value, Span):
+    if isinstance(value, Duration):
         return f"{int(value)}us"
     if isinstance(value, bool):
         return "true" if value else "false"
@@ -162,17 +162,17 @@
     named = value.fields.items() if isinstance(value, Record) else [("", one) for one in value.items]
     parts = []
     for name, one in named:
-        part = f"{name}: {text_of(one, budget)}" if name else text_of(one, budget)
+        part = f"{name}: {to_text(one, budget)}" if name else to_text(one, budget)
         # Paid before they are joined: a list may hold one long text a thousand times, at a thousand cells.
         budget.take(len(part) // 16 + 1)
         parts.append(part)
     made = ", ".join(parts)
-    return f"[{made}]" if isinstance(value, Items) else f"{{{made}}}"
+    return f"[{made}]" if isinstance(value, ListValue) else f"{{{made}}}"
 
 
 def same(left: Value, right: Value, budget: Budget) -> bool:
     """Whether two values are equal; of different kinds they are not."""
-    if isinstance(left, Items) and isinstance(right, Items):
+    if isinstance(left, ListValue) and isinstance(right, ListValue):
         # Two a pair: shared lists are compared as often as they stand, and that is the slowest work a step does.
         budget.pay(2 + 2 * min(len(left.items), len(right.items)))
         return len(left.items) == len(right.items) and all(
@@ -200,14 +200,14 @@
         return _numbers(op, left, right)  # type: ignore[arg-type]
     if isinstance(left, str) and isinstance(right, str):
         return _texts(op, left, right, budget)
-    if isinstance(left, Span) or isinstance(right, Span):
+    if isinstance(left, Duration) or isinstance(right, Duration):
         return _spans(op, left, right)
-    if op == "+" and isinstance(left, Items) and isinstance(right, Items):
+    if op == "+" and isinstance(left, ListValue) and isinstance(right, ListValue):
         return make_list(left.items + right.items, budget) if _room(left, right, budget) else None
     raise wrong(f"{kind(left)} {op} {kind(right)} means nothing")
 
 
-def _room(left: Items, right: Items, budget: Budget) -> bool:
+def _room(left: ListValue, right: ListValue, budget: Budget) -> bool:
     """Raises before a list is made that the budget would not bear."""
     if len(left.items) + len(right.items) > budget.memory:
         raise HookError("memory", "the budget of memory is spent: does something grow in a loop?")
@@ -254,20 +254,20 @@
 
 
 def _spans(op: str, left: Value, right: Value) -> Value:
-    if isinstance(left, Span) and isinstance(right, Span):
+    if isinstance(left, Duration) and isinstance(right, Duration):
         if op in ("+", "-"):
-            return Span(bounded(int(left) + int(right) if op == "+" else int(left) - int(right)))
+            return Duration(bounded(int(left) + int(right) if op == "+" else int(left) - int(right)))
         if op == "/":
             return _divided(int(left), int(right))
         found = _compare(op, int(left), int(right))
         if found is not None:
             return found
-    elif op == "*" and isinstance(left, Span) and is_number(right):
-        return Span(bounded(int(left) * _number("*", right)))
-    elif op == "*" and isinstance(right, Span) and is_number(left):
-        return Span(bounded(int(right) * _number("*", left)))
-    elif op == "/" and isinstance(left, Span) and is_number(right):
-        return Span(_divided(int(left), _number("/", right)))
+    elif op == "*" and isinstance(left, Duration) and is_number(right):
+        return Duration(bounded(int(left) * _number("*", right)))
+    elif op == "*" and isinstance(right, Duration) and is_number(left):
+        return Duration(bounded(int(right) * _number("*", left)))
+    elif op == "/" and isinstance(left, Duration) and is_number(right):
+        return Duration(_divided(int(left), _number("/", right)))
     raise wrong(f"{kind(left)} {op} {kind(right)} means nothing")
 
 
@@ -279,7 +279,7 @@
 
 def within(item: Value, where: Value, budget: Budget) -> bool:
     """Whether a list has an item, a record a name, a text a part."""
-    if isinstance(where, Items):
+    if isinstance(where, ListValue):
         budget.pay(len(where.items))
         return any(same(item, one, budget) for one in where.items)
     if isinstance(where, Record) and isinstance(item, str):
@@ -293,8 +293,8 @@
 
 def minus(value: Value) -> Value:
     """The negative of a number or duration."""
-    if isinstance(value, Span):
-        return Span(-int(value))
+    if isinstance(value, Duration):
+        return Duration(-int(value))
     if is_number(value):
         return -value  # type: ignore[operator]
     raise wrong(f"- of a {kind(value)} means nothing")
@@ -311,8 +311,8 @@
 
 def get_index(value: Value, key: Value) -> Value:
     """A place of a list, from 0, or a field by its name."""
-    if isinstance(value, Items):
-        if not isinstance(key, int) or isinstance(key, (bool, Span)):
+    if isinstance(value, ListValue):
+        if not isinstance(key, int) or isinstance(key, (bool, Duration)):
             raise wrong(f"a place in a list is a whole number, not {kind(key)}")
         if not 0 <= key < len(value.items):
             raise wrong(f"place {key} of a list of {len(value.items)}")
@@ -331,7 +331,7 @@
         budget.take(len(value.fields))
         inner = put(value.fields.get(key), rest, new, budget) if rest else new
         return make_record({**value.fields, key: inner}, budget)
-    if isinstance(value, Items):
+    if isinstance(value, ListValue):
         old = get_index(value, key)
         budget.take(len(value.items))
         at: int = key  # type: ignore[assignment]
@@ -342,11 +342,11 @@
 
 def each(value: Value) -> Iterator[Value]:
     """What `for` goes over."""
-    if isinstance(value, Items):
+    if isinstance(value, ListValue):
         return iter(value.items)
     if isinstance(value, Record):
         return iter(list(value.fields))
-    if isinstance(value, int) and not isinstance(value, (bool, Span)):
+    if isinstance(value, int) and not isinstance(value, (bool, Duration)):
         return iter(range(value))
     raise wrong(f"for goes over a list, a record or a whole number, not a {kind(value)}")
 
@@ -369,7 +369,7 @@
 
 
 def _length(value: Value, budget: Budget) -> Value:
-    if isinstance(value, Items):
+    if isinstance(value, ListValue):
         return len(value.items)
     if isinstance(value, Record):
         return len(value.fields)
@@ -396,7 +396,7 @@
 def _get(value: Value, key: Value, default: Value, budget: Budget) -> Value:
     if isinstance(value, Record) and isinstance(key, str):
         return value.fields.get(key, default)
-    if isinstance(value, Items) and isinstance(key, int) and not isinstance(key, bool):
+    if isinstance(value, ListValue) and isinstance(key, int) and not isinstance(key, bool):
         return value.items[key] if 0 <= key < len(value.items) else default
     raise wrong(f"get from a {kind(value)} by a {kind(key)} means nothing")
 
@@ -417,7 +417,7 @@
 
 
 def _push(value: Value, item: Value, budget: Budget) -> Value:
-    if not isinstance(value, Items):
+    if not isinstance(value, ListValue):
         raise wrong(f"push takes a list, not a {kind(value)}")
     return make_list((*value.items, item), budget)
 
@@ -452,7 +452,7 @@
     budget.pay(1)
     if isinstance(value, str):
         return 1 + len(value) // 16
-    if isinstance(value, Items):
+    if isinstance(value, ListValue):
         return 1 + sum(cells(one, budget) for one in value.items)
     if isinstance(value, Record):
         return 1 + sum(cells(one, budget) for one in value.fields.values())
@@ -461,7 +461,7 @@
 
 def _remember(key: Value, value: Value, span: Value, budget: Budget) -> Value:
     name = _one_text("remember", key, budget)
-    if not isinstance(span, Span) or span <= 0:
+    if not isinstance(span, Duration) or span <= 0:
         raise wrong("remember takes a key, a value and a duration over nought")
     if len(name) > LONGEST_KEY:
         raise wrong(f"a key of {len(name)} characters, over {LONGEST_KEY}")
@@ -475,7 +475,7 @@
 Builtin = Callable[..., Value]
 BUILTINS: dict[str, tuple[int, Builtin]] = {
     "length": (1, _length),
-    "text": (1, text_of),
+    "text": (1, to_text),
     "number": (1, _to_number),
     "lower": (1, lambda value, budget: _one_text("lower", value, budget).lower()),
     "starts": (2, _starts),
--- a/wellhitch/hooks/walker.py
+++ b/wellhitch/hooks/walker.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Walker:
+class Interpreter:
     """One file, walked."""
 
     file: tree.File
--- a/wellhitch/lab/measure_hooks.py
+++ b/wellhitch/lab/measure_hooks.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from wellhitch.hooks.containment import Standing
-from wellhitch.hooks.emit import compiled
+from wellhitch.hooks.emit import compile_file
 from wellhitch.hooks.grammar import Parser
-from wellhitch.hooks.host import MEMORY, STEPS, Hooks, as_value, load
+from wellhitch.hooks.host import MEMORY, STEPS, Hooks, load, to_value
 from wellhitch.hooks.points import POINTS
 from wellhitch.hooks.values import Budget, HookError, Value
-from wellhitch.hooks.walker import Walker
+from wellhitch.hooks.walker import Interpreter
 from wellhitch.lab.hook_runs import facts_of
 from wellhitch.trunk import frames
 
@@ -74,10 +74,10 @@
     parser = Parser()
     call = frames.Call(1, "card-lock", 3, "0800123", 3_000_000)
     facts = facts_of(call, 0, 9 * 3600 * 1_000_000)
-    inputs: dict[str, Value] = {name: as_value(facts[name], t) for name, t in POINTS["arrive"].inputs.items()}
+    inputs: dict[str, Value] = {name: to_value(facts[name], t) for name, t in POINTS["arrive"].inputs.items()}
     file = parser.parse(TEN_LINES, "ten")
-    program = compiled(file, Budget())
-    walker = Walker(file, Budget())
+    program = compile_file(file, Budget())
+    walker = Interpreter(file, Budget())
 
     def walk() -> None:
         walker.budget = Budget(STEPS, MEMORY)
@@ -104,7 +104,7 @@
         out.append(f"  {name:36} {took:8.2f} us   {took / plain:5.1f} x plain Python")
     out.append(f"time to stop the worst programs, a budget of {STEPS} steps and {MEMORY} cells")
     for name, body in WORST.items():
-        worst = compiled(
+        worst = compile_file(
             parser.parse("function f(x) { return f(x + 1) } on arrive { " + body + " }", "w"), Budget()
         )
         began = time.perf_counter()
@@ -117,7 +117,9 @@
     many = {f"{at:03}": TEN_LINES for at in range(200)}
     began = time.perf_counter()
     load(many, parser)
-    out.append(f"200 hooks of ten lines read, checked and compiled in {time.perf_counter() - began:.2f} s")
+    out.append(
+        f"200 hooks of ten lines read, checked and compiled in {time.perf_counter() - began:.2f} s"
+    )
     return out
 
 
--- a/wellhitch/server/hooked.py
+++ b/wellhitch/server/hooked.py
@@ -6,7 +6,7 @@
 
 from wellhitch.hooks.host import Hooks
 from wellhitch.hooks.points import HookResult
-from wellhitch.hooks.values import Record, Span, Value
+from wellhitch.hooks.values import Duration, Record, Value
 from wellhitch.interface.state import Exchange
 from wellhitch.server.dials import OfficeEnd, Taken
 from wellhitch.trunk import frames
@@ -53,7 +53,7 @@
             "minute": second // 60 % 60,
             "weekday": weekday,
             "date": date,
-            "since_start": Span(now - self.began),
+            "since_start": Duration(now - self.began),
         }
         return Record(fields, 1)
 
@@ -66,7 +66,7 @@
             "redialled": redialled,
             "transit": False,
             "tenant": call.tenant,
-            "left": Span(left),
+            "left": Duration(left),
         }
         return Record(fields, 1)
 
