--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -109,7 +109,7 @@
 def test_whatever_an_operator_says_is_answered_in_one_line(text: str, said: str) -> None:
     door = Door()
     if text.startswith("hooks canary"):
-        door.daemon.switch.hooked.hooks.try_beside(door.daemon.switch.hooked.hooks.version)  # type: ignore[union-attr]
+        door.daemon.switch.hooked.hooks.start_shadow(door.daemon.switch.hooked.hooks.version)  # type: ignore[union-attr]
     assert said in door.ask(text.encode("utf-8", "surrogateescape")).decode()
 
 
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -11,17 +11,17 @@
 from world import day, played, rules, trouble
 
 from wellhitch.hooks.containment import (
-    FAILURES,
-    FIRST_BENCH,
-    KEYS,
-    LONGEST_BENCH,
+    FAILURES_TO_SUSPEND,
+    FIRST_SUSPENSION_US,
+    KEYS_TO_SUSPEND_ALL,
+    MAX_SUSPENSION_US,
     STEPS_PER_S,
-    Standing,
-    Steps,
+    HookSuspensions,
+    StepBucket,
 )
 from wellhitch.hooks.grammar import Parser
-from wellhitch.hooks.host import BUCKETS, MOST_KEPT, Hooks, Kept, load
-from wellhitch.hooks.keeping import dump, read
+from wellhitch.hooks.host import CANARY_BUCKETS, MAX_STATE_KEYS, Hooks, HookState, load_version
+from wellhitch.hooks.keeping import decode_state, encode_state
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.hooks.values import Duration, ListValue, Record
 from wellhitch.lab.fleet import InProcess
@@ -51,7 +51,7 @@
 
 def hooks(**texts: str) -> Hooks:
     said: list[str] = []
-    made = Hooks(load(texts, PARSER), USE_CASES, lambda event, **f: said.append(event))
+    made = Hooks(load_version(texts, PARSER), USE_CASES, lambda event, **f: said.append(event))
     return made
 
 
@@ -59,41 +59,45 @@
 
 
 def test_a_key_that_makes_a_hook_fail_is_benched_alone() -> None:
-    standing = Standing()
-    told = [standing.failed("slow tenant", now) for now in range(FAILURES)]
-    assert told == [""] * (FAILURES - 1) + ["key"]
-    assert not standing.may("slow tenant", 10) and standing.may("another", 10)
-    assert standing.may("slow tenant", FIRST_BENCH + 10)
+    standing = HookSuspensions()
+    told = [standing.record_failure("slow tenant", now) for now in range(FAILURES_TO_SUSPEND)]
+    assert told == [""] * (FAILURES_TO_SUSPEND - 1) + ["key"]
+    assert not standing.may_run("slow tenant", 10) and standing.may_run("another", 10)
+    assert standing.may_run("slow tenant", FIRST_SUSPENSION_US + 10)
 
 
 def test_several_keys_bench_the_hook_for_all() -> None:
-    standing = Standing()
-    told = [standing.failed(f"tenant {key}", 0) for key in range(KEYS) for _ in range(FAILURES)]
-    assert told[-1] == "all" and not standing.may("anybody", 10)
+    standing = HookSuspensions()
+    told = [
+        standing.record_failure(f"tenant {key}", 0)
+        for key in range(KEYS_TO_SUSPEND_ALL)
+        for _ in range(FAILURES_TO_SUSPEND)
+    ]
+    assert told[-1] == "all" and not standing.may_run("anybody", 10)
 
 
 def test_each_failed_trial_doubles_the_bench_and_one_good_run_clears_it() -> None:
-    standing, now, spans = Standing(), 0, []
-    for _ in range(FAILURES):
-        standing.failed("t", now)
+    standing, now, spans = HookSuspensions(), 0, []
+    for _ in range(FAILURES_TO_SUSPEND):
+        standing.record_failure("t", now)
     for _ in range(12):
         start = now
-        while not standing.may("t", now):
+        while not standing.may_run("t", now):
             now += SECOND
         spans.append(now - start)
-        standing.failed("t", now)
-    assert spans[0] == FIRST_BENCH and spans[1] == 2 * spans[0] and max(spans) == LONGEST_BENCH
-    now += LONGEST_BENCH
-    standing.went_well("t")
-    assert "t" not in standing.keys and standing.failed("t", now) == ""
+        standing.record_failure("t", now)
+    assert spans[0] == FIRST_SUSPENSION_US and spans[1] == 2 * spans[0] and max(spans) == MAX_SUSPENSION_US
+    now += MAX_SUSPENSION_US
+    standing.record_success("t")
+    assert "t" not in standing.keys and standing.record_failure("t", now) == ""
 
 
 def test_the_lowest_hook_is_passed_over_first_when_steps_are_short() -> None:
-    steps = Steps(left=0.4 * STEPS_PER_S, at=0)
-    assert [steps.may(place, 3, 0) for place in range(3)] == [True, True, False]
-    steps.used(int(0.3 * STEPS_PER_S))
-    assert [steps.may(place, 3, 0) for place in range(3)] == [True, False, False]
-    assert steps.may(2, 3, SECOND)
+    steps = StepBucket(left=0.4 * STEPS_PER_S, at=0)
+    assert [steps.may_run(place, 3, 0) for place in range(3)] == [True, True, False]
+    steps.spend(int(0.3 * STEPS_PER_S))
+    assert [steps.may_run(place, 3, 0) for place in range(3)] == [True, False, False]
+    assert steps.may_run(2, 3, SECOND)
 
 
 # ---- what hooks say together ----
@@ -104,24 +108,27 @@
         a='on arrive { return {use_case: "dear", favour: 2} }',
         b='on arrive { return {use_case: "cheap", favour: 0.5} }',
     )
-    said = made.said("arrive", facts(), "k", 0)
+    said = made.evaluate("arrive", facts(), "k", 0)
     assert said.use_case == "dear" and said.favour == 1.0
 
 
 def test_a_hook_that_fails_is_passed_over_and_the_next_one_runs() -> None:
     made = hooks(a="on arrive { let x = 1 / 0 }", b="on arrive { return {favour: 2} }")
     for now in range(6):
-        assert made.said("arrive", facts(), "k", now).favour == 2
-    assert made.counts["hooks_failed.wrong"] == FAILURES and made.counts["hooks_passed_over.benched"] == 3
+        assert made.evaluate("arrive", facts(), "k", now).favour == 2
+    assert (
+        made.counts["hooks_failed.wrong"] == FAILURES_TO_SUSPEND
+        and made.counts["hooks_passed_over.benched"] == 3
+    )
 
 
 def test_a_hook_that_is_slow_for_one_tenant_is_benched_for_that_tenant() -> None:
     text = 'on arrive { if call.tenant == "big" { let n = 0 while n >= 0 { n = n + 1 } } return {favour: 2} }'
     made = hooks(a=text)
     for now in range(10):
-        assert made.said("arrive", facts(tenant="big"), "big", now).favour == 1
-        assert made.said("arrive", facts(tenant="small"), "small", now).favour == 2
-    assert made.counts["hooks_failed.steps"] == FAILURES and made.counts["hooks_benched.key"] == 1
+        assert made.evaluate("arrive", facts(tenant="big"), "big", now).favour == 1
+        assert made.evaluate("arrive", facts(tenant="small"), "small", now).favour == 2
+    assert made.counts["hooks_failed.steps"] == FAILURES_TO_SUSPEND and made.counts["hooks_benched.key"] == 1
 
 
 def test_state_is_kept_for_its_time_and_a_failed_run_keeps_nothing() -> None:
@@ -132,40 +139,43 @@
       return {tags: [text(n)]}
     }"""
     made = hooks(a=text)
-    assert [made.said("arrive", facts(), "k", now).tags for now in (0, 1, 2)] == [("1",), ("2",), ("3",)]
-    assert made.said("arrive", facts(called="bad"), "k", 3).tags == ()
-    assert made.said("arrive", facts(), "k", 4).tags == ("4",)
-    assert made.said("arrive", facts(), "k", 4 + 2 * SECOND).tags == ("1",)
+    assert [made.evaluate("arrive", facts(), "k", now).tags for now in (0, 1, 2)] == [("1",), ("2",), ("3",)]
+    assert made.evaluate("arrive", facts(called="bad"), "k", 3).tags == ()
+    assert made.evaluate("arrive", facts(), "k", 4).tags == ("4",)
+    assert made.evaluate("arrive", facts(), "k", 4 + 2 * SECOND).tags == ("1",)
 
 
 def test_state_that_grows_is_bounded_and_told() -> None:
     made = hooks(a="on arrive { for i in 90 { remember(call.called + text(i), 1, 1h) } }")
     for n in range(15):
-        made.said("arrive", facts(called=f"{n}-"), "k", n)
+        made.evaluate("arrive", facts(called=f"{n}-"), "k", n)
     assert (
-        len(made.kept["a"].values) == MOST_KEPT and made.counts["hooks_state_dropped"] == 15 * 90 - MOST_KEPT
+        len(made.states["a"].values) == MAX_STATE_KEYS
+        and made.counts["hooks_state_dropped"] == 15 * 90 - MAX_STATE_KEYS
     )
 
 
 def test_a_swap_is_whole_and_state_survives_it() -> None:
     made = hooks(a='on arrive { remember("n", recall("n", 0) + 1, 1h) return {tags: ["old"]} }')
-    made.said("arrive", facts(), "k", 0)
+    made.evaluate("arrive", facts(), "k", 0)
     old = made.version
-    new = load({"a": 'on arrive { return {tags: ["new " + text(recall("n", 0))]} }'}, PARSER)
+    new = load_version({"a": 'on arrive { return {tags: ["new " + text(recall("n", 0))]} }'}, PARSER)
     made.swap(new)
-    assert made.said("arrive", facts(), "k", 1).tags == ("new 1",)
+    assert made.evaluate("arrive", facts(), "k", 1).tags == ("new 1",)
     made.swap(old)
-    assert made.said("arrive", facts(), "k", 2).tags == ("old",) and old.mark != new.mark
+    assert made.evaluate("arrive", facts(), "k", 2).tags == ("old",) and old.digest != new.digest
 
 
 def test_a_version_that_fails_its_own_tests_is_not_taken() -> None:
     with pytest.raises(InvalidHooks, match="a:1:36: test 'no': what is expected is not so"):
-        load({"a": 'on arrive { return } test "no" {   expect arrive({}, {}, {}, {}) != none }'}, PARSER)
+        load_version(
+            {"a": 'on arrive { return } test "no" {   expect arrive({}, {}, {}, {}) != none }'}, PARSER
+        )
 
 
 def test_the_samples_pass_their_own_tests() -> None:
     assert len(SAMPLES) >= 6
-    assert len(load(SAMPLES, PARSER).programs) == len(SAMPLES)
+    assert len(load_version(SAMPLES, PARSER).programs) == len(SAMPLES)
 
 
 # ---- the broken hooks, on the whole path ----
@@ -240,32 +250,34 @@
 
 def test_a_shadow_decides_nothing_and_its_differences_are_counted() -> None:
     made = hooks(a="on arrive { return {favour: 2} }")
-    made.try_beside(
-        load({"a": 'on arrive { if call.called == "7" { return {favour: 3} } return {favour: 2} }'}, PARSER)
+    made.start_shadow(
+        load_version(
+            {"a": 'on arrive { if call.called == "7" { return {favour: 3} } return {favour: 2} }'}, PARSER
+        )
     )
     for called in range(10):
         said, mark = made.consult("arrive", facts(called=str(called)), "k", called, str(called))
-        assert said.favour == 2 and mark == made.version.mark
+        assert said.favour == 2 and mark == made.version.digest
     assert made.counts["hooks_shadow.differs"] == 1 and made.counts["hooks_shadow.same"] == 9
 
 
 def test_a_canary_decides_for_its_share_of_called_numbers_and_always_the_same() -> None:
     made = hooks(a="on arrive { return {favour: 2} }")
-    made.try_beside(load({"a": "on arrive { return {favour: 3} }"}, PARSER))
-    made.canary = BUCKETS // 5
+    made.start_shadow(load_version({"a": "on arrive { return {favour: 3} }"}, PARSER))
+    made.canary = CANARY_BUCKETS // 5
     first = [made.consult("arrive", facts(called=str(n)), "k", n, str(n)) for n in range(500)]
     again = [made.consult("arrive", facts(called=str(n)), "k", n, str(n)) for n in range(500)]
     assert first == again
     assert 60 < sum(said.favour == 3 for said, _ in first) < 140
-    assert all((said.favour == 3) == (mark != made.version.mark) for said, mark in first)
+    assert all((said.favour == 3) == (mark != made.version.digest) for said, mark in first)
 
 
 def test_a_failing_shadow_costs_nobody_anything() -> None:
     made = hooks(a="on arrive { return {favour: 2} }")
-    made.try_beside(load({"a": "on arrive { let n = 0 while n >= 0 { n = n + 1 } }"}, PARSER))
+    made.start_shadow(load_version({"a": "on arrive { let n = 0 while n >= 0 { n = n + 1 } }"}, PARSER))
     for now in range(50):
         assert made.consult("arrive", facts(), "k", now, "1")[0].favour == 2
-    assert made.shadow is not None and made.shadow.counts["hooks_failed.steps"] == FAILURES
+    assert made.shadow is not None and made.shadow.counts["hooks_failed.steps"] == FAILURES_TO_SUSPEND
     assert not any(name.startswith("hooks_failed") for name in made.counts)
 
 
@@ -320,31 +332,31 @@
         for line in one.lines
         if not isinstance(line, Note) and isinstance(line.frame, frames.Final)
     ]
-    assert {final.by for final in finals} == {load(texts, PARSER).mark}
+    assert {final.by for final in finals} == {load_version(texts, PARSER).digest}
 
 
-def remembering() -> dict[str, Kept]:
-    kept = Kept()
+def remembering() -> dict[str, HookState]:
+    kept = HookState()
     shown = Record({"n": 1, "spans": ListValue((Duration(5), None, True), 1)}, 2)
     kept.values = {"a": (shown, 10 * SECOND), "ended": (1, 0)}
     return {"f": kept}
 
 
 def test_what_is_remembered_comes_back_with_what_is_left_of_its_time() -> None:
-    found, words = read(dump(remembering(), SECOND), 100 * SECOND)
+    found, words = decode_state(encode_state(remembering(), SECOND), 100 * SECOND)
     assert words == [] and found["f"].values == {"a": (remembering()["f"].values["a"][0], 109 * SECOND)}
-    assert read(b"", 0) == ({}, [])
+    assert decode_state(b"", 0) == ({}, [])
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 200), st.integers(0, 255))
 def test_a_damaged_file_is_dropped_with_a_word(at: int, byte: int) -> None:
-    data = bytearray(dump(remembering(), 0))
+    data = bytearray(encode_state(remembering(), 0))
     at %= len(data)
     changed = data[at] != byte and not (at == len(data) - 1 and bytes((byte,)).isspace())
     data[at] = byte
-    found, words = read(bytes(data), 0)
-    if changed and bytes(data).strip() != dump(remembering(), 0).strip():
+    found, words = decode_state(bytes(data), 0)
+    if changed and bytes(data).strip() != encode_state(remembering(), 0).strip():
         assert found == {} and "dropped" in words[0]
 
 
@@ -362,5 +374,5 @@
 )
 def test_oversized_or_foreign_state_is_dropped_with_a_word(body: Any, word: str) -> None:
     line = msgspec.json.encode(body)
-    found, words = read(line + b"\n" + blake3(line).hexdigest().encode(), 0)
-    assert word in words[0] and sum(len(one.values) for one in found.values()) <= MOST_KEPT
+    found, words = decode_state(line + b"\n" + blake3(line).hexdigest().encode(), 0)
+    assert word in words[0] and sum(len(one.values) for one in found.values()) <= MAX_STATE_KEYS
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,7 +15,7 @@
 import pytest
 from world import USE_CASES, day, played, trouble
 
-from wellhitch.hooks.keeping import read
+from wellhitch.hooks.keeping import decode_state
 from wellhitch.lab.fleet import LoopbackAddresses, sheet_of
 from wellhitch.lab.play import play_sockets
 from wellhitch.settings.sheet import LedgerLine
@@ -161,7 +161,7 @@
         assert process.wait(PATIENCE_S) == 0
     finally:
         process.kill()
-    found, words = read((tmp_path / "kept").read_bytes(), 0)
+    found, words = decode_state((tmp_path / "kept").read_bytes(), 0)
     assert words == [] and "ticks" in found["a"].values
 
 
--- a/wellhitch/cli/check.py
+++ b/wellhitch/cli/check.py
@@ -6,7 +6,7 @@
 
 from wellhitch.cli.errors import told_plainly
 from wellhitch.hooks.grammar import Parser
-from wellhitch.hooks.host import load
+from wellhitch.hooks.host import load_version
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.settings import checked, day, sheet
 from wellhitch.settings.template import evaluate
@@ -42,7 +42,7 @@
     """The hooks of a sheet or day, with their own tests. Raises Faults."""
     if texts:
         try:
-            load(texts, Parser())
+            load_version(texts, Parser())
         except InvalidHooks as bad:
             raise checked.Faults(where, [f"hooks: {fault}" for fault in bad.diagnostics]) from None
 
--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -12,7 +12,15 @@
 from wellhitch.hooks.check import check as check_file
 from wellhitch.hooks.emit import compile_file
 from wellhitch.hooks.grammar import MAX_SOURCE_CHARS, Parser
-from wellhitch.hooks.host import LOAD_STEPS, MEMORY, STEPS, Version, load, run_tests, to_value
+from wellhitch.hooks.host import (
+    LOAD_BUDGET,
+    MAX_MEMORY_CELLS,
+    MAX_STEPS,
+    Version,
+    load_version,
+    run_tests,
+    to_value,
+)
 from wellhitch.hooks.layout import format_source
 from wellhitch.hooks.points import POINTS, InvalidHookResult, parse_result
 from wellhitch.hooks.tree import InvalidHooks
@@ -58,7 +66,7 @@
     with told_plainly():
         texts = texts_of(folder)
     try:
-        return load(texts, Parser())
+        return load_version(texts, Parser())
     except InvalidHooks as bad:
         click.echo(str(bad), err=True)
         sys.exit(1)
@@ -104,7 +112,7 @@
             file = parser.parse(text, name)
             wrong = check_file(file)
             if not wrong:
-                wrong = run_tests(compile_file(file, Budget(LOAD_STEPS, LOAD_STEPS)))
+                wrong = run_tests(compile_file(file, Budget(LOAD_BUDGET, LOAD_BUDGET)))
                 passed += len(file.tests) - len(wrong)
         except InvalidHooks as bad:
             wrong = bad.diagnostics
@@ -172,12 +180,12 @@
     for program in version.programs:
         if "arrive" not in program.hooks:
             continue
-        budget = Budget(STEPS, MEMORY)
+        budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
         try:
             value = program.run("arrive", inputs, budget)
             said = shown(parse_result("arrive", value, use_cases))
             click.echo(
-                f"{program.file.name}: {said}  (returned {to_text(value, Budget())}; {STEPS - budget.steps} steps)"
+                f"{program.file.name}: {said}  (returned {to_text(value, Budget())}; {MAX_STEPS - budget.steps} steps)"
             )
         except HookError as fault:
             click.echo(f"{program.file.name}:{fault.position[0]}:{fault.position[1]}: fails: {fault.text}")
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -16,7 +16,7 @@
 from wellhitch.cli.check import read_sheet
 from wellhitch.cli.errors import told_plainly
 from wellhitch.cli.logs import set_up
-from wellhitch.hooks.keeping import MAX_BYTES
+from wellhitch.hooks.keeping import MAX_STATE_BYTES
 from wellhitch.ledger.box import FolderBox
 from wellhitch.ledger.desk import Desk, Door
 from wellhitch.ledger.entries import NumberKeys
@@ -125,7 +125,7 @@
 def read_state(state: Path, log: Log) -> bytes:
     """What hooks remembered, as far as it can be read; a start waits for no pipe and fails for no directory."""
     try:
-        return read_file(state, MAX_BYTES)
+        return read_file(state, MAX_STATE_BYTES)
     except FileNotFoundError:
         return b""  # the first start
     except OSError as fault:
--- a/wellhitch/hooks/keeping.py
+++ b/wellhitch/hooks/keeping.py
@@ -11,7 +11,7 @@
 import msgspec
 from blake3 import blake3
 
-from wellhitch.hooks.host import MOST_KEPT, Kept
+from wellhitch.hooks.host import MAX_STATE_KEYS, HookState
 from wellhitch.hooks.values import (
     LARGEST,
     LARGEST_KEPT,
@@ -27,8 +27,10 @@
     make_record,
 )
 
-FORM = 1
-MAX_BYTES = 8 * 1024 * 1024  # of the whole file: a hundred files that remember all they may come to some six
+FORMAT_VERSION = 1
+MAX_STATE_BYTES = (
+    8 * 1024 * 1024
+)  # of the whole file: a hundred files that remember all they may come to some six
 
 
 def plain(value: Value) -> Any:
@@ -60,23 +62,23 @@
     raise ValueError("no value")
 
 
-def dump(kept: Mapping[str, Kept], now: int) -> bytes:
+def encode_state(kept: Mapping[str, HookState], now: int) -> bytes:
     """All that is remembered and has not ended."""
     files = {
         name: {key: [plain(value), until - now] for key, (value, until) in one.values.items() if until > now}
         for name, one in kept.items()
     }
-    line = msgspec.json.encode({"form": FORM, "files": files})
+    line = msgspec.json.encode({"form": FORMAT_VERSION, "files": files})
     return line + b"\n" + blake3(line).hexdigest().encode() + b"\n"
 
 
-def read(data: bytes, now: int) -> tuple[dict[str, Kept], list[str]]:
+def decode_state(data: bytes, now: int) -> tuple[dict[str, HookState], list[str]]:
     """State and what was dropped, in words. Never raises: what is damaged is dropped as a whole, a key that is too
     large or no value by itself."""
     if not data:
         return {}, []
-    if len(data) > MAX_BYTES:
-        return {}, [f"{len(data)} bytes, over {MAX_BYTES}: all dropped"]
+    if len(data) > MAX_STATE_BYTES:
+        return {}, [f"{len(data)} bytes, over {MAX_STATE_BYTES}: all dropped"]
     line, _, rest = data.partition(b"\n")
     if blake3(line).hexdigest().encode() != rest.strip():
         return {}, ["damaged, its hash does not fit: all dropped"]
@@ -85,13 +87,13 @@
         files = msgspec.convert(whole.get("files"), dict[str, dict[str, tuple[Any, int]]])
     except (msgspec.MsgspecError, RecursionError) as fault:
         return {}, [f"not as it should be ({fault}): all dropped"]
-    if whole.get("form") != FORM:
-        return {}, [f"form {whole.get('form')!r}, not {FORM}: all dropped"]
-    out: dict[str, Kept] = {}
+    if whole.get("form") != FORMAT_VERSION:
+        return {}, [f"form {whole.get('form')!r}, not {FORMAT_VERSION}: all dropped"]
+    out: dict[str, HookState] = {}
     words: list[str] = []
     for name, keys in files.items():
-        one = out[name] = Kept()
-        for key, (given, left) in list(keys.items())[:MOST_KEPT]:
+        one = out[name] = HookState()
+        for key, (given, left) in list(keys.items())[:MAX_STATE_KEYS]:
             budget = Budget()
             try:
                 value = value_of(given, budget)
@@ -102,6 +104,6 @@
                 continue
             if left > 0:
                 one.values[key] = (value, now + left)
-        if len(keys) > MOST_KEPT:
-            words.append(f"{name}: {len(keys)} keys, over {MOST_KEPT}: the rest dropped")
+        if len(keys) > MAX_STATE_KEYS:
+            words.append(f"{name}: {len(keys)} keys, over {MAX_STATE_KEYS}: the rest dropped")
     return out, words
--- a/wellhitch/lab/hook_runs.py
+++ b/wellhitch/lab/hook_runs.py
@@ -82,7 +82,7 @@
         hooks = servers.get(number)
         if hooks is None:
             hooks = servers[number] = Hooks(version, use_cases, _silent, out.counts)
-        said = hooks.said("arrive", facts_of(call, number, t), call.tenant or call.use_case, t)
+        said = hooks.evaluate("arrive", facts_of(call, number, t), call.tenant or call.use_case, t)
         tally = out.by_use_case.setdefault(call.use_case, Tally())
         tally.arrivals += 1
         tally.pushed_back += said.push_back is not None
--- a/wellhitch/lab/measure_hooks.py
+++ b/wellhitch/lab/measure_hooks.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from wellhitch.hooks.containment import Standing
+from wellhitch.hooks.containment import HookSuspensions
 from wellhitch.hooks.emit import compile_file
 from wellhitch.hooks.grammar import Parser
-from wellhitch.hooks.host import MEMORY, STEPS, Hooks, load, to_value
+from wellhitch.hooks.host import MAX_MEMORY_CELLS, MAX_STEPS, Hooks, load_version, to_value
 from wellhitch.hooks.points import POINTS
 from wellhitch.hooks.values import Budget, HookError, Value
 from wellhitch.hooks.walker import Interpreter
@@ -80,15 +80,15 @@
     walker = Interpreter(file, Budget())
 
     def walk() -> None:
-        walker.budget = Budget(STEPS, MEMORY)
+        walker.budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
         walker.run("arrive", inputs)
 
-    hooks = Hooks(load({"ten": TEN_LINES}, parser), frozenset({"card-lock"}), lambda event, **f: None)
+    hooks = Hooks(load_version({"ten": TEN_LINES}, parser), frozenset({"card-lock"}), lambda event, **f: None)
     clock = [0]
 
     def host() -> None:
         clock[0] += 10_000
-        hooks.said("arrive", inputs, "k", clock[0])
+        hooks.evaluate("arrive", inputs, "k", clock[0])
 
     plain = _median(lambda: in_python(facts["call"], 9, 0.2), times)
     out = ["a ten-line hook, median of a call"]
@@ -96,13 +96,13 @@
         ("plain Python", plain),
         (
             "Python source, compiled",
-            _median(lambda: program.run("arrive", inputs, Budget(STEPS, MEMORY)), times),
+            _median(lambda: program.run("arrive", inputs, Budget(MAX_STEPS, MAX_MEMORY_CELLS)), times),
         ),
         ("tree walker", _median(walk, times)),
         ("whole: hook, its answer, benches", _median(host, times)),
     ):
         out.append(f"  {name:36} {took:8.2f} us   {took / plain:5.1f} x plain Python")
-    out.append(f"time to stop the worst programs, a budget of {STEPS} steps and {MEMORY} cells")
+    out.append(f"time to stop the worst programs, a budget of {MAX_STEPS} steps and {MAX_MEMORY_CELLS} cells")
     for name, body in WORST.items():
         worst = compile_file(
             parser.parse("function f(x) { return f(x + 1) } on arrive { " + body + " }", "w"), Budget()
@@ -110,16 +110,14 @@
         began = time.perf_counter()
         kind = "ended"
         try:
-            worst.run("arrive", inputs, Budget(STEPS, MEMORY))
+            worst.run("arrive", inputs, Budget(MAX_STEPS, MAX_MEMORY_CELLS))
         except HookError as fault:
             kind = fault.kind
         out.append(f"  {name:36} {(time.perf_counter() - began) * 1000:8.2f} ms   {kind}")
     many = {f"{at:03}": TEN_LINES for at in range(200)}
     began = time.perf_counter()
-    load(many, parser)
-    out.append(
-        f"200 hooks of ten lines read, checked and compiled in {time.perf_counter() - began:.2f} s"
-    )
+    load_version(many, parser)
+    out.append(f"200 hooks of ten lines read, checked and compiled in {time.perf_counter() - began:.2f} s")
     return out
 
 
@@ -133,21 +131,21 @@
     )
     for whose in ("one key", "all keys"):
         for share in (0.01, 0.05, 0.2, 0.5, 1.0):
-            standing, now = Standing(), 0.0
+            standing, now = HookSuspensions(), 0.0
             runs = failed = passed = lost = 0
             while now < seconds * 1e6:
                 now += chance.expovariate(per_s) * 1e6
                 key = str(chance.randrange(keys))
                 fails = chance.random() < share and (whose == "all keys" or key == "0")
                 runs += 1
-                if not standing.may(key, int(now)):
+                if not standing.may_run(key, int(now)):
                     passed += 1
                     lost += not fails
                 elif fails:
                     failed += 1
-                    standing.failed(key, int(now))
+                    standing.record_failure(key, int(now))
                 else:
-                    standing.went_well(key)
+                    standing.record_success(key)
             out.append(
                 f"  {share:4.0%} of {whose:9} {failed / runs:25.1%} {passed / runs:13.1%} {lost / runs:13.1%}"
             )
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from wellhitch.hooks.grammar import Parser
-from wellhitch.hooks.host import BUCKETS, Hooks, Version, load
-from wellhitch.hooks.keeping import dump, read
+from wellhitch.hooks.host import CANARY_BUCKETS, Hooks, Version, load_version
+from wellhitch.hooks.keeping import decode_state, encode_state
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.interface import events as ev
 from wellhitch.ledger.desk import Desk
@@ -94,7 +94,7 @@
         if hooks:
             self.parser = Parser()
             use_cases = frozenset(use.name for use in opened.use_cases)
-            made = Hooks(load(hooks, self.parser), use_cases, log, self.switch.counts)
+            made = Hooks(load_version(hooks, self.parser), use_cases, log, self.switch.counts)
             self.switch.hooked = Hooked(made, self.switch.exchange, self.switch.number, clock)
         self.tells = opened.permissions.may_tell_peers and not opened.place.advised
         self.stopped = False
@@ -303,13 +303,13 @@
     def hooks_state(self) -> bytes:
         """What hooks remember, for a file."""
         hooked = self.switch.hooked
-        return dump(hooked.hooks.kept, self.now()) if hooked else b""
+        return encode_state(hooked.hooks.states, self.now()) if hooked else b""
 
     def take_hooks_state(self, data: bytes) -> None:
         """Take what an earlier process remembered; what is damaged or too large is dropped with a word in the log."""
         if self.switch.hooked:
-            kept, words = read(data, self.now())
-            self.switch.hooked.hooks.kept.update(kept)
+            kept, words = decode_state(data, self.now())
+            self.switch.hooked.hooks.states.update(kept)
             for word in words:
                 self.switch.counts["hooks_state_dropped"] += 1
                 self.write_log("hooks_state_dropped", why=word)
@@ -324,51 +324,51 @@
         hooks, word, number = hooked.hooks, what.split(" ")[0], what.partition(" ")[2]
         if word in ("reload", "shadow"):
             try:
-                version = load(self.reread(), self.parser) if self.reread else hooks.version
+                version = load_version(self.reread(), self.parser) if self.reread else hooks.version
             except (InvalidHooks, Faults) as bad:
-                return f"not taken, {hooks.version.mark} runs on\n{bad}"
-            if version.mark == hooks.version.mark:
-                return f"{version.mark} runs already"
+                return f"not taken, {hooks.version.digest} runs on\n{bad}"
+            if version.digest == hooks.version.digest:
+                return f"{version.digest} runs already"
             if word == "shadow":
-                hooks.try_beside(version)
-                return f"{version.mark} runs beside {hooks.version.mark} and decides nothing"
+                hooks.start_shadow(version)
+                return f"{version.digest} runs beside {hooks.version.digest} and decides nothing"
             return self._swap_hooks(hooks, version)
         if word in ("canary", "take", "drop") and hooks.shadow is None:
             return "no shadow runs: hooks shadow begins one"
         if word == "canary":
             if not re.fullmatch("[0-9]{1,3}", number) or int(number) > 100:
                 return f"canary {number[:20]!r}: a percentage from 0 to 100"
-            hooks.canary = int(number) * BUCKETS // 100
+            hooks.canary = int(number) * CANARY_BUCKETS // 100
             return f"the shadow decides for {number}% of called numbers"
         if word == "take" and hooks.shadow is not None:
             return self._swap_hooks(hooks, hooks.shadow.version)
         if word == "drop":
             hooks.drop_shadow()
-            return f"{hooks.version.mark} runs alone"
+            return f"{hooks.version.digest} runs alone"
         if word == "back":
             if not self.past:
-                return f"nothing before {hooks.version.mark}"
+                return f"nothing before {hooks.version.digest}"
             hooks.swap(self.past.pop())
-            return f"{hooks.version.mark} runs from now on"
+            return f"{hooks.version.digest} runs from now on"
         return msgspec.json.format(msgspec.json.encode(self._hooks_shown(hooks)), indent=2).decode()
 
     def _swap_hooks(self, hooks: Hooks, version: Version) -> str:
         self.past = [*self.past[-9:], hooks.version]
         hooks.swap(version)
-        return f"{version.mark} runs from now on; hooks back returns to {self.past[-1].mark}"
+        return f"{version.digest} runs from now on; hooks back returns to {self.past[-1].digest}"
 
     def _hooks_shown(self, hooks: Hooks) -> dict[str, Any]:
         return {
-            "version": hooks.version.mark,
+            "version": hooks.version.digest,
             "files": [program.file.name for program in hooks.version.programs],
-            "shadow": hooks.shadow.version.mark if hooks.shadow else None,
-            "canary_percent": hooks.canary * 100 / BUCKETS,
+            "shadow": hooks.shadow.version.digest if hooks.shadow else None,
+            "canary_percent": hooks.canary * 100 / CANARY_BUCKETS,
             "benched": {
-                name: {"all_until": one.whole.until, "keys": list(one.keys)}
-                for name, one in hooks.standings.items()
-                if one.whole.until or one.keys
+                name: {"all_until": one.all_keys.until, "keys": list(one.keys)}
+                for name, one in hooks.suspensions.items()
+                if one.all_keys.until or one.keys
             },
-            "remembered": {name: len(kept.values) for name, kept in hooks.kept.items()},
+            "remembered": {name: len(kept.values) for name, kept in hooks.states.items()},
             "counts": {
                 name: count for name, count in sorted(hooks.counts.items()) if name.startswith("hooks")
             },
--- a/wellhitch/server/hooked.py
+++ b/wellhitch/server/hooked.py
@@ -74,8 +74,8 @@
         self, call: frames.Call, held: int, groups: Mapping[int, Group], now: int
     ) -> tuple[HookResult, str]:
         """What is said of a dialogue before it is told to the decisions, and by which version."""
-        if not self.hooks.wants("arrive"):
-            return HookResult(), self.hooks.decides(call.called).version.mark
+        if not self.hooks.has_hooks("arrive"):
+            return HookResult(), self.hooks.deciding_for(call.called).version.digest
         there = self.exchange.by_number.get(call.destination)
         group = groups.get(call.destination)
         load: dict[str, Value] = {
@@ -94,7 +94,7 @@
 
     def answered(self, taken: Taken, answer: str, left: int, now: int) -> tuple[str, ...]:
         """The tags of a dialogue that gets its final answer."""
-        if not self.hooks.wants("answer"):
+        if not self.hooks.has_hooks("answer"):
             return taken.tags
         facts = {
             "call": self._call(taken, False, left),
@@ -109,7 +109,7 @@
 
     def listed(self, end: OfficeEnd, now: int) -> str | None:
         """A mark for an office of which the list's line changed."""
-        if not self.hooks.wants("list"):
+        if not self.hooks.has_hooks("list"):
             return None
         facts = {
             "office": {"id": end.id, "number": end.number, "standing": end.standing.name.lower()},
@@ -120,7 +120,7 @@
 
     def tick(self, held: int, now: int) -> None:
         """Once a second."""
-        if not self.hooks.wants("tick"):
+        if not self.hooks.has_hooks("tick"):
             return
         facts = {
             "clock": self._clock(now),
