--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -11,10 +11,10 @@
 from wellhitch.hooks.check import check
 from wellhitch.hooks.emit import SEEN, compile_file
 from wellhitch.hooks.grammar import Parser
+from wellhitch.hooks.interpreter import Interpreter
 from wellhitch.hooks.points import FAVOUR, InvalidHookResult, parse_result
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.hooks.values import Budget, Duration, HookError, ListValue, Record, Value
-from wellhitch.hooks.walker import Interpreter
 
 PARSER = Parser()
 CLOCK = Record(
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -21,7 +21,7 @@
 )
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.host import CANARY_BUCKETS, MAX_STATE_KEYS, Hooks, HookState, load_version
-from wellhitch.hooks.keeping import decode_state, encode_state
+from wellhitch.hooks.state_file import decode_state, encode_state
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.hooks.values import Duration, ListValue, Record
 from wellhitch.lab.fleet import InProcess
--- a/tests/test_hooks_tools.py
+++ b/tests/test_hooks_tools.py
@@ -11,7 +11,7 @@
 from world import USE_CASES, day, rules, trouble
 
 from wellhitch.cli.main import main
-from wellhitch.hooks.layout import format_source
+from wellhitch.hooks.formatter import format_source
 from wellhitch.lab.play import play_sockets
 
 SAMPLES = str(Path(__file__).parents[1] / "hooks")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,7 +15,7 @@
 import pytest
 from world import USE_CASES, day, played, trouble
 
-from wellhitch.hooks.keeping import decode_state
+from wellhitch.hooks.state_file import decode_state
 from wellhitch.lab.fleet import LoopbackAddresses, sheet_of
 from wellhitch.lab.play import play_sockets
 from wellhitch.settings.sheet import LedgerLine
--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -11,6 +11,7 @@
 from wellhitch.cli.errors import told_plainly
 from wellhitch.hooks.check import check as check_file
 from wellhitch.hooks.emit import compile_file
+from wellhitch.hooks.formatter import format_source
 from wellhitch.hooks.grammar import MAX_SOURCE_CHARS, Parser
 from wellhitch.hooks.host import (
     LOAD_BUDGET,
@@ -21,7 +22,6 @@
     run_tests,
     to_value,
 )
-from wellhitch.hooks.layout import format_source
 from wellhitch.hooks.points import POINTS, InvalidHookResult, parse_result
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.hooks.values import Budget, HookError, to_text
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -16,7 +16,7 @@
 from wellhitch.cli.check import read_sheet
 from wellhitch.cli.errors import told_plainly
 from wellhitch.cli.logs import set_up
-from wellhitch.hooks.keeping import MAX_STATE_BYTES
+from wellhitch.hooks.state_file import MAX_STATE_BYTES
 from wellhitch.ledger.box import FolderBox
 from wellhitch.ledger.desk import Desk, Door
 from wellhitch.ledger.entries import NumberKeys
--- a/wellhitch/hooks/emit.py
+++ b/wellhitch/hooks/emit.py
@@ -6,7 +6,7 @@
 the source where it rose: a run that goes well pays nothing for places.
 
 What goes often (numbers, short texts, fields of records) stands in line; all else calls `values.py`. Costs, values,
-faults and places are those of `walker.py`, the plainest statement of the language, held against it by generated
+faults and places are those of `interpreter.py`, the plainest statement of the language, held against it by generated
 programs.
 """
 
@@ -18,9 +18,9 @@
 from wellhitch.hooks import tree
 from wellhitch.hooks import values as v
 from wellhitch.hooks.cost import children, own_size, size, weight
+from wellhitch.hooks.interpreter import Interpreter
 from wellhitch.hooks.points import POINTS
 from wellhitch.hooks.values import Budget, HookError, ListValue, Record, Value
-from wellhitch.hooks.walker import Interpreter
 
 SHORT = 64  # characters: comparing with a shorter text costs no step (`values.same`)
 SEEN: dict[str, Any] = {
--- a/wellhitch/lab/measure_hooks.py
+++ b/wellhitch/lab/measure_hooks.py
@@ -10,9 +10,9 @@
 from wellhitch.hooks.emit import compile_file
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.host import MAX_MEMORY_CELLS, MAX_STEPS, Hooks, load_version, to_value
+from wellhitch.hooks.interpreter import Interpreter
 from wellhitch.hooks.points import POINTS
 from wellhitch.hooks.values import Budget, HookError, Value
-from wellhitch.hooks.walker import Interpreter
 from wellhitch.lab.hook_runs import facts_of
 from wellhitch.trunk import frames
 
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -11,7 +11,7 @@
 
 from wellhitch.hooks.grammar import Parser
 from wellhitch.hooks.host import CANARY_BUCKETS, Hooks, Version, load_version
-from wellhitch.hooks.keeping import decode_state, encode_state
+from wellhitch.hooks.state_file import decode_state, encode_state
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.interface import events as ev
 from wellhitch.ledger.desk import Desk
