--- a/wellhitch/hooks/keeping.py
+++ b/wellhitch/hooks/state_file.py
@@ -11,31 +11,33 @@
 import msgspec
 from blake3 import blake3
 
-from wellhitch.hooks.host import MOST_KEPT, Kept
+from wellhitch.hooks.host import MAX_STATE_KEYS, HookState
 from wellhitch.hooks.values import (
     LARGEST,
     LARGEST_KEPT,
     LONGEST_KEY,
     Budget,
-    HookFault,
-    Items,
+    Duration,
+    HookError,
+    ListValue,
     Record,
-    Span,
     Value,
     cells,
     make_list,
     make_record,
 )
 
-FORM = 1
-MAX_BYTES = 8 * 1024 * 1024  # of the whole file: a hundred files that remember all they may come to some six
+FORMAT_VERSION = 1
+MAX_STATE_BYTES = (
+    8 * 1024 * 1024
+)  # of the whole file: a hundred files that remember all they may come to some six
 
 
 def plain(value: Value) -> Any:
     """A value as JSON has it."""
-    if isinstance(value, Span):
+    if isinstance(value, Duration):
         return {"d": int(value)}
-    if isinstance(value, Items):
+    if isinstance(value, ListValue):
         return [plain(one) for one in value.items]
     if isinstance(value, Record):
         return {"r": {name: plain(one) for name, one in value.fields.items()}}
@@ -43,7 +45,7 @@
 
 
 def value_of(given: Any, budget: Budget) -> Value:
-    """A value from JSON. Raises HookFault or ValueError for what is none."""
+    """A value from JSON. Raises HookError or ValueError for what is none."""
     if given is None or isinstance(given, (bool, str)):
         return given
     if isinstance(given, (int, float)):
@@ -54,29 +56,29 @@
         return make_list(tuple(value_of(one, budget) for one in given), budget)
     if isinstance(given, dict) and len(given) == 1:
         if type(us := given.get("d")) is int and -LARGEST <= us <= LARGEST:
-            return Span(us)
+            return Duration(us)
         if isinstance(fields := given.get("r"), dict):
             return make_record({name: value_of(one, budget) for name, one in fields.items()}, budget)
     raise ValueError("no value")
 
 
-def dump(kept: Mapping[str, Kept], now: int) -> bytes:
+def encode_state(kept: Mapping[str, HookState], now: int) -> bytes:
     """All that is remembered and has not ended."""
     files = {
         name: {key: [plain(value), until - now] for key, (value, until) in one.values.items() if until > now}
         for name, one in kept.items()
     }
-    line = msgspec.json.encode({"form": FORM, "files": files})
+    line = msgspec.json.encode({"form": FORMAT_VERSION, "files": files})
     return line + b"\n" + blake3(line).hexdigest().encode() + b"\n"
 
 
-def read(data: bytes, now: int) -> tuple[dict[str, Kept], list[str]]:
+def decode_state(data: bytes, now: int) -> tuple[dict[str, HookState], list[str]]:
     """State and what was dropped, in words. Never raises: what is damaged is dropped as a whole, a key that is too
     large or no value by itself."""
     if not data:
         return {}, []
-    if len(data) > MAX_BYTES:
-        return {}, [f"{len(data)} bytes, over {MAX_BYTES}: all dropped"]
+    if len(data) > MAX_STATE_BYTES:
+        return {}, [f"{len(data)} bytes, over {MAX_STATE_BYTES}: all dropped"]
     line, _, rest = data.partition(b"\n")
     if blake3(line).hexdigest().encode() != rest.strip():
         return {}, ["damaged, its hash does not fit: all dropped"]
@@ -85,23 +87,23 @@
         files = msgspec.convert(whole.get("files"), dict[str, dict[str, tuple[Any, int]]])
     except (msgspec.MsgspecError, RecursionError) as fault:
         return {}, [f"not as it should be ({fault}): all dropped"]
-    if whole.get("form") != FORM:
-        return {}, [f"form {whole.get('form')!r}, not {FORM}: all dropped"]
-    out: dict[str, Kept] = {}
+    if whole.get("form") != FORMAT_VERSION:
+        return {}, [f"form {whole.get('form')!r}, not {FORMAT_VERSION}: all dropped"]
+    out: dict[str, HookState] = {}
     words: list[str] = []
     for name, keys in files.items():
-        one = out[name] = Kept()
-        for key, (given, left) in list(keys.items())[:MOST_KEPT]:
+        one = out[name] = HookState()
+        for key, (given, left) in list(keys.items())[:MAX_STATE_KEYS]:
             budget = Budget()
             try:
                 value = value_of(given, budget)
                 if len(key) > LONGEST_KEY or cells(value, budget) > LARGEST_KEPT or left > LARGEST:
                     raise ValueError("too large")
-            except (HookFault, ValueError, RecursionError) as fault:
+            except (HookError, ValueError, RecursionError) as fault:
                 words.append(f"{name}, key {key[:40]!r}: {fault}: dropped")
                 continue
             if left > 0:
                 one.values[key] = (value, now + left)
-        if len(keys) > MOST_KEPT:
-            words.append(f"{name}: {len(keys)} keys, over {MOST_KEPT}: the rest dropped")
+        if len(keys) > MAX_STATE_KEYS:
+            words.append(f"{name}: {len(keys)} keys, over {MAX_STATE_KEYS}: the rest dropped")
     return out, words
--- a/wellhitch/server/hook_runner.py
+++ b/wellhitch/server/hook_runner.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from wellhitch.hooks.host import Hooks
-from wellhitch.hooks.points import Said
-from wellhitch.hooks.values import Record, Span, Value
+from wellhitch.hooks.points import HookResult
+from wellhitch.hooks.values import Duration, Record, Value
 from wellhitch.interface.state import Exchange
 from wellhitch.server.dials import OfficeEnd, Taken
 from wellhitch.trunk import frames
@@ -53,7 +53,7 @@
             "minute": second // 60 % 60,
             "weekday": weekday,
             "date": date,
-            "since_start": Span(now - self.began),
+            "since_start": Duration(now - self.began),
         }
         return Record(fields, 1)
 
@@ -66,16 +66,16 @@
             "redialled": redialled,
             "transit": False,
             "tenant": call.tenant,
-            "left": Span(left),
+            "left": Duration(left),
         }
         return Record(fields, 1)
 
     def arrives(
         self, call: frames.Call, held: int, groups: Mapping[int, Group], now: int
-    ) -> tuple[Said, str]:
+    ) -> tuple[HookResult, str]:
         """What is said of a dialogue before it is told to the decisions, and by which version."""
-        if not self.hooks.wants("arrive"):
-            return Said(), self.hooks.decides(call.called).version.mark
+        if not self.hooks.has_hooks("arrive"):
+            return HookResult(), self.hooks.deciding_for(call.called).version.digest
         there = self.exchange.by_number.get(call.destination)
         group = groups.get(call.destination)
         load: dict[str, Value] = {
@@ -94,7 +94,7 @@
 
     def answered(self, taken: Taken, answer: str, left: int, now: int) -> tuple[str, ...]:
         """The tags of a dialogue that gets its final answer."""
-        if not self.hooks.wants("answer"):
+        if not self.hooks.has_hooks("answer"):
             return taken.tags
         facts = {
             "call": self._call(taken, False, left),
@@ -109,7 +109,7 @@
 
     def listed(self, end: OfficeEnd, now: int) -> str | None:
         """A mark for an office of which the list's line changed."""
-        if not self.hooks.wants("list"):
+        if not self.hooks.has_hooks("list"):
             return None
         facts = {
             "office": {"id": end.id, "number": end.number, "standing": end.standing.name.lower()},
@@ -120,7 +120,7 @@
 
     def tick(self, held: int, now: int) -> None:
         """Once a second."""
-        if not self.hooks.wants("tick"):
+        if not self.hooks.has_hooks("tick"):
             return
         facts = {
             "clock": self._clock(now),
