--- a/tests/test_hooks_language.py
+++ b/tests/test_hooks_language.py
@@ -9,16 +9,16 @@
 from hypothesis import strategies as st
 
 from wellhitch.hooks.check import check
-from wellhitch.hooks.emit import SEEN, compiled
+from wellhitch.hooks.emit import SEEN, compile_file
 from wellhitch.hooks.grammar import Parser
-from wellhitch.hooks.points import FAVOUR, BadAnswer, read_answer
-from wellhitch.hooks.tree import BadHooks
-from wellhitch.hooks.values import Budget, HookFault, Items, Record, Span, Value
-from wellhitch.hooks.walker import Walker
+from wellhitch.hooks.interpreter import Interpreter
+from wellhitch.hooks.points import FAVOUR, InvalidHookResult, parse_result
+from wellhitch.hooks.tree import InvalidHooks
+from wellhitch.hooks.values import Budget, Duration, HookError, ListValue, Record, Value
 
 PARSER = Parser()
 CLOCK = Record(
-    {"hour": 9, "minute": 5, "weekday": 2, "date": "2026-12-01", "since_start": Span(5_000_000)}, 1
+    {"hour": 9, "minute": 5, "weekday": 2, "date": "2026-12-01", "since_start": Duration(5_000_000)}, 1
 )
 CALL = Record(
     {
@@ -29,7 +29,7 @@
         "redialled": False,
         "transit": False,
         "tenant": None,
-        "left": Span(3_000_000),
+        "left": Duration(3_000_000),
     },
     1,
 )
@@ -42,8 +42,8 @@
     file = PARSER.parse(text, "t.hook")
     assert check(file) == [], [str(fault) for fault in check(file)]
     mine, other = Budget(), Budget()
-    found = compiled(file, mine).run("arrive", INPUTS, mine)
-    assert Walker(file, other).run("arrive", dict(INPUTS)) == found and mine.steps == other.steps
+    found = compile_file(file, mine).run("arrive", INPUTS, mine)
+    assert Interpreter(file, other).run("arrive", dict(INPUTS)) == found and mine.steps == other.steps
     return found
 
 
@@ -54,8 +54,8 @@
     )
     assert check(file) == [], [str(fault) for fault in check(file)]
     budget = Budget()
-    made = compiled(file, budget).run("arrive", INPUTS, budget)
-    assert isinstance(made, Record) and isinstance(made.fields["tags"], Items)
+    made = compile_file(file, budget).run("arrive", INPUTS, budget)
+    assert isinstance(made, Record) and isinstance(made.fields["tags"], ListValue)
     return made.fields["tags"].items[0]
 
 
@@ -67,9 +67,9 @@
         ("7 / 2", 3.5),
         ("7 % 4", 3),
         ('"a" + "b"', "ab"),
-        ("2s + 500ms", Span(2_500_000)),
+        ("2s + 500ms", Duration(2_500_000)),
         ("2s / 500ms", 4.0),
-        ("1h / 2", Span(1_800_000_000)),
+        ("1h / 2", Duration(1_800_000_000)),
         ("2 < 3 and not false", True),
         ('"b" in ["a", "b"]', True),
         ('"use_case" in call', True),
@@ -133,17 +133,17 @@
 
 
 def test_a_program_with_everything() -> None:
-    assert run(PROGRAM) == Record({"favour": 2, "tags": Items(("11", "[7, 2, 3]"), 1)}, 2)
+    assert run(PROGRAM) == Record({"favour": 2, "tags": ListValue(("11", "[7, 2, 3]"), 1)}, 2)
 
 
 def test_tests_beside_the_hook() -> None:
     file = PARSER.parse(PROGRAM, "t.hook")
-    program = compiled(file, Budget())
+    program = compile_file(file, Budget())
     program.test(0, Budget())
-    with pytest.raises(HookFault, match="what is expected") as fault:
+    with pytest.raises(HookError, match="what is expected") as fault:
         program.test(1, Budget())
     expected = next(n for n, line in enumerate(PROGRAM.split("\n"), 1) if "== 4 }" in line)
-    assert fault.value.at[0] == expected
+    assert fault.value.position[0] == expected
 
 
 @pytest.mark.parametrize(
@@ -189,8 +189,8 @@
 def test_what_is_wrong_is_told_at_load_with_its_place(text: str, said: str) -> None:
     try:
         faults = [str(fault) for fault in check(PARSER.parse(text, "t.hook"))]
-    except BadHooks as bad:
-        faults = [str(fault) for fault in bad.faults]
+    except InvalidHooks as bad:
+        faults = [str(fault) for fault in bad.diagnostics]
     assert any(said in fault for fault in faults) or not said, faults
 
 
@@ -219,11 +219,11 @@
     file = PARSER.parse("function down(n) { return down(n + 1) } on arrive { " + WORST[name] + " }", "w")
     assert check(file) == []
     budget = Budget()
-    program = compiled(file, budget)
+    program = compile_file(file, budget)
     began = time.process_time()
-    with pytest.raises(HookFault) as fault:
+    with pytest.raises(HookError) as fault:
         program.run("arrive", INPUTS, budget)
-    assert fault.value.kind in ("steps", "memory", "depth", "wrong") and fault.value.at != (0, 0)
+    assert fault.value.kind in ("steps", "memory", "depth", "wrong") and fault.value.position != (0, 0)
     assert time.process_time() - began < 5  # far over the aim of 2 ms; `measure hooks` measures
 
 
@@ -347,8 +347,8 @@
 def outcome(run_it: Any, budget: Budget) -> tuple[Any, ...]:
     try:
         return ("value", run_it(), budget.steps, budget.memory)
-    except HookFault as fault:
-        return ("fault", fault.kind, fault.text, fault.at, budget.steps, budget.memory)
+    except HookError as fault:
+        return ("fault", fault.kind, fault.text, fault.position, budget.steps, budget.memory)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -358,10 +358,10 @@
     check(file)  # whatever it says, it does not fail
     one, two = Budget(steps=3000, memory=3000), Budget(steps=3000, memory=3000)
     try:
-        program = compiled(file, one)
-    except HookFault:
+        program = compile_file(file, one)
+    except HookError:
         return
-    walker = Walker(file, two)
+    walker = Interpreter(file, two)
     found = outcome(lambda: program.run("arrive", dict(INPUTS), one), one)
     assert found == outcome(lambda: walker.run("arrive", dict(INPUTS)), two)
     assert one.store == two.store
@@ -373,8 +373,8 @@
     """Nothing of a file reaches Python but literals: no import, no attribute but three, no name that was not given."""
     file = PARSER.parse(text, "g")
     try:
-        program = compiled(file, Budget())
-    except HookFault:
+        program = compile_file(file, Budget())
+    except HookError:
         return
     functions = {f"f{at}" for at in range(len(file.functions))} | {f"h_{point}" for point in file.hooks}
     for node in ast.walk(ast.parse(program.source)):
@@ -400,24 +400,24 @@
     text = PROGRAM[:at] + put + PROGRAM[at + cut :]
     try:
         file = PARSER.parse(text, "m")
-    except BadHooks as bad:
-        assert bad.faults
+    except InvalidHooks as bad:
+        assert bad.diagnostics
         return
     if not check(file):
-        outcome(lambda: compiled(file, Budget()).run("arrive", INPUTS, Budget()), Budget())
+        outcome(lambda: compile_file(file, Budget()).run("arrive", INPUTS, Budget()), Budget())
 
 
 # ---- what a hook may say ----
 
 
 def said(**fields: Value) -> Any:
-    return read_answer("arrive", Record(dict(fields), 1), frozenset({"card-lock"}))
+    return parse_result("arrive", Record(dict(fields), 1), frozenset({"card-lock"}))
 
 
 def test_what_is_said_is_brought_within_its_bounds() -> None:
-    assert read_answer("arrive", None, frozenset()).favour == 1.0
+    assert parse_result("arrive", None, frozenset()).favour == 1.0
     assert said(favour=1000).favour == FAVOUR and said(favour=-5).favour == 1 / FAVOUR
-    assert said(use_case="card-lock", tags=Items(("a",), 1)).tags == ("a",)
+    assert said(use_case="card-lock", tags=ListValue(("a",), 1)).tags == ("a",)
 
 
 @pytest.mark.parametrize(
@@ -426,11 +426,11 @@
         ({"use_case": "unheard-of"}, "no use case"),
         ({"favour": "much"}, "favour is a text"),
         ({"route": "office-3"}, "may not say route"),
-        ({"tags": Items((1,), 1)}, "a tag is a text"),
-        ({"tags": Items(("a",) * 9, 1)}, "9 tags"),
+        ({"tags": ListValue((1,), 1)}, "a tag is a text"),
+        ({"tags": ListValue(("a",) * 9, 1)}, "9 tags"),
         ({"push_back": "x" * 65}, "push_back of 65"),
     ],
 )
 def test_what_may_not_be_said_is_told(fields: dict[str, Value], why: str) -> None:
-    with pytest.raises(BadAnswer, match=why):
+    with pytest.raises(InvalidHookResult, match=why):
         said(**fields)
