--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -5,14 +5,14 @@
 from pathlib import Path
 
 from wellhitch.lab.loopback import own_address, own_host
-from wellhitch.net.transport import is_loopback, split
+from wellhitch.net.transport import is_loopback, split_address
 
 RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
 def test_an_address_is_given_once_and_never_by_the_system() -> None:
     # Guards against a stranger at a call server's address: what its clients sent was never answered.
-    given = [split(own_address()) for _ in range(1000)]
+    given = [split_address(own_address()) for _ in range(1000)]
     assert len(set(given)) == 1000 and {host for host, _ in given} == {own_host()}
     assert is_loopback(own_host())
     first = int(RANGE.read_text().split()[0]) if RANGE.exists() else 32768
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -791,7 +791,7 @@
     heard: list[tuple[int, bytes]] = []
     world.core.word = lambda peer, text, now: heard.append((peer, text))  # type: ignore[method-assign]
     for host, port in (("10.3.0.2", 7946), ("10.3.0.9", 7946)):
-        world.net.at(host).datagrams(f"{host}:{port}", lambda data, address: None, lambda sender: None)
+        world.net.at(host).open_datagrams(f"{host}:{port}", lambda data, address: None, lambda sender: None)
         world.net.datagram(f"{host}:{port}", "10.0.0.1:7946", b"hello")
     world.net.datagram("10.3.0.1:7946", "10.0.0.1:7946", b"x" * 257)
     world.run(0.1)
@@ -801,7 +801,7 @@
 def test_a_word_goes_to_all_peers_at_once() -> None:
     world = World()
     got: list[bytes] = []
-    world.net.at("10.3.255.1").datagrams(
+    world.net.at("10.3.255.1").open_datagrams(
         "10.3.255.1:7946", lambda data, address: got.append(data), lambda sender: None
     )
     world.service.tell_peers(b"word")
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -15,7 +15,7 @@
 import pytest
 
 from wellhitch.lab.loopback import own_address
-from wellhitch.net.transport import split
+from wellhitch.net.transport import split_address
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.settings.checked import Faults
 from wellhitch.sip import codec as sip
@@ -170,7 +170,7 @@
     def __init__(self, folder: Path, most_files: int = 256) -> None:
         self.board = socket.create_server(("127.0.0.1", 0))
         listen = own_address()
-        self.address = split(listen)
+        self.address = split_address(listen)
         self.sheet = sheet(
             listen=listen,
             board=f"127.0.0.1:{self.board.getsockname()[1]}",
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -9,13 +9,13 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.net.transport import (
+    DatagramSender,
     Listener,
     LoopbackNetwork,
     Network,
-    Sender,
     is_loopback,
-    only_numeric,
-    split,
+    require_ip_address,
+    split_address,
 )
 
 
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("port", ["²", "", "65536", "-1", "9" * 5000])
 def test_a_port_is_a_number(port: str) -> None:
     with pytest.raises(ValueError, match="host:port"):
-        split(f"127.0.0.1:{port}")
+        split_address(f"127.0.0.1:{port}")
 
 
 @pytest.mark.parametrize(
@@ -153,11 +153,11 @@
             other.bind(("127.0.0.1", 0))
             other.settimeout(30)
             there = f"127.0.0.1:{other.getsockname()[1]}"
-            made: asyncio.Future[Sender] = loop.create_future()
+            made: asyncio.Future[DatagramSender] = loop.create_future()
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
                 free.bind(("127.0.0.1", 0))
                 port = free.getsockname()[1]
-            network.datagrams(
+            network.open_datagrams(
                 f"127.0.0.1:{port}", lambda data, address: came.set_result((data, address)), made.set_result
             )
             sender = await asyncio.wait_for(made, 30)
@@ -176,4 +176,4 @@
 @pytest.mark.parametrize("host", ["board.example", "localhost", "", "10.1", "127.0.0.1.example"])
 def test_a_host_that_is_a_name_is_no_address_of_the_platform(host: str) -> None:
     with pytest.raises(ValueError, match="not an IP address"):
-        only_numeric(host)
+        require_ip_address(host)
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -23,7 +23,7 @@
 from wellhitch.ledger.box import put_aside, put_whole
 from wellhitch.ledger.entries import Answered
 from wellhitch.ledger.rating import Tariff, faults_of, invoice, to_cents
-from wellhitch.net.transport import split
+from wellhitch.net.transport import split_address
 from wellhitch.settings.checked import Faults
 from wellhitch.settings.checked import read as read_settings
 from wellhitch.settings.sheet import Sheet
@@ -218,7 +218,7 @@
     made = read_sheet(sheet)
     if not made.doors.operators:
         raise Faults(str(sheet), ["doors.operators = '': the daemon is asked there"])
-    host, port = split(made.doors.operators)
+    host, port = split_address(made.doors.operators)
     try:
         with socket.create_connection((host, port), timeout=5) as line:
             line.sendall(f"ledger {what}\n".encode())
--- a/wellhitch/cli/platform.py
+++ b/wellhitch/cli/platform.py
@@ -11,7 +11,7 @@
 
 from wellhitch.cli.errors import told_plainly
 from wellhitch.net.collector import freeze_startup_objects
-from wellhitch.net.transport import LoopNetwork, only_numeric
+from wellhitch.net.transport import LoopNetwork, require_ip_address
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.platform.event_log import EventLog
 from wellhitch.platform.service import WAITING, Service, shares
@@ -42,7 +42,7 @@
     log = EventLog(STDERR)
     _, _, at_once = shares(told.sockets)
     connect_within_s = min(told.connect_within / 1e6, LONGEST_CONNECT_S)
-    network = LoopNetwork(loop, only_numeric, connect_within_s, WAITING, at_once)
+    network = LoopNetwork(loop, require_ip_address, connect_within_s, WAITING, at_once)
     status = [0]
 
     def fault(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/wellhitch/emulator/network.py
+++ b/wellhitch/emulator/network.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from wellhitch.emulator.party import PartyLoop
-from wellhitch.net.transport import ConnectFailure, Factory, Listener, Sender, Taken
+from wellhitch.net.transport import ConnectFailure, DatagramHandler, DatagramSender, Listener, ProtocolFactory
 
 Delay = Callable[[str, str], int]
 """One-way time in us between two hosts."""
@@ -183,7 +183,7 @@
 class _Listening:
     net: "EmulatedNetwork"
     address: str
-    factory: Factory
+    factory: ProtocolFactory
     paused: bool = False
     waiting: list[Callable[[], None]] = field(default_factory=list)
 
@@ -204,7 +204,7 @@
 class _Sending:
     net: "EmulatedNetwork"
     address: str
-    taken: Taken
+    taken: DatagramHandler
 
     def send(self, data: bytes, address: str) -> None:
         self.net.datagram(self.address, address, bytes(data))
@@ -330,7 +330,7 @@
     net: EmulatedNetwork
     host: str
 
-    def listen(self, address: str, factory: Factory, ready: Callable[[Listener], None]) -> None:
+    def listen(self, address: str, factory: ProtocolFactory, ready: Callable[[Listener], None]) -> None:
         """As `Network.listen`; hosts are names here."""
         host, _, port = address.rpartition(":")
         full = f"{host}:{port if port != '0' else self.net.free_port()}"
@@ -339,14 +339,18 @@
         listening = self.net.listeners[full] = _Listening(self.net, full, factory)
         self.net.loop.call_soon(ready, listening)
 
-    def datagrams(self, address: str, taken: Taken, ready: Callable[[Sender], None]) -> None:
+    def open_datagrams(
+        self, address: str, taken: DatagramHandler, ready: Callable[[DatagramSender], None]
+    ) -> None:
         """As `Network.datagrams`."""
         if address in self.net.senders:
             raise OSError(f"{address} in use")
         sending = self.net.senders[address] = _Sending(self.net, address, taken)
         self.net.loop.call_soon(ready, sending)
 
-    def connect(self, address: str, factory: Factory, failed: Callable[[ConnectFailure], None]) -> None:
+    def connect(
+        self, address: str, factory: ProtocolFactory, failed: Callable[[ConnectFailure], None]
+    ) -> None:
         """As `Network.connect`."""
         there = address.rpartition(":")[0]
         way = self.net.delay(self.host, there) / 1e6
--- a/wellhitch/net/transport.py
+++ b/wellhitch/net/transport.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Protocol, cast
 
-Factory = Callable[[], asyncio.BufferedProtocol]
-Taken = Callable[[bytes, str], None]
+ProtocolFactory = Callable[[], asyncio.BufferedProtocol]
+DatagramHandler = Callable[[bytes, str], None]
 """Takes a datagram and the address it came from."""
 
 
@@ -51,7 +51,7 @@
         """Take no more links."""
 
 
-class Sender(Protocol):
+class DatagramSender(Protocol):
     """Somewhere to send datagrams from."""
 
     def send(self, data: bytes, address: str) -> None:
@@ -64,17 +64,21 @@
 class Network(Protocol):
     """Opens transports. Addresses are host:port."""
 
-    def listen(self, address: str, factory: Factory, ready: Callable[[Listener], None]) -> None:
+    def listen(self, address: str, factory: ProtocolFactory, on_ready: Callable[[Listener], None]) -> None:
         """Take links at `address` (port 0: any free one), a protocol of `factory` for each."""
 
-    def datagrams(self, address: str, taken: Taken, ready: Callable[[Sender], None]) -> None:
+    def open_datagrams(
+        self, address: str, on_datagram: DatagramHandler, on_ready: Callable[[DatagramSender], None]
+    ) -> None:
         """Send and take datagrams at `address`."""
 
-    def connect(self, address: str, factory: Factory, failed: Callable[[ConnectFailure], None]) -> None:
+    def connect(
+        self, address: str, factory: ProtocolFactory, on_failure: Callable[[ConnectFailure], None]
+    ) -> None:
         """Open a link; `factory`'s protocol hears connection_made, or `failed` is called with why."""
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     """Host and port of `host:port`. Raises ValueError naming the address."""
     host, _, port = address.rpartition(":")
     if not (host and port.isascii() and port.isdigit() and len(port) <= 5 and int(port) <= 65535):
@@ -93,7 +97,7 @@
         return False
 
 
-class _Listening:
+class _SocketListener:
     """Accepts connections a few a turn of the loop, and hands each to a protocol of its own."""
 
     def __init__(
@@ -101,10 +105,15 @@
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
         host: str,
-        at_once: int,
-        accepted: Callable[[socket.socket], None],
+        accepts_per_turn: int,
+        on_accept: Callable[[socket.socket], None],
     ) -> None:
-        self._loop, self._sock, self._at_once, self._accepted = loop, sock, at_once, accepted
+        self._loop, self._sock, self._accepts_per_turn, self._on_accept = (
+            loop,
+            sock,
+            accepts_per_turn,
+            on_accept,
+        )
         self._paused = True
         self._closed = False
         self.address = f"{host}:{sock.getsockname()[1]}"
@@ -118,15 +127,15 @@
     def resume(self) -> None:
         if self._paused and not self._closed:
             self._paused = False
-            self._loop.add_reader(self._sock.fileno(), self._acceptable)
+            self._loop.add_reader(self._sock.fileno(), self._accept_ready)
 
     def close(self) -> None:
         self.pause()
         self._closed = True
         self._sock.close()
 
-    def _acceptable(self) -> None:
-        for _ in range(self._at_once):
+    def _accept_ready(self) -> None:
+        for _ in range(self._accepts_per_turn):
             if self._paused:  # by what came of the one before
                 return
             try:
@@ -137,18 +146,18 @@
                 self._out_of_resources(fault)
                 return
             connection.setblocking(False)
-            self._accepted(connection)
+            self._on_accept(connection)
 
-    def _out_of_resources(self, fault: OSError) -> None:
+    def _out_of_resources(self, error: OSError) -> None:
         """No descriptor or no memory is left: the connection would be ready to be accepted at once again."""
-        self._loop.call_exception_handler({"message": "cannot accept a connection", "exception": fault})
+        self._loop.call_exception_handler({"message": "cannot accept a connection", "exception": error})
         self.pause()
         self._loop.call_later(ACCEPT_RETRY_S, self.resume)
 
 
-class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, taken: Taken) -> None:
-        self._taken = taken
+class _DatagramProtocol(asyncio.DatagramProtocol):
+    def __init__(self, on_datagram: DatagramHandler) -> None:
+        self._on_datagram = on_datagram
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -156,14 +165,14 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._taken(data, f"{addr[0]}:{addr[1]}")
+        self._on_datagram(data, f"{addr[0]}:{addr[1]}")
 
     def error_received(self, exc: Exception) -> None:
         """A datagram may be lost: nobody waits for it."""
 
     def send(self, data: bytes, address: str) -> None:
         if self._transport is not None and not self._transport.is_closing():
-            self._transport.sendto(data, split(address))
+            self._transport.sendto(data, split_address(address))
 
     def close(self) -> None:
         if self._transport is not None:
@@ -177,32 +186,36 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        allowed: Callable[[str], None],
-        connect_within: float,
-        waiting: int = 100,  # asyncio's own default
-        at_once: int = 100,
+        check_host: Callable[[str], None],
+        connect_timeout_s: float,
+        backlog: int = 100,  # asyncio's own default
+        accepts_per_turn: int = 100,
     ) -> None:
         """`at_once`: how many of those are taken in one turn of the loop."""
-        self._loop, self._allowed = loop, allowed
-        self._connect_within, self._waiting, self._at_once = connect_within, waiting, at_once
+        self._loop, self._check_host = loop, check_host
+        self._connect_timeout_s, self._backlog, self._accepts_per_turn = (
+            connect_timeout_s,
+            backlog,
+            accepts_per_turn,
+        )
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def _spawn(self, work: "asyncio._CoroutineLike[None]") -> None:
-        task: asyncio.Task[None] = self._loop.create_task(work)
+    def _spawn(self, coroutine: "asyncio._CoroutineLike[None]") -> None:
+        task: asyncio.Task[None] = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def _split(self, address: str) -> tuple[str, int]:
-        host, port = split(address)
-        self._allowed(host)
+        host, port = split_address(address)
+        self._check_host(host)
         return host, port
 
-    def _unable(self, address: str, fault: OSError) -> None:
+    def _report_listen_error(self, address: str, error: OSError) -> None:
         self._loop.call_exception_handler(
-            {"message": f"cannot listen at {address}", "exception": fault, "address": address}
+            {"message": f"cannot listen at {address}", "exception": error, "address": address}
         )
 
-    def listen(self, address: str, factory: Factory, ready: Callable[[Listener], None]) -> None:
+    def listen(self, address: str, factory: ProtocolFactory, on_ready: Callable[[Listener], None]) -> None:
         """As `Network.listen`; where it cannot listen the loop's exception handler is told, with the `address`."""
         host, port = self._split(address)
 
@@ -212,46 +225,54 @@
 
         def listen() -> None:
             try:
-                sock = _listening_socket(host, port, self._waiting)
+                sock = _listening_socket(host, port, self._backlog)
             except OSError as fault:
-                self._unable(address, fault)
+                self._report_listen_error(address, fault)
                 return
-            ready(_Listening(self._loop, sock, host, self._at_once, lambda made: self._spawn(serve(made))))
+            on_ready(
+                _SocketListener(
+                    self._loop, sock, host, self._accepts_per_turn, lambda made: self._spawn(serve(made))
+                )
+            )
 
         self._loop.call_soon(listen)
 
-    def datagrams(self, address: str, taken: Taken, ready: Callable[[Sender], None]) -> None:
+    def open_datagrams(
+        self, address: str, on_datagram: DatagramHandler, on_ready: Callable[[DatagramSender], None]
+    ) -> None:
         """As `Network.datagrams`; where it cannot, as `listen`."""
         local = self._split(address)
 
         async def work() -> None:
             try:
                 _, made = await self._loop.create_datagram_endpoint(
-                    lambda: _Datagrams(taken), local_addr=local
+                    lambda: _DatagramProtocol(on_datagram), local_addr=local
                 )
             except OSError as fault:
-                self._unable(address, fault)
+                self._report_listen_error(address, fault)
                 return
-            ready(made)
+            on_ready(made)
 
         self._spawn(work())
 
-    def connect(self, address: str, factory: Factory, failed: Callable[[ConnectFailure], None]) -> None:
+    def connect(
+        self, address: str, factory: ProtocolFactory, on_failure: Callable[[ConnectFailure], None]
+    ) -> None:
         """As `Network.connect`."""
         try:
             host, port = self._split(address)
         except ValueError as fault:
-            self._loop.call_soon(failed, ConnectFailure(str(fault)))
+            self._loop.call_soon(on_failure, ConnectFailure(str(fault)))
             return
 
         async def work() -> None:
             try:
-                async with asyncio.timeout(self._connect_within):
+                async with asyncio.timeout(self._connect_timeout_s):
                     await self._loop.create_connection(factory, host, port)
             except (OSError, TimeoutError, ValueError) as fault:
                 # ValueError: a name that cannot be looked up at all; without a word nobody would try again.
                 refused = isinstance(fault, ConnectionRefusedError)
-                failed(ConnectFailure(str(fault) or "timed out", refused))
+                on_failure(ConnectFailure(str(fault) or "timed out", refused))
 
         self._spawn(work())
 
@@ -262,10 +283,10 @@
     CONNECT_TIMEOUT_S = 3.0  # loopback answers at once; a full backlog is the only wait
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        super().__init__(loop, _loopback, self.CONNECT_TIMEOUT_S)
+        super().__init__(loop, _require_loopback, self.CONNECT_TIMEOUT_S)
 
 
-def _listening_socket(host: str, port: int, waiting: int) -> socket.socket:
+def _listening_socket(host: str, port: int, backlog: int) -> socket.socket:
     """A non-blocking socket that listens. Its protocol is named: asyncio turns Nagle's algorithm off only on sockets of
     the protocol TCP, and accepted ones have that of their listener."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -276,19 +297,19 @@
         if family == socket.AF_INET6:
             sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
         sock.bind((host, port))
-        sock.listen(waiting)
+        sock.listen(backlog)
     except OSError:
         sock.close()
         raise
     return sock
 
 
-def _loopback(host: str) -> None:
+def _require_loopback(host: str) -> None:
     if not is_loopback(host):
         raise ValueError(f"address {host[:80]!r} is not loopback")
 
 
-def only_numeric(host: str) -> None:
+def require_ip_address(host: str) -> None:
     """Raises ValueError for a host that is a name: the platform has no DNS, and nothing is to be looked up."""
     try:
         ipaddress.ip_address(host)
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -8,7 +8,7 @@
 from wellhitch.adapter.codec import read_opened
 from wellhitch.board import codec as board
 from wellhitch.interface.events import Opened
-from wellhitch.net.transport import only_numeric, split
+from wellhitch.net.transport import require_ip_address, split_address
 from wellhitch.settings.checked import Faults, read_open, shown
 
 MAX_FILE = 4 * 1024 * 1024  # bytes; with hundreds of events under `known` it has some tens of thousands
@@ -173,6 +173,6 @@
 
 def _address(path: str, field: str, address: str) -> None:
     try:
-        only_numeric(split(address)[0])
+        require_ip_address(split_address(address)[0])
     except ValueError as fault:
         raise Faults(path, [f"{field} = {shown(address)}: {fault}"]) from None
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from wellhitch.board.codec import Notice
-from wellhitch.net.transport import Network, Sender, Timer, now_us
+from wellhitch.net.transport import DatagramSender, Network, Timer, now_us
 from wellhitch.office_lines.codec import Line
 from wellhitch.platform.callers import CallerConnection, CallerConnections
 from wellhitch.platform.configuration import Told
@@ -78,7 +78,7 @@
             loop, network, told.place.board, told.number, self._told, log, self.counts
         )
         self.peers = {address: at for at, address in enumerate(told.place.peers)}
-        self.sender: Sender | None = None
+        self.sender: DatagramSender | None = None
         self.stopping = False
         self._stop_at = 0
         self._schedule = shutdown_schedule(0)
@@ -93,7 +93,7 @@
         self.core.start(self.told.known, self.now())
         self.discovery.start()
         if self.told.place.peer_listen:
-            self.network.datagrams(self.told.place.peer_listen, self._datagram, self._may_send)
+            self.network.open_datagrams(self.told.place.peer_listen, self._datagram, self._may_send)
         self.callers.listen(
             self.told.place.listen, lambda: self.write_log("listening", address=self.told.place.listen)
         )
@@ -312,7 +312,7 @@
     def _told(self, notice: Notice) -> None:
         self.core.listed(notice, self.now())
 
-    def _may_send(self, sender: Sender) -> None:
+    def _may_send(self, sender: DatagramSender) -> None:
         self.sender = sender
 
     def _datagram(self, data: bytes, address: str) -> None:
--- a/wellhitch/settings/sheet.py
+++ b/wellhitch/settings/sheet.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from wellhitch.interface import events, facts
-from wellhitch.net.transport import is_loopback, split
+from wellhitch.net.transport import is_loopback, split_address
 from wellhitch.settings.checked import Faults
 from wellhitch.trunk.frames import MAX_EXCHANGES, MAX_WIDTH
 
@@ -132,7 +132,7 @@
                 lines.append(f"doors.{name} = '': an address, host:port")
             continue
         try:
-            host, _ = split(address)
+            host, _ = split_address(address)
         except ValueError as fault:
             lines.append(f"doors.{name} = {address!r}: {fault}")
             continue
