--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -16,7 +16,7 @@
 from wellhitch.lab.fleet import HostAddresses, sheet_of
 from wellhitch.ledger.desk import Desk
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.server.daemon import Daemon, Doors
+from wellhitch.server.daemon import Daemon, ServerAddresses
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel
@@ -54,11 +54,11 @@
         self.net = EmulatedNetwork(self.loop, 1)
         self.said: list[str] = []
         facts = opened(sheet_of(day(**over), 0, HostAddresses()))
-        doors = Doors("s:1", "s:2", "s:3", "register:1", "")
+        doors = ServerAddresses("s:1", "s:2", "s:3", "register:1", "")
         hooks = {"a": "on arrive { return none }"}
         self.daemon = Daemon(
             self.loop, self.net.at("s"), facts, doors, 10, 1, lambda event, **facts: self.said.append(event),
-            hooks=hooks, ledger=self.desk if ledger else None,
+            hooks=hooks, make_settlement=self.desk if ledger else None,
         )  # fmt: skip
         self.daemon.start()
         self.loop.advance(0.1)
@@ -91,7 +91,7 @@
 
     def listed(self, *lines: frames.OfficeListEntry, kind: str = "whole", revision: int = 1) -> None:
         frame = frames.OfficeList(kind, revision, list(lines))
-        self.daemon.guides.frame_received(cast(Channel, None), frame)
+        self.daemon.control_channels.frame_received(cast(Channel, None), frame)
         self.loop.advance(1.0)
 
 
@@ -109,7 +109,7 @@
 def test_whatever_an_operator_says_is_answered_in_one_line(text: str, said: str) -> None:
     door = Door()
     if text.startswith("hooks canary"):
-        door.daemon.switch.hooked.hooks.start_shadow(door.daemon.switch.hooked.hooks.version)  # type: ignore[union-attr]
+        door.daemon.switch.hook_runner.hooks.start_shadow(door.daemon.switch.hook_runner.hooks.version)  # type: ignore[union-attr]
     assert said in door.ask(text.encode("utf-8", "surrogateescape")).decode()
 
 
@@ -127,7 +127,7 @@
     door = Door()
     wrong = door.party("o1:1", frames.Hello("office", 2, 1))
     door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1"))
-    assert not door.daemon.switch.offices["o1"].up
+    assert not door.daemon.switch.offices["o1"].connected
     assert wrong.down and "office 2, not 1" in wrong.down[0] and "office_not_as_listed" in door.said
 
 
@@ -138,7 +138,7 @@
     door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:1"))
     assert len(old.up) == 1
     door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
-    assert old.down and len(new.up) == 1 and list(door.daemon.peer_links) == ["p1:2"]
+    assert old.down and len(new.up) == 1 and list(door.daemon.peer_connections) == ["p1:2"]
 
 
 @pytest.mark.parametrize("kind", ["whole", "odd"])
@@ -146,7 +146,7 @@
     door = Door(limits={"may_tell_peers": True})
     standing = "ready" if kind == "odd" else "broken"
     door.listed(frames.OfficeListEntry("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
-    assert not door.daemon.peer_links and door.daemon.switch.counts["lists_malformed"] == 1
+    assert not door.daemon.peer_connections and door.daemon.switch.counts["lists_malformed"] == 1
 
 
 INTS = [0, 1, 2, 5, -1, 63, 64, 65, 1 << 16, 1 << 31, 1 << 53, (1 << 63) - 1, -(1 << 63), (1 << 64) - 1]
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -291,8 +291,8 @@
             if text:
                 now_in_the_sheet["a"] = text
             daemon = fleet.daemons[0]
-            daemon.reread = lambda: now_in_the_sheet
-            said.append(daemon.hooks_asked(what))
+            daemon.read_hooks = lambda: now_in_the_sheet
+            said.append(daemon.hooks_request(what))
 
         steps = [
             ("reload", "on arrive { return {favour: 3} }"),
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -11,7 +11,7 @@
 from wellhitch.interface import events as ev
 from wellhitch.judge.rules import judge
 from wellhitch.server import switch as switch_module
-from wellhitch.server.dials import DialOut, Step, Taken
+from wellhitch.server.dials import DialState, PendingCall, PendingDial
 from wellhitch.server.switch import Switch
 from wellhitch.settings.day import Day
 from wellhitch.trunk import frames
@@ -22,98 +22,102 @@
 
 
 class AnswersTwice(Switch):
-    def _answer(self, taken: Taken, answer: str, come_back: int, now: int) -> None:
-        super()._answer(taken, answer, come_back, now)
-        if taken.link is not None:
-            self.outlet.to_caller(taken.link, frames.Final(taken.caller_id, answer, 0))
+    def _send_answer(self, taken: PendingCall, answer: str, come_back: int, now: int) -> None:
+        super()._send_answer(taken, answer, come_back, now)
+        if taken.connection is not None:
+            self.io.send_to_caller(taken.connection, frames.Final(taken.caller_id, answer, 0))
 
 
 class NeverAnswersSome(Switch):
-    def _answer(self, taken: Taken, answer: str, come_back: int, now: int) -> None:
+    def _send_answer(self, taken: PendingCall, answer: str, come_back: int, now: int) -> None:
         if answer == "stands" or taken.id % 2:
-            super()._answer(taken, answer, come_back, now)
+            super()._send_answer(taken, answer, come_back, now)
         else:
-            taken.owed = False
+            taken.answer_owed = False
             self._forget(taken)
 
 
 class AnswersLate(Switch):
     """Takes the callers' time for half a second longer than it is."""
 
-    def _arrived(self, taken: Taken, left: int, *rest: Any) -> None:
-        super()._arrived(taken, left + 500_000, *rest)
+    def _begin(self, taken: PendingCall, left: int, *rest: Any) -> None:
+        super()._begin(taken, left + 500_000, *rest)
 
 
 class TurnsTransitsBackTwice(Switch):
-    def _answer(self, taken: Taken, answer: str, come_back: int, now: int) -> None:
-        super()._answer(taken, answer, come_back, now)
-        if taken.home is not None:
-            self.outlet.to_office(taken.home.id, frames.Reject(taken.home_ref, "turned_back"))
+    def _send_answer(self, taken: PendingCall, answer: str, come_back: int, now: int) -> None:
+        super()._send_answer(taken, answer, come_back, now)
+        if taken.own_office is not None:
+            self.io.send_to_office(taken.own_office.id, frames.Reject(taken.own_office_ref, "turned_back"))
 
 
 class DialsTwoAtOnce(Switch):
     """Sends each set-up to another office as well."""
 
-    def _passed_setup(self, dial: DialOut, accepted: bool, now: int) -> None:
-        super()._passed_setup(dial, accepted, now)
+    def _setup_processed(self, dial: PendingDial, accepted: bool, now: int) -> None:
+        super()._setup_processed(dial, accepted, now)
         others = [
-            e for e in self.offices.values() if e.up and e is not dial.office and e.number != self.number
+            e
+            for e in self.offices.values()
+            if e.connected and e is not dial.office and e.number != self.number
         ]
-        if dial.step is Step.OUT and others:
-            taken = dial.taken
+        if dial.state is DialState.SENT and others:
+            taken = dial.call
             setup = frames.Setup(
-                others[0].ref() + 1_000_000, taken.origin, taken.origin_id, dial.number + 1, taken.use_case,
+                others[0].new_dial_ref() + 1_000_000, taken.origin, taken.origin_id, dial.number + 1, taken.use_case,
                 others[0].number, None, 1_000_000, 1,
             )  # fmt: skip
-            self.outlet.to_office(others[0].id, setup)
+            self.io.send_to_office(others[0].id, setup)
 
 
 class NeverCallsOff(Switch):
     """Forgets what timed out without a word to the office, and dials again."""
 
-    def _end_dial(self, dial: DialOut, word: frames.Cancel | frames.Release, now: int) -> None:
-        if isinstance(word, frames.Cancel) and dial.step is Step.OUT:
-            dial.office.dials.pop(dial.ref, None)
-            dial.move(Step.FREE)
-            self._free(dial)
-            self._stop_timer(dial)
+    def _end_dial(self, dial: PendingDial, word: frames.Cancel | frames.Release, now: int) -> None:
+        if isinstance(word, frames.Cancel) and dial.state is DialState.SENT:
+            dial.office.dials.pop(dial.dial_ref, None)
+            dial.move_to(DialState.FREE)
+            self._release_circuits(dial)
+            self._cancel_timer(dial)
         else:
             super()._end_dial(dial, word, now)
 
 
 class HearsNoDrains(Switch):
-    def listed(self, frame: frames.OfficeList, now: int) -> None:
+    def office_list_received(self, frame: frames.OfficeList, now: int) -> None:
         lines = [line for line in frame.entries if line.state != "draining" and line.age is None]
-        super().listed(frames.OfficeList(frame.kind, frame.revision, lines), now)
+        super().office_list_received(frames.OfficeList(frame.kind, frame.revision, lines), now)
 
 
 class HearsDrainsLate(Switch):
-    def listed(self, frame: frames.OfficeList, now: int) -> None:
+    def office_list_received(self, frame: frames.OfficeList, now: int) -> None:
         if frame.kind == "whole":
-            super().listed(frame, now)
+            super().office_list_received(frame, now)
         else:
-            self.outlet.timer(1_500_000, lambda at: super(HearsDrainsLate, self).listed(frame, at))
+            self.io.start_timer(
+                1_500_000, lambda at: super(HearsDrainsLate, self).office_list_received(frame, at)
+            )
 
 
 class KnowsNoColdOffice(Switch):
     """All of them at once send a fresh processor what they like."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, outlet: switch_module.Outlet) -> None:
-        super().__init__(replace(opened, cold=replace(opened.cold, warm_after=0)), max_open, outlet)
+    def __init__(self, configuration: ev.Opened, max_open: int, io: switch_module.ServerIO) -> None:
+        super().__init__(replace(configuration, cold=replace(configuration.cold, warm_after=0)), max_open, io)
 
 
 class FloodsTheCold(Switch):
     """Tries whether a fresh office can bear ten set-ups at once from each."""
 
-    def listed(self, frame: frames.OfficeList, now: int) -> None:
-        super().listed(frame, now)
+    def office_list_received(self, frame: frames.OfficeList, now: int) -> None:
+        super().office_list_received(frame, now)
         for line in frame.entries:
             if line.age is not None and line.state == "ready" and line.number != self.number:
-                self.outlet.timer(2_000_000, lambda at, office=line.office: self._flood(office))
+                self.io.start_timer(2_000_000, lambda at, office=line.office: self._flood(office))
 
     def _flood(self, office: str) -> None:
         for at in range(60):
-            self.outlet.to_office(
+            self.io.send_to_office(
                 office, frames.Setup(5_000_000 + at, self.number, 10**6 + at, 0, "cheap", 1, None, 10**6, 1)
             )
 
@@ -121,14 +125,16 @@
 class ResendsEarly(Switch):
     """A release wait that is one millisecond short."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, outlet: switch_module.Outlet) -> None:
-        short = replace(opened.release, release_wait=opened.release.release_wait - 1000)
-        super().__init__(replace(opened, release=short), max_open, outlet)
+    def __init__(self, configuration: ev.Opened, max_open: int, io: switch_module.ServerIO) -> None:
+        short = replace(configuration.release, release_wait=configuration.release.release_wait - 1000)
+        super().__init__(replace(configuration, release=short), max_open, io)
 
 
 class ResendsAtOnce(Switch):
-    def __init__(self, opened: ev.Opened, max_open: int, outlet: switch_module.Outlet) -> None:
-        super().__init__(replace(opened, release=replace(opened.release, release_wait=0)), max_open, outlet)
+    def __init__(self, configuration: ev.Opened, max_open: int, io: switch_module.ServerIO) -> None:
+        super().__init__(
+            replace(configuration, release=replace(configuration.release, release_wait=0)), max_open, io
+        )
 
 
 def sparse(**over: Any) -> Day:
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -157,7 +157,7 @@
         self.loop.advance(0.1)
 
     def stands(self, dialogue: int) -> None:
-        self.desk.answered(Seen("origin", 3, dialogue, "card-lock", 5, "0800"), "stands")
+        self.desk.dialogue_answered(Seen("origin", 3, dialogue, "card-lock", 5, "0800"), "stands")
 
     def entries(self) -> list[Any]:
         engine = self.disk.after_kill().open("ledger")
@@ -174,7 +174,7 @@
     one.disk.full = True
     for n in range(2, 60):
         one.stands(n)
-    one.desk.over("origin", 3, 1, "released")
+    one.desk.dialogue_ended("origin", 3, 1, "released")
     one.loop.advance(3)
     one.disk.full = False
     one.loop.advance(8)
@@ -224,7 +224,7 @@
             one.stands(n)
             one.loop.advance(0.3)
             if n > 1:
-                one.desk.over("origin", 3, n - 2, "released")
+                one.desk.dialogue_ended("origin", 3, n - 2, "released")
         return disk, disk.ops
 
     _, ops = lived(None)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,7 +9,7 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.lab.fleet import HostAddresses, sheet_of
-from wellhitch.server.daemon import MOST_LINKS, Daemon, Doors
+from wellhitch.server.daemon import MAX_CONNECTIONS, Daemon, ServerAddresses
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import MAX_FRAMES_PER_S, MAX_UNSENT_FRAMES, Channel
@@ -178,7 +178,7 @@
 def test_links_over_the_limit_are_told_and_closed_and_those_that_stand_go_on() -> None:
     loop = VirtualLoop()
     net = EmulatedNetwork(loop, 1)
-    doors = Doors("s:1", "", "", "r:1", "")
+    doors = ServerAddresses("s:1", "", "", "r:1", "")
     daemon = Daemon(
         loop,
         net.at("s"),
@@ -190,7 +190,7 @@
     )
     daemon.start()
     loop.advance(0.1)
-    hands = [Hand() for _ in range(MOST_LINKS + 20)]
+    hands = [Hand() for _ in range(MAX_CONNECTIONS + 20)]
     for at, hand in enumerate(hands):
         hello = frames.Hello("caller", at, 1)
         net.at("c").connect(
@@ -201,6 +201,6 @@
             print,
         )
     loop.advance(1.0)
-    assert len(daemon.ports) == MOST_LINKS
+    assert len(daemon.accepted_channels) == MAX_CONNECTIONS
     assert sum(bool(hand.down) for hand in hands) == 20
     assert all("links" in hand.down[0] for hand in hands if hand.down)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -14,7 +14,7 @@
 from wellhitch.interface import events as ev
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
-from wellhitch.server.dials import DialOut, Step
+from wellhitch.server.dials import DialState, PendingDial
 from wellhitch.server.switch import Switch
 from wellhitch.settings.day import Day, TroubleLine
 from wellhitch.stand_ins.town import Town
@@ -71,9 +71,9 @@
         struck = self
 
         class Staged(self.base):  # type: ignore[name-defined,misc]
-            def call(self, *args: Any) -> None:
+            def call_received(self, *args: Any) -> None:
                 struck.reached(self, "arrival")
-                super().call(*args)
+                super().call_received(*args)
 
             def feed(self, event: ev.Event, now: int) -> None:
                 super().feed(event, now)
@@ -84,36 +84,36 @@
                 super()._send(*args)
                 struck.reached(self, "own processor")
 
-            def _passed_setup(self, dial: DialOut, accepted: bool, now: int) -> None:
-                super()._passed_setup(dial, accepted, now)
-                if dial.step is Step.OUT:
+            def _setup_processed(self, dial: PendingDial, accepted: bool, now: int) -> None:
+                super()._setup_processed(dial, accepted, now)
+                if dial.state is DialState.SENT:
                     struck.reached(self, "dial out")
-                    if dial.office.started is not None:
+                    if dial.office.started_at is not None:
                         struck.reached(self, "cold office")
 
-            def answered(self, *args: Any) -> None:
-                super().answered(*args)
+            def setup_answered(self, *args: Any) -> None:
+                super().setup_answered(*args)
                 struck.reached(self, "answered")
 
-            def _stands(self, *args: Any) -> None:
-                super()._stands(*args)
+            def _establish(self, *args: Any) -> None:
+                super()._establish(*args)
                 struck.reached(self, "stands")
 
-            def transit(self, *args: Any) -> None:
-                super().transit(*args)
+            def transit_setup(self, *args: Any) -> None:
+                super().transit_setup(*args)
                 struck.reached(self, "transit")
 
-            def _end_dial(self, dial: DialOut, word: Any, now: int) -> None:
+            def _end_dial(self, dial: PendingDial, word: Any, now: int) -> None:
                 super()._end_dial(dial, word, now)
                 if isinstance(word, frames.Release):
                     struck.reached(self, "release")
 
-            def _overdue(self, *args: Any) -> None:
-                super()._overdue(*args)
+            def _dial_timed_out(self, *args: Any) -> None:
+                super()._dial_timed_out(*args)
                 struck.reached(self, "release wait")
 
-            def listed(self, frame: frames.OfficeList, now: int) -> bool:
-                followed: bool = super().listed(frame, now)
+            def office_list_received(self, frame: frames.OfficeList, now: int) -> bool:
+                followed: bool = super().office_list_received(frame, now)
                 if any(line.state == "draining" for line in frame.entries):
                     struck.reached(self, "drain")
                 return followed
@@ -177,9 +177,9 @@
             return []
         switch, out = daemon.switch, []
         for end in switch.offices.values():
-            for name in ("dials", "passing", "transits"):
+            for name in ("dials", "processing", "transits"):
                 out += [f"{end.id}: {name}" for _ in getattr(end, name)]
-        out += [f"dialogue {taken.id}" for taken in switch.taken.values()]
+        out += [f"dialogue {taken.id}" for taken in switch.calls.values()]
         out += [f"decided {known}" for known in switch.exchange.dialogues]
         out += [f"group {n}: {group.local_count}" for n, group in switch.groups.items() if group.local_count]
         out += [f"timer of {name}" for name in self.timers(switch)]
@@ -244,16 +244,16 @@
     """What comes in the next second and a half comes twice."""
     switch: Any = s.switch
     names = [
-        "call",
-        "leave",
-        "passed",
-        "answered",
-        "pushed_back",
-        "cut",
-        "released",
-        "transit",
-        "transit_over",
-        "listed",
+        "call_received",
+        "caller_hung_up",
+        "step_processed",
+        "setup_answered",
+        "setup_rejected",
+        "dial_cut",
+        "dial_released",
+        "transit_setup",
+        "transit_ended",
+        "office_list_received",
     ]
     for name in names:
         once = getattr(switch, name)
@@ -293,10 +293,10 @@
 class Failing:
     """A ledger that fails at every word."""
 
-    def answered(self, *what: Any) -> None:
+    def dialogue_answered(self, *what: Any) -> None:
         raise OSError("broken on purpose")
 
-    over = witnessed = answered
+    dialogue_ended = carried_dialogue_ended = dialogue_answered
 
 
 FAULTS: dict[str, Callable[[Struck], None]] = {
@@ -319,7 +319,7 @@
     "list shut": list_shut,
     "decision raises": lambda s: setattr(s, "raises", True),
     "hook raises": lambda s: None,  # at each dialogue of the day
-    "ledger raises": lambda s: setattr(s.switch, "witness", Failing()),
+    "ledger raises": lambda s: setattr(s.switch, "ledger", Failing()),
 }
 
 
@@ -336,7 +336,7 @@
 class NeverFrees(Switch):
     """Forgets to give circuits back when the far end has confirmed."""
 
-    def _freed(self, dial: DialOut, now: int) -> None:
+    def _finish_release(self, dial: PendingDial, now: int) -> None:
         pass
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -12,7 +12,14 @@
 from wellhitch.deciding import runner as runner_module
 from wellhitch.interface import events as ev
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule
-from wellhitch.server.dials import LEGAL, MOST_RECENT, DialOut, Recent, Step, Taken
+from wellhitch.server.dials import (
+    ALLOWED_TRANSITIONS,
+    MAX_RECENT_IDS,
+    DialState,
+    PendingCall,
+    PendingDial,
+    RecentIds,
+)
 from wellhitch.server.switch import ANSWER_MARGIN_US, Switch
 from wellhitch.trunk import frames
 
@@ -43,39 +50,39 @@
     now: int = 0
     rung: int = 0
 
-    def to_caller(self, link: Hashable, frame: frames.AnyFrame) -> bool:
+    def send_to_caller(self, connection: Hashable, frame: frames.AnyFrame) -> bool:
         self.sent.append(("caller", frame))
         return True
 
-    def to_office(self, office: str, frame: frames.AnyFrame) -> bool:
+    def send_to_office(self, office: str, frame: frames.AnyFrame) -> bool:
         self.sent.append((office, frame))
         return True
 
-    def withdraw(self, office: str, which: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
-        taken = [frame for frame in self.waiting if which(frame)]
-        self.waiting = [frame for frame in self.waiting if not which(frame)]
+    def withdraw(self, office: str, matches: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
+        taken = [frame for frame in self.waiting if matches(frame)]
+        self.waiting = [frame for frame in self.waiting if not matches(frame)]
         return taken
 
-    def mark(self, office: str) -> int:
+    def send_mark(self, office: str) -> int:
         return 1
 
-    def marked(self, office: str, n: int) -> bool:
-        return self.read_to >= n
+    def mark_confirmed(self, office: str, sequence: int) -> bool:
+        return self.read_to >= sequence
 
-    def reset(self, office: str, why: str) -> None:
+    def reset_connection(self, office: str, reason: str) -> None:
         self.resets.append(office)
 
-    def keep_link(self, office: str, address: str) -> None:
+    def keep_connection(self, office: str, address: str) -> None:
         pass
 
-    def drop_link(self, office: str) -> None:
+    def drop_connection(self, office: str) -> None:
         pass
 
-    def tell_peers(self, text: bytes) -> None:
+    def send_to_peers(self, text: bytes) -> None:
         pass
 
-    def timer(self, after: int, ring: Callable[[int], None]) -> Ring:
-        made = Ring(self.now + after, len(self.timers) + self.rung, ring)
+    def start_timer(self, delay: int, callback: Callable[[int], None]) -> Ring:
+        made = Ring(self.now + delay, len(self.timers) + self.rung, callback)
         heappush(self.timers, made)
         return made
 
@@ -100,13 +107,13 @@
         self.switch.start(0)
         self.told("ready", "ready", "ready")
         for number in range(3):
-            self.switch.office_up(f"o{number}", number, 1, 0)
+            self.switch.office_connected(f"o{number}", number, 1, 0)
         for number in (1, 2):
-            self.switch.group_told("o0", frames.GroupState(number, 0, size), 0)
+            self.switch.group_state_received("o0", frames.GroupState(number, 0, size), 0)
 
     def told(self, *standings: str, revision: int = 1) -> None:
         lines = [frames.OfficeListEntry(f"o{n}", n, s, None, f"o{n}:1") for n, s in enumerate(standings)]
-        self.switch.listed(frames.OfficeList("whole", revision, lines), self.out.now)
+        self.switch.office_list_received(frames.OfficeList("whole", revision, lines), self.out.now)
 
     def run(self, us: int) -> None:
         until = self.out.now + us
@@ -120,7 +127,7 @@
 
     def call(self, id: int = 1, destination: int = 1, left: int = 3 * SECOND, width: int = 1) -> None:
         call = frames.Call(id, "cheap", destination, "aa", left, width)
-        self.switch.call("link", call, self.out.now)
+        self.switch.call_received("link", call, self.out.now)
 
     def of(self, kind: type) -> list[Any]:
         return [frame for _, frame in self.out.sent if isinstance(frame, kind)]
@@ -128,7 +135,7 @@
     def pass_own(self) -> None:
         """The own processor lets the last step through."""
         step = [frame for frame in self.of(frames.ProcessStep) if frame.dial_ref][-1]
-        self.switch.passed("o0", frames.StepProcessed(step.dial_ref, step.step), self.out.now)
+        self.switch.step_processed("o0", frames.StepProcessed(step.dial_ref, step.step), self.out.now)
 
     def dial(self, **call: Any) -> frames.Setup:
         """A call whose set-up is out."""
@@ -139,7 +146,7 @@
 
     def stand(self) -> frames.Setup:
         setup = self.dial()
-        self.switch.answered("o1", frames.Answer(setup.dial_ref), self.out.now)
+        self.switch.setup_answered("o1", frames.Answer(setup.dial_ref), self.out.now)
         self.pass_own()
         return setup
 
@@ -159,10 +166,10 @@
 def test_a_dialogue_stands_and_is_released_with_its_circuits(bench: Bench) -> None:
     setup = bench.stand()
     assert bench.finals == ["stands"] and bench.free() == 9
-    bench.switch.leave("link", 1, bench.out.now)
+    bench.switch.caller_hung_up("link", 1, bench.out.now)
     assert bench.of(frames.Release) == [frames.Release(setup.dial_ref)] and bench.free() == 9
-    bench.switch.released("o1", frames.Released(setup.dial_ref), bench.out.now)
-    assert bench.free() == 10 and not bench.switch.taken and bench.finals == ["stands"]
+    bench.switch.dial_released("o1", frames.Released(setup.dial_ref), bench.out.now)
+    assert bench.free() == 10 and not bench.switch.calls and bench.finals == ["stands"]
 
 
 def test_circuits_come_back_after_the_release_wait_where_nobody_confirms(bench: Bench) -> None:
@@ -183,9 +190,9 @@
 def test_an_answer_that_crosses_the_cancel_is_a_stray(bench: Bench) -> None:
     setup = bench.dial()
     bench.run(3 * SECOND)
-    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
+    bench.switch.setup_answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     bench.run(SECOND)
-    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
+    bench.switch.setup_answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     assert bench.finals == ["forfeited"] and bench.switch.counts["strays.Answer"] == 2
 
 
@@ -193,16 +200,16 @@
     """All three in one turn of the loop, the answer first."""
     setup = bench.dial()
     bench.out.now += 3 * SECOND - ANSWER_MARGIN_US
-    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
-    bench.switch.leave("link", 1, bench.out.now)
+    bench.switch.setup_answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
+    bench.switch.caller_hung_up("link", 1, bench.out.now)
     bench.run(SECOND)
     assert bench.finals == [] and bench.of(frames.Cancel) == [frames.Cancel(setup.dial_ref)]
-    assert not bench.switch.taken and bench.free() == 10
+    assert not bench.switch.calls and bench.free() == 10
 
 
 def test_an_answer_told_twice_is_one_answer(bench: Bench) -> None:
     setup = bench.stand()
-    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
+    bench.switch.setup_answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     assert bench.finals == ["stands"] and bench.switch.counts["strays.Answer"] == 1
 
 
@@ -242,14 +249,14 @@
 def test_offices_that_are_gone_are_forgotten(bench: Bench) -> None:
     for revision in range(2, 50):
         lines = [frames.OfficeListEntry(f"o1.{revision}", 1, "ready", 0, "x:1")]
-        bench.switch.listed(frames.OfficeList("whole", revision, lines), 0)
+        bench.switch.office_list_received(frames.OfficeList("whole", revision, lines), 0)
     assert list(bench.switch.offices) == ["o1.49"]
 
 
 def test_a_list_that_goes_back_is_skipped(bench: Bench) -> None:
     bench.told("ready", "draining", "ready", revision=5)
     bench.told("ready", "ready", "ready", revision=4)
-    assert bench.switch.offices["o1"].standing is ev.Standing.DRAINING
+    assert bench.switch.offices["o1"].state is ev.Standing.DRAINING
     assert bench.switch.counts["lists_skipped"] == 1
 
 
@@ -257,9 +264,9 @@
     """A register that restarted counts from an old revision; its news of a drain is news all the same."""
     bench.told("ready", "ready", "draining", revision=9)
     bench.told("ready", "draining", "ready", revision=3)
-    assert bench.switch.offices["o1"].standing is ev.Standing.DRAINING
-    assert bench.switch.offices["o2"].standing is ev.Standing.DRAINING
-    assert bench.switch.offices["o0"].standing is ev.Standing.READY and bench.switch.revision == 9
+    assert bench.switch.offices["o1"].state is ev.Standing.DRAINING
+    assert bench.switch.offices["o2"].state is ev.Standing.DRAINING
+    assert bench.switch.offices["o0"].state is ev.Standing.READY and bench.switch.revision == 9
     bench.call()
     assert bench.finals == ["pushed_back"]
 
@@ -267,26 +274,26 @@
 def test_an_old_list_does_not_shut_a_processor_that_started_since(bench: Bench) -> None:
     bench.out.now = 100 * SECOND
     fresh = [frames.OfficeListEntry("o1", 1, "ready", SECOND, "o1:1")]
-    bench.switch.listed(frames.OfficeList("changes", 9, fresh), bench.out.now)
+    bench.switch.office_list_received(frames.OfficeList("changes", 9, fresh), bench.out.now)
     old = [frames.OfficeListEntry("o1", 1, "gone", 50 * SECOND, "o1:1")]
-    bench.switch.listed(frames.OfficeList("changes", 3, old), bench.out.now)
-    assert bench.switch.offices["o1"].standing is ev.Standing.READY
+    bench.switch.office_list_received(frames.OfficeList("changes", 3, old), bench.out.now)
+    assert bench.switch.offices["o1"].state is ev.Standing.READY
 
 
 def test_a_malformed_list_leaves_the_last_good_one(bench: Bench) -> None:
     bench.told("gone", "sleeping", "gone", revision=5)
-    assert bench.switch.offices["o0"].standing is ev.Standing.READY and bench.switch.revision == 1
+    assert bench.switch.offices["o0"].state is ev.Standing.READY and bench.switch.revision == 1
 
 
 def test_full_groups_and_a_dead_own_office_are_told_as_not_sent() -> None:
     bench = Bench(size=1)
-    bench.switch.group_told("o0", frames.GroupState(2, 0, 0), 0)  # no way over the other
+    bench.switch.group_state_received("o0", frames.GroupState(2, 0, 0), 0)  # no way over the other
     bench.run(SECOND)
     bench.dial(id=1)
     bench.call(id=2)
     assert bench.finals == ["pushed_back"] and len(bench.of(frames.Setup)) == 1
     alone = Bench()
-    alone.switch.office_down("o0", "test", 0)
+    alone.switch.office_disconnected("o0", "test", 0)
     alone.call()
     assert alone.finals == ["pushed_back"] and alone.switch.counts["blame.processor_full"] >= 1
 
@@ -294,7 +301,7 @@
 def test_a_lost_link_resets_its_dials_and_cuts_what_stood(bench: Bench) -> None:
     bench.stand()
     bench.dial(id=2)
-    bench.switch.office_down("o1", "test", bench.out.now)
+    bench.switch.office_disconnected("o1", "test", bench.out.now)
     assert bench.of(frames.Ended) == [frames.Ended(1)] and bench.free() == 8
     bench.run(WAIT)
     assert bench.free() == 10
@@ -303,7 +310,7 @@
 def test_what_the_own_processor_had_in_hand_is_lost_with_it(bench: Bench) -> None:
     setup = bench.dial()
     bench.call(id=2)
-    bench.switch.office_down("o0", "test", bench.out.now)
+    bench.switch.office_disconnected("o0", "test", bench.out.now)
     assert frames.Cancel(setup.dial_ref) in bench.of(frames.Cancel)
     bench.run(3 * SECOND)
     assert sorted(bench.finals) == ["pushed_back", "pushed_back"] and bench.free() == 10
@@ -311,21 +318,21 @@
 
 def test_a_dialogue_in_transit_is_handed_on_or_turned_back(bench: Bench) -> None:
     setup = frames.Setup(9, 2, 77, 0, "cheap", 1, "aa", 2 * SECOND, 1)
-    bench.switch.transit("o0", setup, 0)
+    bench.switch.transit_setup("o0", setup, 0)
     bench.pass_own()
     onward = bench.of(frames.Setup)[-1]
     assert (onward.origin, onward.dialogue, onward.destination) == (2, 77, 1)
-    bench.switch.pushed_back("o1", frames.Reject(onward.dial_ref, "processor_full"), 0)
+    bench.switch.setup_rejected("o1", frames.Reject(onward.dial_ref, "processor_full"), 0)
     assert ("o0", frames.Reject(9, "far_processor_full")) in bench.out.sent
 
 
 def test_a_transit_called_off_upstream_is_called_off_onward(bench: Bench) -> None:
-    bench.switch.transit("o0", frames.Setup(9, 2, 77, 0, "cheap", 1, None, 2 * SECOND, 1), 0)
+    bench.switch.transit_setup("o0", frames.Setup(9, 2, 77, 0, "cheap", 1, None, 2 * SECOND, 1), 0)
     bench.pass_own()
     onward = bench.of(frames.Setup)[-1]
-    bench.switch.transit_over("o0", 9, 0)
+    bench.switch.transit_ended("o0", 9, 0)
     assert ("o1", frames.Cancel(onward.dial_ref)) in bench.out.sent
-    assert ("o0", frames.Released(9)) in bench.out.sent and not bench.switch.taken
+    assert ("o0", frames.Released(9)) in bench.out.sent and not bench.switch.calls
 
 
 @pytest.mark.parametrize(
@@ -348,12 +355,12 @@
     if kind is ev.Arrived:
         bench.call()
     elif kind is ev.Stood:
-        bench.switch.answered("o1", frames.Answer(setup.dial_ref), 0)
+        bench.switch.setup_answered("o1", frames.Answer(setup.dial_ref), 0)
         bench.pass_own()
     elif kind is ev.DialEnded:
-        bench.switch.pushed_back("o1", frames.Reject(setup.dial_ref, "fault"), 0)
+        bench.switch.setup_rejected("o1", frames.Reject(setup.dial_ref, "fault"), 0)
     elif kind is ev.WentAway:
-        bench.switch.leave("link", 1, 0)
+        bench.switch.caller_hung_up("link", 1, 0)
     elif kind is ev.Listed:
         bench.told("ready", "ready", "ready", revision=2)
     bench.run(4 * SECOND)
@@ -371,10 +378,10 @@
     bench.call(id=2)
     assert bench.finals == ["pushed_back"] and bench.switch.counts["turned_away.max_open"] == 1
     bench = Bench()
-    bench.switch.call("link", frames.Call(3, "unheard-of", 1, None, SECOND), 0)
-    bench.switch.call("link", frames.Call(4, "cheap", 1, None, 0), 0)
-    bench.switch.call("link", frames.Call(5, "cheap", 1, "9" * 65, SECOND), 0)
-    assert bench.finals == ["pushed_back"] * 3 and not bench.switch.taken
+    bench.switch.call_received("link", frames.Call(3, "unheard-of", 1, None, SECOND), 0)
+    bench.switch.call_received("link", frames.Call(4, "cheap", 1, None, 0), 0)
+    bench.switch.call_received("link", frames.Call(5, "cheap", 1, "9" * 65, SECOND), 0)
+    assert bench.finals == ["pushed_back"] * 3 and not bench.switch.calls
     for why in ("unknown_use_case", "no_time", "text_too_long"):
         assert bench.switch.counts[f"turned_away.{why}"] == 1
 
@@ -382,7 +389,7 @@
 def test_a_call_with_an_id_that_is_open_is_skipped_and_the_first_gets_its_one_answer(bench: Bench) -> None:
     setup = bench.dial(id=1)
     bench.call(id=1)
-    bench.switch.answered("o1", frames.Answer(setup.dial_ref), 0)
+    bench.switch.setup_answered("o1", frames.Answer(setup.dial_ref), 0)
     bench.pass_own()
     assert bench.finals == ["stands"] and bench.switch.counts["strays.Call"] == 1
 
@@ -391,9 +398,9 @@
     bench = Bench(size=100_000, max_open=20_000)
     for id in range(20_100):
         bench.call(id=id)
-    assert len(bench.switch.taken) == 20_000 and len(bench.finals) == 100
+    assert len(bench.switch.calls) == 20_000 and len(bench.finals) == 100
     bench.run(4 * SECOND)
-    assert len(bench.finals) == 20_100 and not bench.switch.taken and bench.free() == 100_000
+    assert len(bench.finals) == 20_100 and not bench.switch.calls and bench.free() == 100_000
 
 
 def test_stopping_takes_nothing_more_and_tells_what_is_owed(bench: Bench) -> None:
@@ -405,18 +412,20 @@
 
 def test_ends_that_count_different_circuits_for_long_are_told_of(bench: Bench) -> None:
     bench.dial()
-    bench.switch.counts_compared("o1", 1, 0)
-    bench.switch.counts_compared("o1", 0, 1)
-    bench.switch.counts_compared("o1", 0, 2 * SECOND)
+    bench.switch.compare_counts("o1", 1, 0)
+    bench.switch.compare_counts("o1", 0, 1)
+    bench.switch.compare_counts("o1", 0, 2 * SECOND)
     assert "circuits_disagree" not in bench.out.said
-    bench.switch.counts_compared("o1", 0, 4 * SECOND)
+    bench.switch.compare_counts("o1", 0, 4 * SECOND)
     assert "circuits_disagree" in bench.out.said and bench.switch.counts["circuits_disagree"] == 1
 
 
 def test_a_dial_goes_no_way_but_the_tables() -> None:
-    assert set(LEGAL) == set(Step) and LEGAL[Step.FREE] == ()
-    with pytest.raises(RuntimeError, match="FREE to OUT"):
-        DialOut(Taken(1, "", 0, None, 1, 0, 0), 0, None, None, 0, 0, Step.FREE).move(Step.OUT)  # type: ignore[arg-type]
+    assert set(ALLOWED_TRANSITIONS) == set(DialState) and ALLOWED_TRANSITIONS[DialState.FREE] == ()
+    with pytest.raises(RuntimeError, match="FREE to SENT"):
+        PendingDial(PendingCall(1, "", 0, None, 1, 0, 0), 0, None, None, 0, 0, DialState.FREE).move_to(
+            DialState.SENT
+        )  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -432,7 +441,7 @@
     bench: Bench, change: dict[str, int], why: str
 ) -> None:
     bench.call(**change)
-    assert bench.finals == ["pushed_back"] and not bench.switch.taken
+    assert bench.finals == ["pushed_back"] and not bench.switch.calls
     assert bench.switch.counts[f"turned_away.{why}"] == 1
 
 
@@ -440,7 +449,7 @@
     """The office answers nothing; the dialogue and its circuits were held for ever."""
     bench.dial(left=1 << 62)
     bench.run(CHEAP.outer_limit + SECOND)
-    assert bench.finals == ["forfeited"] and not bench.switch.taken and bench.free() == 10
+    assert bench.finals == ["forfeited"] and not bench.switch.calls and bench.free() == 10
 
 
 @pytest.mark.parametrize(
@@ -451,35 +460,35 @@
     bench: Bench, change: dict[str, int]
 ) -> None:
     setup = frames.Setup(9, 2, 77, 0, "cheap", 1, "aa", SECOND, 1)
-    bench.switch.transit("o0", msgspec.structs.replace(setup, **change), 0)
-    assert [frame.dial_ref for frame in bench.of(frames.Reject)] == [9] and not bench.switch.taken
+    bench.switch.transit_setup("o0", msgspec.structs.replace(setup, **change), 0)
+    assert [frame.dial_ref for frame in bench.of(frames.Reject)] == [9] and not bench.switch.calls
 
 
 class Raising:
     """A ledger that fails at every word."""
 
-    def answered(self, seen: Any, answer: str) -> None:
+    def dialogue_answered(self, seen: Any, answer: str) -> None:
         raise OverflowError("int too big to convert")
 
-    def over(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def dialogue_ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
         raise OverflowError("int too big to convert")
 
-    def witnessed(self, seen: Any, how: str, stood: int) -> None:
+    def carried_dialogue_ended(self, seen: Any, how: str, stood: int) -> None:
         raise OverflowError("int too big to convert")
 
 
 def test_a_ledger_that_raises_costs_no_dialogue(bench: Bench) -> None:
-    bench.switch.witness = Raising()
+    bench.switch.ledger = Raising()
     bench.stand()
-    bench.switch.leave("link", 1, bench.out.now)
-    bench.switch.carried("o0", frames.CarriedDialogue(2, 7, "cheap", None, 1, "released", 5))
-    assert bench.finals == ["stands"] and len(bench.of(frames.Release)) == 1 and not bench.switch.taken
+    bench.switch.caller_hung_up("link", 1, bench.out.now)
+    bench.switch.carried_dialogue_ended("o0", frames.CarriedDialogue(2, 7, "cheap", None, 1, "released", 5))
+    assert bench.finals == ["stands"] and len(bench.of(frames.Release)) == 1 and not bench.switch.calls
     assert bench.switch.counts["ledger_faults"] == 3 and bench.out.said.count("ledger_fault") == 3
 
 
 def test_an_age_under_nought_is_a_start_just_now(bench: Bench) -> None:
     lines = [frames.OfficeListEntry("o1", 1, "ready", -(10**9), "o1:1")]
-    bench.switch.listed(frames.OfficeList("changes", 2, lines), 5)
+    bench.switch.office_list_received(frames.OfficeList("changes", 2, lines), 5)
     assert bench.switch.exchange.offices["o1"].started == 5
 
 
@@ -488,7 +497,7 @@
     """NaN beside 'full' made the price nought: the office that was full drew all."""
     office = bench.switch.exchange.offices["o1"]
     office.price = 0.5
-    bench.switch.load_told("o1", frames.LoadReport(frames.Load(figure, -1, figure, figure)), 0)
+    bench.switch.load_reported("o1", frames.LoadReport(frames.Load(figure, -1, figure, figure)), 0)
     assert office.utilisation is None and office.wait is None
 
 
@@ -498,22 +507,22 @@
     bench.call(id=7, destination=9)
     assert bench.finals == ["pushed_back"] and bench.switch.counts["strays.Call"] == 1
     setup = frames.Setup(5, 2, 77, 0, "cheap", 1, "aa", SECOND, 1)
-    bench.switch.transit("o0", setup, 0)
-    bench.switch.transit("o0", setup, 0)
-    assert not bench.of(frames.Reject) and len(bench.switch.taken) == 1
-    bench.switch.transit_over("o0", 5, 0)
-    bench.switch.transit("o0", setup, 0)
-    assert not bench.of(frames.Reject) and not bench.switch.taken and bench.switch.counts["strays.Setup"] == 2
-    bench.switch.caller_lost("link", 0)
+    bench.switch.transit_setup("o0", setup, 0)
+    bench.switch.transit_setup("o0", setup, 0)
+    assert not bench.of(frames.Reject) and len(bench.switch.calls) == 1
+    bench.switch.transit_ended("o0", 5, 0)
+    bench.switch.transit_setup("o0", setup, 0)
+    assert not bench.of(frames.Reject) and not bench.switch.calls and bench.switch.counts["strays.Setup"] == 2
+    bench.switch.caller_disconnected("link", 0)
     bench.call(id=7, destination=9)  # a new link may begin again
     assert bench.finals == ["pushed_back"] * 2
 
 
 def test_ids_that_are_over_are_remembered_up_to_a_bound() -> None:
-    ids = Recent()
-    for n in range(3 * MOST_RECENT):
+    ids = RecentIds()
+    for n in range(3 * MAX_RECENT_IDS):
         ids.add(n)
-    assert 3 * MOST_RECENT - 1 in ids and 0 not in ids and len(ids) == MOST_RECENT
+    assert 3 * MAX_RECENT_IDS - 1 in ids and 0 not in ids and len(ids) == MAX_RECENT_IDS
 
 
 # ---- edges of figures and clocks ----
@@ -523,12 +532,12 @@
     for n in range(4):
         bench.call(id=n)
     assert bench.free() == 6
-    bench.switch.group_told("o0", frames.GroupState(1, 1, 2), 0)
+    bench.switch.group_state_received("o0", frames.GroupState(1, 1, 2), 0)
     assert bench.free() == 0 and bench.switch.groups[1].local_count == 4
     for n in range(4):
-        bench.switch.leave("link", n, bench.out.now)
+        bench.switch.caller_hung_up("link", n, bench.out.now)
     bench.run(SECOND)
-    assert bench.free() == 1 and not bench.switch.taken
+    assert bench.free() == 1 and not bench.switch.calls
 
 
 @pytest.mark.parametrize("size", [0, 1])
@@ -537,24 +546,24 @@
     bench.run(SECOND)
     bench.call(id=1)
     bench.call(id=2)
-    assert len(bench.switch.taken) == size and len(bench.finals) == 2 - size
+    assert len(bench.switch.calls) == size and len(bench.finals) == 2 - size
 
 
 def test_hours_of_silence_and_a_clock_that_stands_still_and_jumps(bench: Bench) -> None:
     bench.stand()
     bench.run(3 * 3600 * SECOND)
-    assert len(bench.switch.taken) == 1 and not bench.switch.counts["decision_faults"]
+    assert len(bench.switch.calls) == 1 and not bench.switch.counts["decision_faults"]
     setup = bench.dial(id=2, left=60 * SECOND)
     bench.out.now += 5 * 3600 * SECOND  # paused: all timers ring late, at the time it is then
     bench.run(10 * SECOND)
-    assert bench.finals == ["stands", "forfeited"] and len(bench.switch.taken) == 1
-    bench.switch.answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
+    assert bench.finals == ["stands", "forfeited"] and len(bench.switch.calls) == 1
+    bench.switch.setup_answered("o1", frames.Answer(setup.dial_ref), bench.out.now)
     assert bench.switch.counts["strays.Answer"] == 1
     assert bench.dial(id=3).dial_ref > setup.dial_ref and not bench.switch.counts["decision_faults"]
 
 
 def test_a_fleet_of_one_and_an_empty_list_push_back_at_once(bench: Bench) -> None:
-    bench.switch.listed(frames.OfficeList("whole", 2, []), 0)
+    bench.switch.office_list_received(frames.OfficeList("whole", 2, []), 0)
     bench.call()
     assert bench.finals == ["pushed_back"] and not bench.switch.offices
 
@@ -563,7 +572,7 @@
 def test_a_revision_that_jumps_or_goes_back_shuts_and_never_opens(bench: Bench, revision: int) -> None:
     bench.told("ready", "draining", "ready", revision=5)
     bench.told("ready", "ready", "ready", revision=revision)
-    opened = bench.switch.offices["o1"].standing is ev.Standing.READY
+    opened = bench.switch.offices["o1"].state is ev.Standing.READY
     assert opened == (revision > 5)
 
 
@@ -572,5 +581,5 @@
 def test_a_register_that_lost_its_count_can_name_new_offices(bench: Bench) -> None:
     bench.told("ready", "ready", "ready", revision=1_000_000)
     lines = [frames.OfficeListEntry("o1.1", 1, "ready", 0, "o1.1:1")]
-    bench.switch.listed(frames.OfficeList("changes", 3, lines), 0)
+    bench.switch.office_list_received(frames.OfficeList("changes", 3, lines), 0)
     assert "o1.1" in bench.switch.offices
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -22,7 +22,7 @@
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.net.collector import freeze_startup_objects
 from wellhitch.net.transport import LoopbackNetwork, now_us
-from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
+from wellhitch.server.daemon import Daemon, Log, MakeSettlement, ServerAddresses
 from wellhitch.server.hook_runner import WallClock
 from wellhitch.settings.checked import Faults
 from wellhitch.settings.sheet import Sheet, opened
@@ -85,7 +85,9 @@
     return Door(key, FolderBox(file.parent / sheet.ledger.export, sheet.number))
 
 
-def _ledger(sheet: Sheet, disk: SystemDisk, keys: NumberKeys, epoch: float, door: Door | None) -> MakeDesk:
+def _ledger(
+    sheet: Sheet, disk: SystemDisk, keys: NumberKeys, epoch: float, door: Door | None
+) -> MakeSettlement:
     """The desk of a sheet's ledger. `epoch`: the wall clock's seconds when the loop's were nought."""
     line = sheet.ledger
     assert line
@@ -119,7 +121,7 @@
     """Write what hooks remember now and then, off the loop: no dialogue waits for a disk."""
     while True:
         await asyncio.sleep(KEEP_EVERY_S)
-        await asyncio.to_thread(_write, state, daemon.hooks_state(), log)
+        await asyncio.to_thread(_write, state, daemon.dump_hooks_state(), log)
 
 
 def read_state(state: Path, log: Log) -> bytes:
@@ -161,7 +163,7 @@
     d = sheet.doors
     # A mark that is new with each start: the process id and the loop's clock, which nothing else reads.
     boot = (now_us(loop) << 16 | os.getpid() & 0xFFFF) & ((1 << 62) - 1)
-    doors = Doors(d.callers, d.peers, d.operators, d.register, d.centre)
+    doors = ServerAddresses(d.callers, d.peers, d.operators, d.register, d.centre)
     disk = SystemDisk(loop, file.parent / sheet.ledger.folder) if sheet.ledger else None
     make_desk = _ledger(sheet, disk, keys, time.time() - now_us(loop) / 1e6, door) if disk else None
     daemon = Daemon(
@@ -174,8 +176,8 @@
         log,
         hooks=sheet.hooks,
         clock=wall_clock(time.time(), now_us(loop)),
-        reread=lambda: read_sheet(file).hooks,
-        ledger=make_desk,
+        read_hooks=lambda: read_sheet(file).hooks,
+        make_settlement=make_desk,
     )
     loop.set_exception_handler(trouble)
     # Before anything can end: set only at the end, it was said to nobody on a SIGTERM, which closes the ledger itself.
@@ -183,7 +185,7 @@
     daemon.ledger_closed = closed.set  # type: ignore[method-assign]
     state = file.parent / sheet.hooks_state if sheet.hooks_state else None
     if state is not None:
-        daemon.take_hooks_state(read_state(state, log))
+        daemon.restore_hooks_state(read_state(state, log))
     keeping = loop.create_task(_keep(daemon, state, log)) if state is not None else None
 
     def stop() -> None:
@@ -203,7 +205,7 @@
     code = await over
     if keeping is not None and state is not None:
         keeping.cancel()
-        _write(state, daemon.hooks_state(), log)
+        _write(state, daemon.dump_hooks_state(), log)
     daemon.kill()
     if disk:
         try:
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -23,8 +23,8 @@
 from wellhitch.ledger.desk import Desk, Door
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.net.transport import LoopbackNetwork
-from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
-from wellhitch.server.switch import Outlet, Switch
+from wellhitch.server.daemon import Daemon, Log, MakeSettlement, ServerAddresses
+from wellhitch.server.switch import ServerIO, Switch
 from wellhitch.settings.day import Day
 from wellhitch.settings.sheet import DoorLine, LedgerLine, Sheet, UseCaseLine, opened, span
 from wellhitch.stand_ins.troubles import CannotPlay
@@ -81,10 +81,10 @@
     )
 
 
-def doors_of(sheet: Sheet) -> Doors:
+def doors_of(sheet: Sheet) -> ServerAddresses:
     """The doors of a sheet, as the daemon takes them."""
     d = sheet.doors
-    return Doors(d.callers, d.peers, d.operators, d.register, d.centre)
+    return ServerAddresses(d.callers, d.peers, d.operators, d.register, d.centre)
 
 
 def zone_delay(day: Day) -> Callable[[str, str], int]:
@@ -121,7 +121,7 @@
     daemons: dict[int, Daemon] = field(default_factory=dict)
     boots: dict[int, int] = field(default_factory=dict)
     parties: dict[int, PartyLoop] = field(default_factory=dict)
-    make_switch: Callable[[Opened, int, Outlet], Switch] = Switch
+    make_switch: Callable[[Opened, int, ServerIO], Switch] = Switch
     clocks: dict[int, float] = field(default_factory=dict)  # seconds that a call server's clock is ahead
     disks: dict[int, EmulatedDisk] = field(default_factory=dict)
     doors: dict[int, Door] = field(default_factory=dict)  # to the accounting side, by call server
@@ -153,11 +153,11 @@
             self.log(number),
             self.make_switch,
             hooks=sheet.hooks,
-            ledger=self._desk(number) if self.day.ledger else None,
+            make_settlement=self._desk(number) if self.day.ledger else None,
         )
         daemon.start()
 
-    def _desk(self, number: int) -> MakeDesk:
+    def _desk(self, number: int) -> MakeSettlement:
         """A ledger on an emulated disk that outlives the process."""
         roster = tuple(one.number for one in self.day.exchanges)
         keys = NumberKeys({1: bytes([number % 256]) * 32})
@@ -193,14 +193,14 @@
         host = f"server-{number}"
         self.parties[number].gone = True
         daemon.stopped = True
-        if daemon.desk:
+        if daemon.settlement:
             keep = self.power_cut(number)
             if keep is None:
-                daemon.desk.kill()
+                daemon.settlement.kill()
                 self.disks[number] = self.disks[number].after_kill()
             else:
                 self.disks[number] = self.disks[number].after_power_cut(self.boots[number], keep)
-                daemon.desk.kill()
+                daemon.settlement.kill()
         for listener in daemon.listeners.values():
             listener.close()
         self.net.reset_host(host)
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -126,11 +126,15 @@
         # What ended after the month counts in the next, which ends as soon as all clocks are set a month on.
         fleet.wall_at_start += end_of(next_of(PERIOD)) - end_of(PERIOD)
         loop.advance(after_s)
-        exported = {number: daemon.desk.sent.done for number, daemon in fleet.daemons.items() if daemon.desk}
+        exported = {
+            number: daemon.settlement.sent.done
+            for number, daemon in fleet.daemons.items()
+            if daemon.settlement
+        }
         counts: Counter[str] = Counter()
         for daemon in fleet.daemons.values():
-            if daemon.desk:
-                counts += daemon.desk.counts
+            if daemon.settlement:
+                counts += daemon.settlement.counts
         fleet.power_cut = lambda number: None
         fleet.close()
         town.close()
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -25,8 +25,8 @@
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.net.transport import Listener, LoopbackNetwork, now_us
 from wellhitch.rules import decide
-from wellhitch.server.daemon import Daemon, Doors, Log
-from wellhitch.server.switch import Outlet, Switch
+from wellhitch.server.daemon import Daemon, Log, ServerAddresses
+from wellhitch.server.switch import ServerIO, Switch
 from wellhitch.store.system import SystemDisk
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel, PersistentChannel
@@ -156,10 +156,10 @@
         while not register:
             await asyncio.sleep(0.01)
 
-        def make(opened: ev.Opened, max_open: int, outlet: Outlet) -> Switch:
+        def make(opened: ev.Opened, max_open: int, outlet: ServerIO) -> Switch:
             return (Relay if relay else Switch)(opened, max_open, outlet)
 
-        doors = Doors("127.0.0.1:0", "", "", register[0], "")
+        doors = ServerAddresses("127.0.0.1:0", "", "", register[0], "")
 
         def desk(on: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log) -> Desk:
             disk = SystemDisk(on, Path(ledger))
@@ -176,11 +176,12 @@
             _silent,
             make,
             hooks,
-            ledger=desk if ledger else None,
+            make_settlement=desk if ledger else None,
         )
         daemon.start()
         while (
-            "callers" not in daemon.listeners or sum(e.up for e in daemon.switch.offices.values()) < offices
+            "callers" not in daemon.listeners
+            or sum(e.connected for e in daemon.switch.offices.values()) < offices
         ):
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.2)
@@ -189,7 +190,7 @@
             asked = await loop.run_in_executor(None, pipe.recv)
             if asked == "end":
                 return
-            pipe.send((time.process_time(), _resident(), len(daemon.switch.taken)))
+            pipe.send((time.process_time(), _resident(), len(daemon.switch.calls)))
 
     asyncio.run(run())
 
--- a/wellhitch/ledger/desk.py
+++ b/wellhitch/ledger/desk.py
@@ -327,7 +327,7 @@
         else:
             self.counts["ledger_missed"] += 1
 
-    def answered(self, seen: Seen, answer: str) -> None:
+    def dialogue_answered(self, seen: Seen, answer: str) -> None:
         """A dialogue got its answer."""
         wall, now = self.wall(), self._now()
 
@@ -338,7 +338,7 @@
 
         self._event(work)
 
-    def over(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def dialogue_ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
         """A dialogue that stood is over."""
         what = (side, origin, dialogue, how, self.wall(), self._now(), dial)
 
@@ -355,7 +355,7 @@
         while self._unsaid and self.keeper.room(ROOM):
             self._put(book.over(*self._unsaid.popleft()))
 
-    def witnessed(self, seen: Seen, how: str, stood: int) -> None:
+    def carried_dialogue_ended(self, seen: Seen, how: str, stood: int) -> None:
         """The own office told of a dialogue that ended in this exchange."""
         wall = self.wall()
 
@@ -869,7 +869,7 @@
         """End what stands, for its links go with the process, write what waits and close the store."""
         if self.book is not None:
             for held, _ in list(self.book.standing.values()):
-                self.over(held.side, held.origin, held.dialogue, "cut", held.dial)
+                self.dialogue_ended(held.side, held.origin, held.dialogue, "cut", held.dial)
             self._put(self.book.alive(self.wall()))
         self._halt()
         self.keeper.close(closed)
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -16,22 +16,22 @@
 from wellhitch.interface import events as ev
 from wellhitch.ledger.desk import Desk
 from wellhitch.net.transport import Listener, Network, now_us
-from wellhitch.server.hook_runner import NO_CLOCK, Hooked, WallClock
+from wellhitch.server.hook_runner import LOOP_TIME_CLOCK, HookRunner, WallClock
 from wellhitch.server.metrics import exposition
-from wellhitch.server.switch import Outlet, Switch
+from wellhitch.server.switch import ServerIO, Switch
 from wellhitch.settings.checked import Faults
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel, PersistentChannel
 
-MAX_LINE = (
+MAX_REQUEST_BYTES = (
     2_000  # bytes of an operator's request: a correction with who and why of 200 characters has up to 1,700
 )
-ASK_WITHIN_S = 10.0  # for an operator to ask and to read the answer; over loopback a moment is enough
-MOST_LINKS = (
+REQUEST_TIMEOUT_S = 10.0  # for an operator to ask and to read the answer; over loopback a moment is enough
+MAX_CONNECTIONS = (
     500  # from callers and peers together: half of the 1,024 descriptors that a process has by default; the
 )
 # others are for its own links to offices, guides and peers, and for files
-STOP_EVERY = 0.02  # s between looks at what is still owed while stopping
+STOP_POLL_INTERVAL_S = 0.02  # s between looks at what is still owed while stopping
 
 
 class Log(Protocol):
@@ -40,11 +40,11 @@
     def __call__(self, event: str, **facts: Any) -> None: ...
 
 
-MakeDesk = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], Desk]
+MakeSettlement = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], Desk]
 
 
 @dataclass(frozen=True, slots=True)
-class Doors:
+class ServerAddresses:
     """Where a call server listens and whom it follows, as host:port; empty for none."""
 
     callers: str
@@ -61,70 +61,78 @@
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
-        opened: ev.Opened,
-        doors: Doors,
+        configuration: ev.Opened,
+        addresses: ServerAddresses,
         max_open: int,
         boot: int,
         log: Log,
-        make_switch: Callable[[ev.Opened, int, Outlet], Switch] = Switch,
+        make_switch: Callable[[ev.Opened, int, ServerIO], Switch] = Switch,
         hooks: Mapping[str, str] | None = None,
-        clock: WallClock = NO_CLOCK,
-        reread: Callable[[], Mapping[str, str]] | None = None,
-        ledger: MakeDesk | None = None,
+        clock: WallClock = LOOP_TIME_CLOCK,
+        read_hooks: Callable[[], Mapping[str, str]] | None = None,
+        make_settlement: MakeSettlement | None = None,
     ) -> None:
-        self.loop, self.network, self.doors, self.write_log = loop, network, doors, log
-        self.chance = random.Random(opened.seed ^ boot)
-        self.switch = make_switch(opened, max_open, self)
-        self.switch.life = boot % (1 << 30)
+        self.loop, self.network, self.addresses, self.write_log = loop, network, addresses, log
+        self.rng = random.Random(configuration.seed ^ boot)
+        self.switch = make_switch(configuration, max_open, self)
+        self.switch.id_epoch = boot % (1 << 30)
         self.hello = frames.Hello("call_server", self.switch.number, boot)
-        self.callers = _Callers(self)
-        self.peers_in = _Peers(self)
-        self.guides = _Guides(self)
-        self.offices: dict[str, _OfficeLink] = {}
-        self.peer_links: dict[str, PersistentChannel] = {}
-        self.peer_numbers: dict[int, str] = {}
-        self.peers_here: dict[int, Channel] = {}
+        self.caller_channels = _CallerChannels(self)
+        self.peer_channels = _PeerChannels(self)
+        self.control_channels = _ControlChannels(self)
+        self.office_channels: dict[str, _OfficeChannel] = {}
+        self.peer_connections: dict[str, PersistentChannel] = {}
+        self.peer_addresses: dict[int, str] = {}
+        self.channels_by_peer: dict[int, Channel] = {}
         self.listeners: dict[str, Listener] = {}
-        self.kept: list[PersistentChannel] = []
-        self.ports: dict[Channel, None] = {}
+        self.control_connections: list[PersistentChannel] = []
+        self.accepted_channels: dict[Channel, None] = {}
         self.operators: dict[asyncio.Transport, None] = {}
-        self.reread = reread
+        self.read_hooks = read_hooks
         self.parser: Parser | None = None
-        self.past: list[Version] = []
+        self.previous_versions: list[Version] = []
         if hooks:
             self.parser = Parser()
-            use_cases = frozenset(use.name for use in opened.use_cases)
+            use_cases = frozenset(use.name for use in configuration.use_cases)
             made = Hooks(load_version(hooks, self.parser), use_cases, log, self.switch.counts)
-            self.switch.hooked = Hooked(made, self.switch.exchange, self.switch.number, clock)
-        self.tells = opened.permissions.may_tell_peers and not opened.place.advised
+            self.switch.hook_runner = HookRunner(made, self.switch.exchange, self.switch.number, clock)
+        self.sends_peer_messages = (
+            configuration.permissions.may_tell_peers and not configuration.place.advised
+        )
         self.stopped = False
-        self.desk = ledger(loop, self.ledger_send, log) if ledger else None
-        self.switch.witness = self.desk
+        self.settlement = make_settlement(loop, self.send_ledger_message, log) if make_settlement else None
+        self.switch.ledger = self.settlement
 
     def start(self) -> None:
         """Listen, follow the register, begin to decide."""
         self.write_log(
-            "started", number=self.switch.number, boot=self.hello.boot, seed=self.switch.opened.seed
+            "started", number=self.switch.number, boot=self.hello.boot, seed=self.switch.configuration.seed
         )
-        if self.desk:
-            self.desk.start()
+        if self.settlement:
+            self.settlement.start()
         self.switch.start(self.now())
-        self._listen("callers", self.doors.callers, lambda: self._port(self.callers, ("caller",)))
-        if self.doors.peers:
-            self._listen("peers", self.doors.peers, lambda: self._port(self.peers_in, ("call_server",)))
-        if self.doors.operators:
-            self._listen("operators", self.doors.operators, lambda: _Operator(self))
-        for address, role in ((self.doors.register, "register"), (self.doors.centre, "centre")):
+        self._listen(
+            "callers", self.addresses.callers, lambda: self._make_channel(self.caller_channels, ("caller",))
+        )
+        if self.addresses.peers:
+            self._listen(
+                "peers",
+                self.addresses.peers,
+                lambda: self._make_channel(self.peer_channels, ("call_server",)),
+            )
+        if self.addresses.operators:
+            self._listen("operators", self.addresses.operators, lambda: _OperatorConnection(self))
+        for address, role in ((self.addresses.register, "register"), (self.addresses.centre, "centre")):
             if address:
-                self.kept.append(
+                self.control_connections.append(
                     PersistentChannel(
                         self.loop,
                         self.network,
                         address,
-                        self.guides,
+                        self.control_channels,
                         self.hello,
                         (role,),
-                        self._fork(address),
+                        self._fork_rng(address),
                     )
                 )
 
@@ -135,124 +143,130 @@
         """The loop's time in us."""
         return now_us(self.loop)
 
-    def _fork(self, what: str) -> random.Random:
+    def _fork_rng(self, name: str) -> random.Random:
         """A generator of its own for each link, so that none disturbs another's draws."""
-        return random.Random(f"{self.switch.opened.seed} {self.hello.boot} {what}")
+        return random.Random(f"{self.switch.configuration.seed} {self.hello.boot} {name}")
 
-    def _port(self, owner: Any, takes: tuple[str, ...]) -> Channel:
+    def _make_channel(self, owner: Any, accepted_roles: tuple[str, ...]) -> Channel:
         port: Channel
-        port = Channel(self.loop, owner, self.hello, takes, on_closed=lambda why: self.ports.pop(port, None))
-        if len(self.ports) >= MOST_LINKS:
+        port = Channel(
+            self.loop,
+            owner,
+            self.hello,
+            accepted_roles,
+            on_closed=lambda why: self.accepted_channels.pop(port, None),
+        )
+        if len(self.accepted_channels) >= MAX_CONNECTIONS:
             # Guards the links that stand, and those that this call server itself must open, against one too many.
-            port.refusal_reason = f"{MOST_LINKS} links stand here already"
+            port.refusal_reason = f"{MAX_CONNECTIONS} links stand here already"
             self.switch.counts["links_refused"] += 1
         else:
-            self.ports[port] = None
+            self.accepted_channels[port] = None
         return port
 
-    def _listen(self, what: str, address: str, factory: Callable[[], asyncio.BufferedProtocol]) -> None:
+    def _listen(self, name: str, address: str, factory: Callable[[], asyncio.BufferedProtocol]) -> None:
         def ready(listener: Listener) -> None:
-            self.listeners[what] = listener
-            self.write_log("listening", what=what, address=listener.address)
+            self.listeners[name] = listener
+            self.write_log("listening", what=name, address=listener.address)
 
         self.network.listen(address, factory, ready)
 
-    def stop(self, within: int, done: Callable[[], None]) -> None:
+    def stop(self, timeout: int, on_stopped: Callable[[], None]) -> None:
         """Take nothing more, wait `within` us at most for what is owed, then close all links."""
         owed = self.switch.stop(self.now())
         self.write_log("stopping", owed=owed)
-        until = self.now() + within
+        until = self.now() + timeout
 
         def look() -> None:
-            if self.switch.owed and self.now() < until:
-                self.loop.call_later(STOP_EVERY, look)
+            if self.switch.unanswered and self.now() < until:
+                self.loop.call_later(STOP_POLL_INTERVAL_S, look)
                 return
-            self.write_log("stopped", owed=self.switch.owed)
+            self.write_log("stopped", owed=self.switch.unanswered)
             self.kill()
-            done()
+            on_stopped()
 
         look()
 
     def kill(self) -> None:
         """Close everything at once, whatever is owed."""
         self.stopped = self.switch.stopping = True
-        if self.desk:
-            self.desk.close(self.ledger_closed)
+        if self.settlement:
+            self.settlement.close(self.ledger_closed)
         for listener in self.listeners.values():
             listener.close()
         for link in [
-            *self.kept,
-            *self.peer_links.values(),
-            *(office.link for office in self.offices.values()),
+            *self.control_connections,
+            *self.peer_connections.values(),
+            *(office.connection for office in self.office_channels.values()),
         ]:
             link.close()
-        for port in list(self.ports):
+        for port in list(self.accepted_channels):
             port.close()
         for transport in list(self.operators):
             transport.close()
 
     # -- Outlet --
 
-    def to_caller(self, link: Hashable, frame: frames.AnyFrame) -> bool:
+    def send_to_caller(self, connection: Hashable, frame: frames.AnyFrame) -> bool:
         """As `Outlet`."""
-        return cast(Channel, link).send(frame)
+        return cast(Channel, connection).send(frame)
 
-    def to_office(self, office: str, frame: frames.AnyFrame) -> bool:
+    def send_to_office(self, office: str, frame: frames.AnyFrame) -> bool:
         """As `Outlet`."""
-        port = self._office_port(office)
+        port = self._office_channel(office)
         return port.send(frame) if port else False
 
-    def _office_port(self, office: str) -> Channel | None:
-        kept = self.offices.get(office)
-        return kept.link.current if kept else None
+    def _office_channel(self, office: str) -> Channel | None:
+        kept = self.office_channels.get(office)
+        return kept.connection.current if kept else None
 
-    def withdraw(self, office: str, which: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
+    def withdraw(self, office: str, matches: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
         """As `Outlet`."""
-        port = self._office_port(office)
-        return port.withdraw(which) if port else []
+        port = self._office_channel(office)
+        return port.withdraw(matches) if port else []
 
-    def mark(self, office: str) -> int:
+    def send_mark(self, office: str) -> int:
         """As `Outlet`."""
-        port = self._office_port(office)
+        port = self._office_channel(office)
         return port.send_mark() if port else 0
 
-    def marked(self, office: str, n: int) -> bool:
+    def mark_confirmed(self, office: str, sequence: int) -> bool:
         """As `Outlet`."""
-        port = self._office_port(office)
-        return port is None or port.mark_confirmed(n)
+        port = self._office_channel(office)
+        return port is None or port.mark_confirmed(sequence)
 
-    def reset(self, office: str, why: str) -> None:
+    def reset_connection(self, office: str, reason: str) -> None:
         """As `Outlet`."""
-        port = self._office_port(office)
+        port = self._office_channel(office)
         if port:
-            port.fail(why, notify_peer=False)
+            port.fail(reason, notify_peer=False)
 
-    def keep_link(self, office: str, address: str) -> None:
+    def keep_connection(self, office: str, address: str) -> None:
         """As `Outlet`."""
-        if office not in self.offices and not self.stopped:
-            self.offices[office] = _OfficeLink(self, office, address)
+        if office not in self.office_channels and not self.stopped:
+            self.office_channels[office] = _OfficeChannel(self, office, address)
 
-    def drop_link(self, office: str) -> None:
+    def drop_connection(self, office: str) -> None:
         """As `Outlet`."""
-        kept = self.offices.pop(office, None)
+        kept = self.office_channels.pop(office, None)
         if kept:
-            kept.link.close()
-            self.switch.office_down(office, "gone from the list", self.now())
+            kept.connection.close()
+            self.switch.office_disconnected(office, "gone from the list", self.now())
 
-    def tell_peers(self, text: bytes) -> None:
+    def send_to_peers(self, text: bytes) -> None:
         """As `Outlet`."""
         word = frames.PeerMessage(text)
-        for kept in self.peer_links.values():
+        for kept in self.peer_connections.values():
             if kept.current:
                 kept.current.send(word)
 
-    def timer(self, after: int, ring: Callable[[int], None]) -> asyncio.TimerHandle:
+    def start_timer(self, delay: int, callback: Callable[[int], None]) -> asyncio.TimerHandle:
         """As `Outlet`."""
-        return self.loop.call_later(after / 1e6, self._ring, ring)
+        return self.loop.call_later(delay / 1e6, self._run_callback, callback)
 
-    def _ring(self, ring: Callable[[int], None]) -> None:
+    def _run_callback(self, callback: Callable[[int], None]) -> None:
         if not self.stopped:
-            ring(self.now())
+            callback(self.now())
 
     def log(self, event: str, **facts: Any) -> None:
         """As `Outlet`."""
@@ -260,71 +274,71 @@
 
     # -- what the register names --
 
-    def follow_peers(self, lines: list[frames.OfficeListEntry]) -> None:
+    def connect_peers(self, entries: list[frames.OfficeListEntry]) -> None:
         """Keep a link to each peer that the list names, where words are told at all or a ledger is kept."""
-        if not self.tells and not self.desk:
+        if not self.sends_peer_messages and not self.settlement:
             return
-        for line in lines:
+        for line in entries:
             address = line.peer_address
             if address:
-                before = self.peer_numbers.get(line.number, address)
-                self.peer_numbers[line.number] = address
-                if before != address and before in self.peer_links:
+                before = self.peer_addresses.get(line.number, address)
+                self.peer_addresses[line.number] = address
+                if before != address and before in self.peer_connections:
                     # Guards against links to where a peer was, each tried for ever.
-                    self.peer_links.pop(before).close()
-            if line.number != self.switch.number and address and address not in self.peer_links:
-                self.peer_links[address] = PersistentChannel(
+                    self.peer_connections.pop(before).close()
+            if line.number != self.switch.number and address and address not in self.peer_connections:
+                self.peer_connections[address] = PersistentChannel(
                     self.loop,
                     self.network,
                     address,
-                    self.peers_in,
+                    self.peer_channels,
                     self.hello,
                     ("call_server",),
-                    self._fork(address),
+                    self._fork_rng(address),
                 )
 
-    def ledger_send(self, to: int, data: bytes) -> bool:
+    def send_ledger_message(self, number: int, payload: bytes) -> bool:
         """Carry a message of the ledger's to another call server; False where no link stands. One that is lost is
         asked for again."""
-        kept = self.peer_links.get(self.peer_numbers.get(to, ""))
-        port = (kept.current if kept else None) or self.peers_here.get(to)
-        return port.send(frames.LedgerMessage(data)) if port else False
+        kept = self.peer_connections.get(self.peer_addresses.get(number, ""))
+        port = (kept.current if kept else None) or self.channels_by_peer.get(number)
+        return port.send(frames.LedgerMessage(payload)) if port else False
 
-    def ledger_asked(self, what: str) -> str:
+    def ledger_request(self, request: str) -> str:
         """An operator's word about the ledger: `close PERIOD` states it early, `correct DIALOGUE US WHO WHY` (names and
         reasons without blanks, or quoted), `snapshot NAME`; else how it is."""
-        if self.desk is None:
+        if self.settlement is None:
             return "no ledger: the sheet names none"
         try:
-            return self.desk.asked(what)
+            return self.settlement.asked(request)
         except ValueError as fault:
             return f"not done: {fault}"
 
-    def hooks_state(self) -> bytes:
+    def dump_hooks_state(self) -> bytes:
         """What hooks remember, for a file."""
-        hooked = self.switch.hooked
+        hooked = self.switch.hook_runner
         return encode_state(hooked.hooks.states, self.now()) if hooked else b""
 
-    def take_hooks_state(self, data: bytes) -> None:
+    def restore_hooks_state(self, data: bytes) -> None:
         """Take what an earlier process remembered; what is damaged or too large is dropped with a word in the log."""
-        if self.switch.hooked:
+        if self.switch.hook_runner:
             kept, words = decode_state(data, self.now())
-            self.switch.hooked.hooks.states.update(kept)
+            self.switch.hook_runner.hooks.states.update(kept)
             for word in words:
                 self.switch.counts["hooks_state_dropped"] += 1
                 self.write_log("hooks_state_dropped", why=word)
 
-    def hooks_asked(self, what: str) -> str:
+    def hooks_request(self, request: str) -> str:
         """An operator's word about hooks. `reload` takes the files as they are now, as a whole or not at all;
         `shadow` runs them beside; `canary N` lets the shadow decide for N percent of called numbers; `take` makes the
         shadow the version, `drop` lets it go; `back` returns to the version before; else what runs is shown."""
-        hooked = self.switch.hooked
+        hooked = self.switch.hook_runner
         if hooked is None or self.parser is None:
             return "no hooks: the sheet names none"
-        hooks, word, number = hooked.hooks, what.split(" ")[0], what.partition(" ")[2]
+        hooks, word, number = hooked.hooks, request.split(" ")[0], request.partition(" ")[2]
         if word in ("reload", "shadow"):
             try:
-                version = load_version(self.reread(), self.parser) if self.reread else hooks.version
+                version = load_version(self.read_hooks(), self.parser) if self.read_hooks else hooks.version
             except (InvalidHooks, Faults) as bad:
                 return f"not taken, {hooks.version.digest} runs on\n{bad}"
             if version.digest == hooks.version.digest:
@@ -346,18 +360,18 @@
             hooks.drop_shadow()
             return f"{hooks.version.digest} runs alone"
         if word == "back":
-            if not self.past:
+            if not self.previous_versions:
                 return f"nothing before {hooks.version.digest}"
-            hooks.swap(self.past.pop())
+            hooks.swap(self.previous_versions.pop())
             return f"{hooks.version.digest} runs from now on"
-        return msgspec.json.format(msgspec.json.encode(self._hooks_shown(hooks)), indent=2).decode()
+        return msgspec.json.format(msgspec.json.encode(self._hooks_status(hooks)), indent=2).decode()
 
     def _swap_hooks(self, hooks: Hooks, version: Version) -> str:
-        self.past = [*self.past[-9:], hooks.version]
+        self.previous_versions = [*self.previous_versions[-9:], hooks.version]
         hooks.swap(version)
-        return f"{version.digest} runs from now on; hooks back returns to {self.past[-1].digest}"
+        return f"{version.digest} runs from now on; hooks back returns to {self.previous_versions[-1].digest}"
 
-    def _hooks_shown(self, hooks: Hooks) -> dict[str, Any]:
+    def _hooks_status(self, hooks: Hooks) -> dict[str, Any]:
         return {
             "version": hooks.version.digest,
             "files": [program.file.name for program in hooks.version.programs],
@@ -380,16 +394,16 @@
         x = switch.exchange
         return {
             "number": switch.number,
-            "held": len(switch.taken),
-            "owed": switch.owed,
+            "held": len(switch.calls),
+            "owed": switch.unanswered,
             "own_price": round(x.own_price, 4),
             "revision": switch.revision,
             "offices": [
                 {
                     "id": end.id,
                     "number": end.number,
-                    "standing": end.standing.name.lower(),
-                    "up": end.up,
+                    "standing": end.state.name.lower(),
+                    "up": end.connected,
                     "dials": len(end.dials),
                     "price": round(x.offices[end.id].price, 4) if end.id in x.offices else None,
                 }
@@ -400,11 +414,11 @@
                 for number, g in sorted(switch.groups.items())
             },
             "counts": dict(sorted(switch.counts.items())),
-            **({"ledger": self.desk.status()} if self.desk else {}),
+            **({"ledger": self.settlement.status()} if self.settlement else {}),
         }
 
 
-class _Part:
+class _ChannelOwnerBase:
     """What the owners of links share: heartbeats without circuits."""
 
     def __init__(self, daemon: Daemon) -> None:
@@ -421,128 +435,128 @@
         return 0
 
 
-class _Callers(_Part):
+class _CallerChannels(_ChannelOwnerBase):
     """Links from callers."""
 
     def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """A caller says something."""
         now = self.daemon.now()
         if isinstance(frame, frames.Call):
-            self.daemon.switch.call(port, frame, now)
+            self.daemon.switch.call_received(port, frame, now)
         elif isinstance(frame, frames.HangUp):
-            self.daemon.switch.leave(port, frame.id, now)
+            self.daemon.switch.caller_hung_up(port, frame.id, now)
 
     def channel_closed(self, port: Channel, why: str) -> None:
         """A caller's link is gone."""
-        self.daemon.switch.caller_lost(port, self.daemon.now())
+        self.daemon.switch.caller_disconnected(port, self.daemon.now())
 
 
-class _Peers(_Part):
+class _PeerChannels(_ChannelOwnerBase):
     """Links with other call servers."""
 
     def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """A peer says something."""
         if isinstance(frame, frames.PeerMessage):
-            self.daemon.switch.word(port.peer.number, frame.payload, self.daemon.now())
-        elif isinstance(frame, frames.LedgerMessage) and self.daemon.desk:
-            self.daemon.desk.heard_from(port.peer.number, frame.payload)
+            self.daemon.switch.peer_message_received(port.peer.number, frame.payload, self.daemon.now())
+        elif isinstance(frame, frames.LedgerMessage) and self.daemon.settlement:
+            self.daemon.settlement.heard_from(port.peer.number, frame.payload)
 
     def channel_opened(self, port: Channel) -> None:
         """A peer is there: either end may have opened the link."""
-        self.daemon.peers_here[port.peer.number] = port
+        self.daemon.channels_by_peer[port.peer.number] = port
 
     def channel_closed(self, port: Channel, why: str) -> None:
         """It is gone."""
-        if port.connection.peer and self.daemon.peers_here.get(port.peer.number) is port:
-            del self.daemon.peers_here[port.peer.number]
+        if port.connection.peer and self.daemon.channels_by_peer.get(port.peer.number) is port:
+            del self.daemon.channels_by_peer[port.peer.number]
 
 
-class _Guides(_Part):
+class _ControlChannels(_ChannelOwnerBase):
     """Links to the register and the centre."""
 
     def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """The register or the centre says something."""
         if isinstance(frame, frames.OfficeList):
-            if self.daemon.switch.listed(frame, self.daemon.now()):
-                self.daemon.follow_peers(frame.entries)
+            if self.daemon.switch.office_list_received(frame, self.daemon.now()):
+                self.daemon.connect_peers(frame.entries)
         elif isinstance(frame, frames.Advice):
-            self.daemon.switch.advised(frame)
+            self.daemon.switch.set_tandem_advice(frame)
 
 
-class _OfficeLink:
+class _OfficeChannel:
     """The link to one office."""
 
     def __init__(self, daemon: Daemon, office: str, address: str) -> None:
         self.daemon, self.office = daemon, office
-        self.link = PersistentChannel(
-            daemon.loop, daemon.network, address, self, daemon.hello, ("office",), daemon._fork(office)
+        self.connection = PersistentChannel(
+            daemon.loop, daemon.network, address, self, daemon.hello, ("office",), daemon._fork_rng(office)
         )
 
     def channel_opened(self, port: Channel) -> None:
         """The office answers."""
         peer = port.peer
-        unwanted = self.daemon.switch.office_up(self.office, peer.number, peer.boot, self.daemon.now())
+        unwanted = self.daemon.switch.office_connected(self.office, peer.number, peer.boot, self.daemon.now())
         if unwanted:
             port.fail(unwanted)
 
     def channel_closed(self, port: Channel, why: str) -> None:
         """The office is lost."""
-        if self.daemon.offices.get(self.office) is self:
-            self.daemon.switch.office_down(self.office, why, self.daemon.now())
+        if self.daemon.office_channels.get(self.office) is self:
+            self.daemon.switch.office_disconnected(self.office, why, self.daemon.now())
 
     def circuits_held(self, port: Channel) -> int:
         """Circuits that our dials hold there."""
-        return self.daemon.switch.held_for(self.office)
+        return self.daemon.switch.circuits_held(self.office)
 
     def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """The office says something."""
         switch, now = self.daemon.switch, self.daemon.now()
         match frame:
             case frames.StepProcessed():
-                switch.passed(self.office, frame, now)
+                switch.step_processed(self.office, frame, now)
             case frames.Answer():
-                switch.answered(self.office, frame, now)
+                switch.setup_answered(self.office, frame, now)
             case frames.Reject():
-                switch.pushed_back(self.office, frame, now)
+                switch.setup_rejected(self.office, frame, now)
             case frames.Cut(ref):
-                switch.cut(self.office, ref, now)
+                switch.dial_cut(self.office, ref, now)
             case frames.Released():
-                switch.released(self.office, frame, now)
+                switch.dial_released(self.office, frame, now)
             case frames.Setup():
-                switch.transit(self.office, frame, now)
+                switch.transit_setup(self.office, frame, now)
             case frames.Cancel(ref) | frames.Release(ref):
-                switch.transit_over(self.office, ref, now)
+                switch.transit_ended(self.office, ref, now)
             case frames.GroupState():
-                switch.group_told(self.office, frame, now)
+                switch.group_state_received(self.office, frame, now)
             case frames.LoadReport():
-                switch.load_told(self.office, frame, now)
+                switch.load_reported(self.office, frame, now)
             case frames.CarriedDialogue():
-                switch.carried(self.office, frame)
+                switch.carried_dialogue_ended(self.office, frame)
             case frames.Heartbeat(held):
-                switch.counts_compared(self.office, held, now)
+                switch.compare_counts(self.office, held, now)
 
 
-class _Operator(asyncio.BufferedProtocol):
+class _OperatorConnection(asyncio.BufferedProtocol):
     """An operator's line: `status`, `metrics`, `hooks`, `hooks reload` or `hooks back`, answered and closed."""
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
-        self.buffer = bytearray(MAX_LINE)
+        self.buffer = bytearray(MAX_REQUEST_BYTES)
         self.filled = 0
         self.transport: asyncio.Transport | None = None
-        self.late: asyncio.TimerHandle | None = None
+        self.timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Somebody asks."""
         self.transport = cast(asyncio.Transport, transport)
         self.daemon.operators[self.transport] = None
         # Guards against one who asks nothing, or reads no answer: the line was kept for ever.
-        self.late = self.daemon.loop.call_later(ASK_WITHIN_S, self.transport.abort)
+        self.timeout = self.daemon.loop.call_later(REQUEST_TIMEOUT_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """They left."""
-        if self.late:
-            self.late.cancel()
+        if self.timeout:
+            self.timeout.cancel()
         if self.transport:
             self.daemon.operators.pop(self.transport, None)
 
@@ -554,10 +568,14 @@
         """Part of a line came."""
         self.filled += nbytes
         line, newline, _ = bytes(self.buffer[: self.filled]).partition(b"\n")
-        if not self.transport or self.transport.is_closing() or not (newline or self.filled == MAX_LINE):
+        if (
+            not self.transport
+            or self.transport.is_closing()
+            or not (newline or self.filled == MAX_REQUEST_BYTES)
+        ):
             return
         try:
-            said = self._answer(line.strip().decode("utf-8", "replace")) if newline else TOO_LONG
+            said = self._answer(line.strip().decode("utf-8", "replace")) if newline else REQUEST_TOO_LONG
         except Exception as fault:  # one who asks is answered, whatever is wrong
             self.daemon.write_log("operator_fault", fault=f"{type(fault).__name__}: {fault}")
             said = f"not done: {type(fault).__name__}: {fault}\n".encode()
@@ -571,11 +589,11 @@
         if asked == "metrics":
             return exposition(daemon.switch)
         if what == "hooks":
-            return daemon.hooks_asked(rest).encode() + b"\n"
+            return daemon.hooks_request(rest).encode() + b"\n"
         if what == "ledger":
-            return daemon.ledger_asked(rest).encode() + b"\n"
+            return daemon.ledger_request(rest).encode() + b"\n"
         return f"unknown request {asked[:40]!r}: status, metrics, hooks or ledger\n".encode()
 
 
-TOO_LONG = f"a request over {MAX_LINE} bytes is not taken\n".encode()
+REQUEST_TOO_LONG = f"a request over {MAX_REQUEST_BYTES} bytes is not taken\n".encode()
 """What was cut there used to be carried out as it stood."""
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -12,78 +12,80 @@
 from wellhitch.trunk import frames
 
 
-class Step(Enum):
+class DialState(Enum):
     """How far a dial is."""
 
-    PASSING = auto()  # through the own processor, not sent yet
-    OUT = auto()  # sent, unanswered
-    ANSWERING = auto()  # answered, the answer passes the own processor
-    STANDS = auto()
-    FREEING = auto()  # over; circuits held until the far end confirms or the release wait is over
+    PROCESSING_SETUP = auto()  # through the own processor, not sent yet
+    SENT = auto()  # sent, unanswered
+    PROCESSING_ANSWER = auto()  # answered, the answer passes the own processor
+    ESTABLISHED = auto()
+    RELEASING = auto()  # over; circuits held until the far end confirms or the release wait is over
     FREE = auto()
 
 
-LEGAL: dict[Step, tuple[Step, ...]] = {
-    Step.PASSING: (Step.OUT, Step.FREE),
-    Step.OUT: (Step.ANSWERING, Step.FREEING, Step.FREE),
-    Step.ANSWERING: (Step.STANDS, Step.FREEING, Step.FREE),
-    Step.STANDS: (Step.FREEING, Step.FREE),
-    Step.FREEING: (Step.FREE,),
-    Step.FREE: (),
+ALLOWED_TRANSITIONS: dict[DialState, tuple[DialState, ...]] = {
+    DialState.PROCESSING_SETUP: (DialState.SENT, DialState.FREE),
+    DialState.SENT: (DialState.PROCESSING_ANSWER, DialState.RELEASING, DialState.FREE),
+    DialState.PROCESSING_ANSWER: (DialState.ESTABLISHED, DialState.RELEASING, DialState.FREE),
+    DialState.ESTABLISHED: (DialState.RELEASING, DialState.FREE),
+    DialState.RELEASING: (DialState.FREE,),
+    DialState.FREE: (),
 }
 """Every way a dial may go; anything else is a defect of the server and raises."""
 
 
-MOST_RECENT = 512  # ids of one link that are remembered: what is told twice comes within a few hundred frames
+MAX_RECENT_IDS = (
+    512  # ids of one link that are remembered: what is told twice comes within a few hundred frames
+)
 
 
-class Recent:
+class RecentIds:
     """The last ids heard on a link. Guards rule 1: one that came again after its answer was taken for a new dialogue,
     and answered a second time."""
 
     def __init__(self) -> None:
         self._ids: dict[int, None] = {}
 
-    def add(self, one: int) -> None:
+    def add(self, id: int) -> None:
         """This one was heard."""
-        self._ids[one] = None
-        if len(self._ids) > MOST_RECENT:
+        self._ids[id] = None
+        if len(self._ids) > MAX_RECENT_IDS:
             del self._ids[next(iter(self._ids))]
 
-    def __contains__(self, one: int) -> bool:
-        return one in self._ids
+    def __contains__(self, id: int) -> bool:
+        return id in self._ids
 
     def __len__(self) -> int:
         return len(self._ids)
 
 
 @dataclass(slots=True, eq=False)
-class OfficeEnd:
+class OfficeRecord:
     """One office as the call server reaches it."""
 
     id: str
     number: int
     address: str
-    standing: Standing
-    started: int | None
-    up: bool = False
+    state: Standing
+    started_at: int | None
+    connected: bool = False
     boot: int = 0
-    next_ref: int = 0
-    mark: str = ""
-    dials: dict[int, DialOut] = field(default_factory=dict)
-    passing: dict[int, DialOut] = field(default_factory=dict)
-    transits: dict[int, Taken] = field(default_factory=dict)
-    heard: Recent = field(default_factory=Recent)
-    differs_since: int | None = None
-
-    def ref(self) -> int:
+    last_dial_ref: int = 0
+    hook_mark: str = ""
+    dials: dict[int, PendingDial] = field(default_factory=dict)
+    processing: dict[int, PendingDial] = field(default_factory=dict)
+    transits: dict[int, PendingCall] = field(default_factory=dict)
+    recent_refs: RecentIds = field(default_factory=RecentIds)
+    counts_differ_since: int | None = None
+
+    def new_dial_ref(self) -> int:
         """A ref never used on this link before."""
-        self.next_ref += 1
-        return self.next_ref
+        self.last_dial_ref += 1
+        return self.last_dial_ref
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class PendingCall:
     """A dialogue taken: from a caller (`link` and its id there) or in transit (`home` and the ref there)."""
 
     id: int
@@ -93,55 +95,66 @@
     width: int
     origin: int
     origin_id: int
-    link: object | None = None
+    connection: object | None = None
     caller_id: int = 0
-    home: OfficeEnd | None = None
-    home_ref: int = 0
-    asked_dial: int = -1  # in transit: which dial of the origin's this is
-    owed: bool = True
+    own_office: OfficeRecord | None = None
+    own_office_ref: int = 0
+    origin_dial: int = -1  # in transit: which dial of the origin's this is
+    answer_owed: bool = True
     tenant: str | None = None
     tags: tuple[str, ...] = ()
-    came: int = 0
-    until: int = 0
-    version: str = ""
-    dials: list[DialOut] = field(default_factory=list)
+    arrived_at: int = 0
+    deadline: int = 0
+    hooks_version: str = ""
+    dials: list[PendingDial] = field(default_factory=list)
     last_blame: Blame = Blame.NONE
 
     @property
-    def active(self) -> DialOut | None:
+    def active_dial(self) -> PendingDial | None:
         """The dial that is out or stands, if any."""
         last = self.dials[-1] if self.dials else None
-        return last if last and last.step in (Step.PASSING, Step.OUT, Step.ANSWERING, Step.STANDS) else None
+        return (
+            last
+            if last
+            and last.state
+            in (
+                DialState.PROCESSING_SETUP,
+                DialState.SENT,
+                DialState.PROCESSING_ANSWER,
+                DialState.ESTABLISHED,
+            )
+            else None
+        )
 
     @property
-    def stands(self) -> bool:
+    def established(self) -> bool:
         """Whether it stands."""
-        return bool(self.dials) and self.dials[-1].step is Step.STANDS
+        return bool(self.dials) and self.dials[-1].state is DialState.ESTABLISHED
 
 
 @dataclass(slots=True, eq=False)
-class DialOut:
+class PendingDial:
     """One dial. `ref` names it on the office's link, `home_ref` on the own office's, once each was used."""
 
-    taken: Taken
+    call: PendingCall
     number: int
-    office: OfficeEnd
-    home: OfficeEnd
-    sent: int
-    until: int
-    step: Step = Step.PASSING
-    ref: int = 0
-    home_ref: int = 0
+    office: OfficeRecord
+    own_office: OfficeRecord
+    sent_at: int
+    deadline: int
+    state: DialState = DialState.PROCESSING_SETUP
+    dial_ref: int = 0
+    own_office_ref: int = 0
     timer: Timer | None = None
 
-    def move(self, step: Step) -> None:
+    def move_to(self, state: DialState) -> None:
         """Go to the next step. Raises RuntimeError where the table does not allow it."""
-        if step not in LEGAL[self.step]:
-            raise RuntimeError(f"dial {self.taken.id}.{self.number}: {self.step.name} to {step.name}")
-        self.step = step
+        if state not in ALLOWED_TRANSITIONS[self.state]:
+            raise RuntimeError(f"dial {self.call.id}.{self.number}: {self.state.name} to {state.name}")
+        self.state = state
 
 
-ENDINGS: dict[str, tuple[Ending, Blame]] = {
+REJECT_OUTCOMES: dict[str, tuple[Ending, Blame]] = {
     "no_circuit": (Ending.FULL, Blame.NO_CIRCUIT),
     "turned_back": (Ending.FULL, Blame.TURNED_BACK),
     "far_processor_full": (Ending.FULL, Blame.FAR_PROCESSOR_FULL),
@@ -152,17 +165,17 @@
 }
 """What a PushBack's reason means to the decisions."""
 
-STANDINGS = {"ready": Standing.READY, "draining": Standing.DRAINING, "gone": Standing.GONE}
+OFFICE_STATES = {"ready": Standing.READY, "draining": Standing.DRAINING, "gone": Standing.GONE}
 
 
-def turned_back_reason(taken: Taken) -> str:
+def upstream_reject_reason(call: PendingCall) -> str:
     """Reason told upstream when a dialogue in transit was not brought on: what its last dial met beyond."""
-    if taken.last_blame in (Blame.PROCESSOR_FULL, Blame.FAR_PROCESSOR_FULL):
+    if call.last_blame in (Blame.PROCESSOR_FULL, Blame.FAR_PROCESSOR_FULL):
         return "far_processor_full"
-    return "lines_busy" if taken.last_blame is Blame.LINES_BUSY else "turned_back"
+    return "lines_busy" if call.last_blame is Blame.LINES_BUSY else "turned_back"
 
 
-def load_of(load: frames.Load | None) -> tuple[float | None, int | None, float | None, float | None]:
+def checked_load(load: frames.Load | None) -> tuple[float | None, int | None, float | None, float | None]:
     """A load report's figures, None where not told. Guards against what is no figure, or under nought: NaN is neither
     over a bound nor under it, and made a price nought even beside 'full'."""
     if load is None:
--- a/wellhitch/server/metrics.py
+++ b/wellhitch/server/metrics.py
@@ -25,8 +25,8 @@
                 )
             metric.add_metric([kind], count)
         yield from kinds.values()
-        yield GaugeMetricFamily("wellhitch_held", "dialogues held", value=len(self.switch.taken))
-        yield GaugeMetricFamily("wellhitch_owed", "answers owed", value=self.switch.owed)
+        yield GaugeMetricFamily("wellhitch_held", "dialogues held", value=len(self.switch.calls))
+        yield GaugeMetricFamily("wellhitch_owed", "answers owed", value=self.switch.unanswered)
         yield GaugeMetricFamily(
             "wellhitch_own_price", "price of the own processor", value=self.switch.exchange.own_price
         )
