--- a/wellhitch/hooks/check.py
+++ b/wellhitch/hooks/check.py
@@ -180,7 +180,7 @@
         if name in self.file.constants:
             self.report(position, f"{name} is a constant and cannot be assigned")
         elif self.scope.find(name) is None:
-            self.report(position, f"undefined name {name}", f"let {name} = ... defines it")
+            self.report(position, f"undefined name {name} in assignment", f"let {name} = ... defines it")
         elif not path:
             for block in self.scope.blocks:
                 if name in block:
@@ -205,7 +205,7 @@
         if value_type not in (ANY, "truth"):
             self.report(
                 value.position,
-                f"a condition must be true or false, not a {_kind_name(value_type)}",
+                f"a {_kind_name(value_type)} cannot be used as a condition",
                 "compare it with a value",
             )
 
@@ -291,7 +291,7 @@
             if binary.op != "in" and ANY not in (left, right) and _kind_name(left) != _kind_name(right):
                 self.report(
                     binary.position,
-                    f"operator {binary.op} is not defined for {_kind_name(left)} and {_kind_name(right)}",
+                    f"{_kind_name(left)} {binary.op} {_kind_name(right)} is not defined",
                 )
             return "truth"
         if ANY in (left, right):
@@ -309,7 +309,7 @@
             return "duration"
         self.report(
             binary.position,
-            f"operator {binary.op} is not defined for {names[0]} and {names[1]}",
+            f"{names[0]} {binary.op} {names[1]} is not defined",
             "text(x) converts any value to text",
         )
         return ANY
--- a/wellhitch/hooks/grammar.py
+++ b/wellhitch/hooks/grammar.py
@@ -128,13 +128,13 @@
 def _syntax_error(error: UnexpectedInput, name: str) -> tree.Diagnostic:
     position = (max(1, error.line or 1), max(1, error.column or 1))
     if isinstance(error, UnexpectedCharacters):
-        return tree.Diagnostic(name, position, f"unexpected character {error.char!r}", _char_hint(error.char))
+        return tree.Diagnostic(name, position, f"{error.char!r} is not allowed here", _char_hint(error.char))
     if isinstance(error, UnexpectedToken):
         if error.token.type == "$END":
             return tree.Diagnostic(name, position, "unexpected end of file", "a } or ) is missing")
         token = str(error.token)
         hint = "= assigns, == compares" if token == "=" else "a name, or a { before it, may be missing"
-        return tree.Diagnostic(name, position, f"unexpected {token!r}", hint)
+        return tree.Diagnostic(name, position, f"{token!r} is unexpected here", hint)
     return tree.Diagnostic(name, position, "syntax error")
 
 
@@ -233,8 +233,8 @@
                 tree.Diagnostic(
                     self.name,
                     node.position,
-                    f"duplicate {category} {name}",
-                    f"first defined in line {first[0]}",
+                    f"{category} {name} is defined twice",
+                    f"first in line {first[0]}",
                 )
             )
         known[name] = node
--- a/wellhitch/hooks/points.py
+++ b/wellhitch/hooks/points.py
@@ -106,11 +106,11 @@
                 f"on {point} cannot return {name}; it may return {', '.join(outputs) or 'nothing'}"
             )
         if returned is not None and kind(returned) != outputs[name]:
-            raise InvalidHookResult(f"{name} must be a {outputs[name]}, not a {kind(returned)}")
+            raise InvalidHookResult(f"{name} is a {kind(returned)}, expected a {outputs[name]}")
     get = value.fields.get
     use_case, favour, tags = get("use_case"), get("favour"), get("tags")
     if isinstance(use_case, str) and use_case not in traffic_classes:
-        raise InvalidHookResult(f"use_case {use_case[:40]!r} is not a known traffic class")
+        raise InvalidHookResult(f"unknown traffic class {use_case[:40]!r}")
     return HookResult(
         use_case=use_case if isinstance(use_case, str) else None,
         favour=_parse_favour(favour),
--- a/wellhitch/hooks/values.py
+++ b/wellhitch/hooks/values.py
@@ -144,7 +144,7 @@
     """The value as a condition. Raises HookError unless it is true or false."""
     if value is True or value is False:
         return value
-    raise program_error(f"a condition must be true or false, not a {kind(value)}")
+    raise program_error(f"a {kind(value)} cannot be used as a condition; compare it with a value")
 
 
 def to_text(value: Value, budget: Budget) -> str:
@@ -204,7 +204,7 @@
         return _duration_operator(op, left, right)
     if op == "+" and isinstance(left, ListValue) and isinstance(right, ListValue):
         return make_list(left.items + right.items, budget) if _check_memory(left, right, budget) else None
-    raise program_error(f"operator {op} is not defined for {kind(left)} and {kind(right)}")
+    raise program_error(f"{kind(left)} {op} {kind(right)} is not defined")
 
 
 def _check_memory(left: ListValue, right: ListValue, budget: Budget) -> bool:
@@ -249,7 +249,7 @@
     budget.spend_steps(min(len(left), len(right)) // 64)
     result = _compare(op, left, right)
     if result is None:
-        raise program_error(f"operator {op} is not defined for text and text")
+        raise program_error(f"text {op} text is not defined")
     return result
 
 
@@ -268,7 +268,7 @@
         return Duration(check_range(int(right) * _number_argument("*", left)))
     elif op == "/" and isinstance(left, Duration) and is_number(right):
         return Duration(_divide(int(left), _number_argument("/", right)))
-    raise program_error(f"operator {op} is not defined for {kind(left)} and {kind(right)}")
+    raise program_error(f"{kind(left)} {op} {kind(right)} is not defined")
 
 
 def _divide(left: int | float, right: int | float) -> int | float:
@@ -288,7 +288,7 @@
         # Python searches a text in about linear time; a naive search would take the product of the lengths.
         budget.spend_steps(len(container) // 16 + min(len(item), len(container)) // 16)
         return item in container
-    raise program_error(f"operator in is not defined for {kind(item)} and {kind(container)}")
+    raise program_error(f"{kind(item)} in {kind(container)} is not defined")
 
 
 def negate(value: Value) -> Value:
@@ -297,7 +297,7 @@
         return Duration(-int(value))
     if is_number(value):
         return -value  # type: ignore[operator]
-    raise program_error(f"operator - is not defined for {kind(value)}")
+    raise program_error(f"- of a {kind(value)} is not defined")
 
 
 def get_field(value: Value, name: str) -> Value:
@@ -315,7 +315,7 @@
         if not isinstance(key, int) or isinstance(key, (bool, Duration)):
             raise program_error(f"a list index must be a whole number, not a {kind(key)}")
         if not 0 <= key < len(value.items):
-            raise program_error(f"index {key} is out of range for a list of {len(value.items)} items")
+            raise program_error(f"index {key} is out of range for a list of length {len(value.items)}")
         return value.items[key]
     if isinstance(value, Record) and isinstance(key, str):
         return get_field(value, key)
@@ -337,7 +337,7 @@
         at: int = key  # type: ignore[assignment]
         items = (*value.items[:at], replace_at(old, rest, new, budget), *value.items[at + 1 :])
         return make_list(items, budget)
-    raise program_error(f"cannot assign to an item or field of a {kind(value)}")
+    raise program_error(f"a {kind(value)} has no items or fields to assign")
 
 
 def iterate(value: Value) -> Iterator[Value]:
@@ -375,7 +375,7 @@
         return len(value.fields)
     if isinstance(value, str):
         return len(value)
-    raise program_error(f"length is not defined for a {kind(value)}")
+    raise program_error(f"length of a {kind(value)} is not defined")
 
 
 def _number_argument(name: str, value: Value) -> int | float:
@@ -398,7 +398,7 @@
         return value.fields.get(key, default)
     if isinstance(value, ListValue) and isinstance(key, int) and not isinstance(key, bool):
         return value.items[key] if 0 <= key < len(value.items) else default
-    raise program_error(f"get is not defined for a {kind(value)} and a key of kind {kind(key)}")
+    raise program_error(f"get from a {kind(value)} by a {kind(key)} is not defined")
 
 
 def _starts(value: Value, part: Value, budget: Budget) -> Value:
