--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -8,7 +8,7 @@
 
 from wellhitch.board import codec as board
 from wellhitch.office_lines import codec as lines
-from wellhitch.platform.door import MAX_DESCRIPTION, SetUp, read_set_up
+from wellhitch.platform.set_up_request import MAX_DESCRIPTION, SetUp, read_set_up
 from wellhitch.settings.checked import Faults
 from wellhitch.sip import codec as sip
 from wellhitch.stand_ins.platform import invite, plain
--- a/wellhitch/platform/callers.py
+++ b/wellhitch/platform/callers.py
@@ -10,8 +10,8 @@
 from typing import Any, Protocol, cast
 
 from wellhitch.net.seam import Listener, Network
-from wellhitch.platform.door import names_call
 from wellhitch.platform.eviction import SILENT_S, ConnectionTable
+from wellhitch.platform.set_up_request import names_call
 from wellhitch.sip import codec as sip
 
 # Turns of the loop from a connection's coming up until what came with it has been read.
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -14,11 +14,11 @@
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
 from wellhitch.office_lines import codec as lines
-from wellhitch.platform.door import SetUp, dialogue_id, read_set_up
 from wellhitch.platform.established import CAUSE_CUT, CAUSE_OVER, EstablishedCalls
 from wellhitch.platform.liveness import EndpointLiveness
-from wellhitch.platform.outlet import Outlet
 from wellhitch.platform.records import Call, DialOut, OfficeEnd, Step, Taken
+from wellhitch.platform.server_io import Outlet
+from wellhitch.platform.set_up_request import SetUp, dialogue_id, read_set_up
 from wellhitch.sip import codec as sip
 
 # Taken off each deadline, so that the answer is there in time although a turn of the loop is late by most of it. The
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -12,9 +12,9 @@
 from wellhitch.net.seam import Timer
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.liveness import CallsLost, LivenessTest
-from wellhitch.platform.outlet import Outlet
 from wellhitch.platform.records import MOST_REMEMBERED, REMEMBERED_US, Call, OfficeEnd
 from wellhitch.platform.releases import Releases
+from wellhitch.platform.server_io import Outlet
 from wellhitch.sip import codec as sip
 
 CAUSE_OVER, CAUSE_CUT = 16, 41
