--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -10,8 +10,7 @@
 from wellhitch.interface import events as ev
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
 from wellhitch.net.seam import now_us
-from wellhitch.platform.configuration import Place as Where
-from wellhitch.platform.configuration import Told
+from wellhitch.platform.configuration import Addresses, Configuration
 from wellhitch.platform.service import Service
 from wellhitch.stand_ins.platform import Board, Caller, PlatformOffice, invite
 
@@ -34,8 +33,8 @@
     return Row(f"s-{made:08x}", f"{host or f'10.1.0.{made}'}:2905", state, number, started_ms)
 
 
-def told(**over: Any) -> Told:
-    """What a start is told."""
+def configuration(**over: Any) -> Configuration:
+    """The configuration of the call server, with fields replaced by `over`."""
     opened = ev.Opened(
         seed=7,
         use_cases=USES,
@@ -44,16 +43,16 @@
         release=ReleaseRule(100_000, 250_000),
         cold=ColdRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
     )
-    made = Told(
-        place=Where(
+    made = Configuration(
+        addresses=Addresses(
             "n0", f"{HERE}:2905", BOARD, f"{HERE}:7946", ("10.3.0.1:7946", "10.3.0.2:7946"), "10.3.255.1:7946"
         ),
         opened=opened,
-        number=1,
-        known=(Notice(1, True, (row(0), row(1), row(2))),),
-        sockets=256,
+        revision=1,
+        known_updates=(Notice(1, True, (row(0), row(1), row(2))),),
+        max_descriptors=256,
         max_open=2000,
-        connect_within=500_000,
+        connect_timeout_us=500_000,
     )
     return replace(made, **over)
 
@@ -80,7 +79,7 @@
         service = Service(
             self.loop,
             self.net.at(HERE),
-            told(**over),
+            configuration(**over),
             lambda: UNIX + now_us(self.loop),
             self._said,
             self._end,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,14 +5,13 @@
 from typing import Any
 
 import pytest
-from platform_world import DRAINING, GONE, READY, SECOND, UNIX, World, invite, row
-from platform_world import told as settings
+from platform_world import DRAINING, GONE, READY, SECOND, UNIX, World, configuration, invite, row
 
 from wellhitch.board import codec as board_codec
 from wellhitch.board.codec import Notice
 from wellhitch.deciding import runner as runner_module
 from wellhitch.interface import events as ev
-from wellhitch.platform.service import shares
+from wellhitch.platform.service import descriptor_shares
 from wellhitch.stand_ins.platform import Board, Caller, plain
 
 
@@ -113,7 +112,7 @@
 def test_a_push_back_names_a_time_to_come_back_where_the_settings_allow_it(
     heeded: int, told: str | None
 ) -> None:
-    opened = settings().opened
+    opened = configuration().opened
     world = World(opened=replace(opened, permissions=replace(opened.permissions, longest_retry_after=heeded)))
     caller = world.caller()
     caller.say(invite(A, 0))
@@ -193,7 +192,7 @@
     world.run(2)
     assert caller.statuses(A) == [500] and not caller.byes(A)
     assert sum(len(office.said("new")) for office in world.offices.values()) == 1
-    assert not world.core.taken and not world.core.exchange.dialogues
+    assert not world.core.pending_calls and not world.core.exchange.dialogues
 
 
 def test_an_answer_without_its_description_is_none() -> None:
@@ -223,7 +222,7 @@
     assert [line.c for line in world.offices[1].said("down")] == [16]
     world.offices[1].up(A)
     world.run(3)
-    assert caller.statuses(A) == [487] and not caller.byes(A) and not world.core.taken
+    assert caller.statuses(A) == [487] and not caller.byes(A) and not world.core.pending_calls
 
 
 def test_a_cancel_that_crosses_the_answer_releases_both_ends() -> None:
@@ -258,7 +257,7 @@
     else:
         caller.close()
     world.run(2)
-    assert caller.statuses(A) == ([487] if leaves == "cancel" else []) and not world.core.taken
+    assert caller.statuses(A) == ([487] if leaves == "cancel" else []) and not world.core.pending_calls
     assert not world.offices[1].said("new") and not world.offices[1].said("down")
 
 
@@ -270,7 +269,7 @@
     assert world.until(1, lambda: A in world.offices[1].by_ref)
     other.say(plain("CANCEL", A))
     world.run(0.05)
-    assert A in world.core.by_ref
+    assert A in world.core.pending_by_call_id
 
 
 def test_a_connection_that_closes_gives_up_its_open_set_ups_and_no_call_that_stands() -> None:
@@ -529,7 +528,7 @@
     caller.say(invite(A, 0))
     world.run(0.2)
     assert caller.statuses(A) == [503]
-    assert [end.number for end in world.service.links.pools] == [1, 2]
+    assert [end.number for end in world.service.office_connections.pools] == [1, 2]
 
 
 def test_a_call_in_transit_goes_to_its_destination_or_back() -> None:
@@ -581,7 +580,7 @@
     world.run(0.5)
     trouble(world)
     world.run(3.5)
-    assert world.core.offices["s-00000001"].standing is ev.Standing.DRAINING
+    assert world.core.offices["s-00000001"].state is ev.Standing.DRAINING
     assert world.service.discovery.revision == world.board.events[-1].number
     drains = [facts for event, facts in world.log if event == "office" and facts["standing"] == "DRAINING"]
     assert len(drains) == 1
@@ -646,7 +645,7 @@
     for office in world.offices.values():
         office.answers = True
     world.standing(ref(3), usual)
-    assert not world.core.taken
+    assert not world.core.pending_calls
 
 
 def test_an_open_id_with_another_description_is_refused_and_its_owner_served() -> None:
@@ -680,7 +679,7 @@
         bad.say(invite(ref(n)))
     world.run(3)
     assert all(len(bad.statuses(ref(n))) == 1 for n in range(400))
-    assert not world.core.taken
+    assert not world.core.pending_calls
 
 
 def test_hundreds_taken_back_at_once_leave_nothing() -> None:
@@ -693,12 +692,12 @@
     for n in range(300):
         bad.say(plain("CANCEL", ref(n)))
     world.run(0.5)
-    assert not world.core.taken and not any(office.dials for office in world.core.offices.values())
+    assert not world.core.pending_calls and not any(office.dials for office in world.core.offices.values())
 
 
 def test_silent_connections_are_let_go_and_never_pass_the_share_of_callers() -> None:
     world = World()
-    most, _, _ = shares(256)
+    most, _, _ = descriptor_shares(256)
     usual = world.standing(A)
     silent = [world.caller(f"10.9.8.{n % 250}") for n in range(400)]
     world.run(0.5)
@@ -711,7 +710,7 @@
 def test_connections_with_calls_are_the_last_to_go_for_want_of_descriptors() -> None:
     # They went first in first out: on the day of bad clients the usual callers lost theirs, and their releases.
     world = World()
-    most, _, _ = shares(256)
+    most, _, _ = descriptor_shares(256)
     caller = world.standing(A)
     others = [world.caller(f"10.9.8.{n % 250}") for n in range(most + 20)]
     for n, one in enumerate(others):
@@ -723,7 +722,7 @@
 def test_a_connection_in_use_is_not_let_go_for_want_of_descriptors() -> None:
     # The longest open went first, by a reset: on a crowded day two callers lost the answer just written to them.
     world = World()
-    most, _, _ = shares(256)
+    most, _, _ = descriptor_shares(256)
     first = world.caller()
     others = [world.caller(f"10.9.8.{n % 250}") for n in range(most - 1)]
     for n, one in enumerate([first, *others]):
@@ -739,7 +738,7 @@
 
 def test_where_all_connections_are_in_use_a_new_one_is_not_taken() -> None:
     world = World()
-    most, _, _ = shares(256)
+    most, _, _ = descriptor_shares(256)
     for n in range(most):
         world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", ref(n)))
     world.run(0.05)
@@ -789,7 +788,7 @@
 def test_a_word_comes_only_from_a_peer_and_within_its_length() -> None:
     world = World()
     heard: list[tuple[int, bytes]] = []
-    world.core.word = lambda peer, text, now: heard.append((peer, text))  # type: ignore[method-assign]
+    world.core.peer_message = lambda peer, text, now: heard.append((peer, text))  # type: ignore[method-assign]
     for host, port in (("10.3.0.2", 7946), ("10.3.0.9", 7946)):
         world.net.at(host).datagrams(f"{host}:{port}", lambda data, address: None, lambda sender: None)
         world.net.datagram(f"{host}:{port}", "10.0.0.1:7946", b"hello")
@@ -804,8 +803,8 @@
     world.net.at("10.3.255.1").datagrams(
         "10.3.255.1:7946", lambda data, address: got.append(data), lambda sender: None
     )
-    world.service.tell_peers(b"word")
-    world.service.tell_peers(b"x" * 300)
+    world.service.send_to_peers(b"word")
+    world.service.send_to_peers(b"x" * 300)
     world.run(0.1)
     assert got == [b"word"]
 
@@ -848,13 +847,15 @@
     world.board.tell(row(2, READY))
     world.run(0.2)
     moved = Board(world.loop, world.net.at("10.2.0.2"), "10.2.0.2:8501", list(world.board.events))
-    told = world.service.told
-    world.service.reconfigured(replace(told, place=replace(told.place, board="10.2.0.2:8501")))
+    current = world.service.configuration
+    world.service.reconfigure(
+        replace(current, addresses=replace(current.addresses, discovery="10.2.0.2:8501"))
+    )
     world.run(0.2)
     assert [number for _, number in moved.asked] == [2]
     moved.tell(row(1, DRAINING))
     world.run(0.2)
-    assert world.core.offices["s-00000001"].standing is ev.Standing.DRAINING
+    assert world.core.offices["s-00000001"].state is ev.Standing.DRAINING
     assert A in world.core.calls and not caller.byes(A)
     world.run(5)
     assert len(moved.asked) == 1  # an old connection that ends late disturbs nothing
@@ -873,7 +874,12 @@
             world.offices[1 + n % 2].down(ref(n), 16) if ref(n) in world.offices[1 + n % 2].by_ref else None
     world.run(15)
     core = world.core
-    assert not core.taken and not core.by_ref and not core.by_link and not len(core.releases)
+    assert (
+        not core.pending_calls
+        and not core.pending_by_call_id
+        and not core.pending_by_connection
+        and not len(core.releases)
+    )
     assert (
         len(core.calls)
         == len(core.exchange.dialogues)
@@ -887,5 +893,5 @@
         office = 0x100 + n
         world.board.tell(row(1, GONE, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1"))
         world.run(0.3)
-    assert len(world.core.offices) == 3 and len(world.service.links.pools) == 2
+    assert len(world.core.offices) == 3 and len(world.service.office_connections.pools) == 2
     assert len([end for end in world.offices[1].ends if not end.closed]) <= 2
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -8,7 +8,7 @@
 
 from wellhitch.board import codec as board
 from wellhitch.office_lines import codec as lines
-from wellhitch.platform.set_up_request import MAX_DESCRIPTION, SetUp, read_set_up
+from wellhitch.platform.set_up_request import MAX_DESCRIPTION_BYTES, SetUp, read_set_up
 from wellhitch.settings.checked import Faults
 from wellhitch.sip import codec as sip
 from wellhitch.stand_ins.platform import invite, plain
@@ -120,7 +120,7 @@
 def test_a_set_up_is_read() -> None:
     got = read(invite(REF, 2, "dear", 671, ";transit:1;again:1"))
     assert isinstance(got, SetUp)
-    assert (got.ref, got.key, got.use_case, got.left, got.destination) == (
+    assert (got.call_id, got.called_number, got.use_case, got.time_left_us, got.destination) == (
         REF,
         "7f3a9c21e0b4d655",
         "dear",
@@ -164,7 +164,7 @@
 
 def test_a_description_that_is_no_text_or_too_long_reaches_no_office() -> None:
     assert read(invite(REF, body=b"\xff\xfe")) == "description_no_text"
-    assert read(invite(REF, body=b"a" * (MAX_DESCRIPTION + 1))) == "description_too_long"
+    assert read(invite(REF, body=b"a" * (MAX_DESCRIPTION_BYTES + 1))) == "description_too_long"
 
 
 @given(st.text(max_size=200).filter(lambda text: "\x00" not in text))
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -5,8 +5,8 @@
 
 from wellhitch.interface import events as ev
 from wellhitch.platform.watch_policy import (
-    LONGEST_RETRY_S,
-    LONGEST_SILENCE_S,
+    MAX_RETRY_S,
+    MAX_SILENCE_S,
     RETRY_S,
     SILENCE_S,
     Order,
@@ -20,7 +20,7 @@
 
 
 def drained(world: World) -> bool:
-    return world.core.offices["s-00000001"].standing is ev.Standing.DRAINING
+    return world.core.offices["s-00000001"].state is ev.Standing.DRAINING
 
 
 # ---- the pure part ----
@@ -33,18 +33,18 @@
         0.1,
         0.2,
         0.4,
-        LONGEST_RETRY_S,
-        LONGEST_RETRY_S,
+        MAX_RETRY_S,
+        MAX_RETRY_S,
     ]
     for _ in range(5):
-        policy.after_silence()
-    assert policy.silence_s == LONGEST_SILENCE_S
-    policy.spoke()
+        policy.back_off_after_silence()
+    assert policy.silence_s == MAX_SILENCE_S
+    policy.answered()
     assert (policy.silence_s, policy.next_retry()) == (SILENCE_S, RETRY_S)
 
 
 def test_the_longest_waits_leave_room_within_the_time_for_news() -> None:
-    assert LONGEST_SILENCE_S + LONGEST_RETRY_S + 1.0 < NEWS_LIMIT_S  # one for connecting and the answer
+    assert MAX_SILENCE_S + MAX_RETRY_S + 1.0 < NEWS_LIMIT_S  # one for connecting and the answer
 
 
 def test_a_gap_is_asked_for_once_and_then_taken() -> None:
@@ -52,11 +52,11 @@
     assert revisions.order(1, False, False) is Order.HELD_ALREADY
     assert revisions.order(2, False, False) is Order.NEXT
     assert revisions.order(5, True, False) is Order.NEXT  # the whole list
-    assert revisions.order(5, False, False) is Order.AFTER_A_GAP
+    assert revisions.order(5, False, False) is Order.AFTER_GAP
     assert revisions.order(5, False, False) is Order.NEXT
-    revisions.take(5)
+    revisions.accept(5)
     assert revisions.order(5, False, True) is Order.HELD_ALREADY
-    assert revisions.order(6, False, True) is Order.AFTER_A_GAP  # an empty update tells that one is missing
+    assert revisions.order(6, False, True) is Order.AFTER_GAP  # an empty update tells that one is missing
     assert revisions.order(6, False, True) is Order.HELD_ALREADY
 
 
@@ -99,7 +99,7 @@
     addresses = ["10.2.0.2:8501", "10.2.0.3:8502", BOARD, "10.2.0.4:8503"]
     last = Board(world.loop, world.net.at("10.2.0.4"), addresses[-1], list(world.board.events))
     for address in addresses:
-        world.service.discovery.move(address)
+        world.service.discovery.change_address(address)
         world.run(0.05)
     last.tell(row(1, DRAINING))
     world.run(1)
--- a/tests/test_platform_eviction.py
+++ b/tests/test_platform_eviction.py
@@ -7,7 +7,7 @@
 from test_platform import A, ref
 
 from wellhitch.platform.eviction import READ_AFTER_CLOSE_S, ConnectionTable
-from wellhitch.platform.service import shares
+from wellhitch.platform.service import descriptor_shares
 from wellhitch.stand_ins.platform import plain
 
 NOW = 100.0
@@ -23,7 +23,7 @@
 
     def heard(self, name: str, ago: float, set_ups: int = 0, calls: int = 0) -> None:
         self.table.opened(name, NOW - ago)
-        self.table.message_came(name, NOW - ago)
+        self.table.message_received(name, NOW - ago)
         self.set_ups[name], self.calls[name] = set_ups, calls
 
     def silent(self, name: str, ago: float) -> None:
@@ -49,7 +49,7 @@
     table.silent("silent for long", 0.25)
     table.silent("silent", 0.1)
     table.heard("closing", 0.9)
-    table.table.lingers("closing", NOW)
+    table.table.closing_started("closing", NOW)
     assert table.order() == [
         "silent for long",
         "quiet",
@@ -68,7 +68,7 @@
     table.heard("fresh", 0.3)
     table.silent("new", 0.001)
     assert table.order() == []
-    table.table.message_came("new", NOW)
+    table.table.message_received("new", NOW)
     assert table.order() == ["fresh", "new", "with a set-up"]
 
 
@@ -76,8 +76,8 @@
     table = Table()
     table.heard("first", 0.9)
     table.heard("second", 0.9)
-    table.table.lingers("second", NOW - READ_AFTER_CLOSE_S)
-    table.table.lingers("first", NOW)
+    table.table.closing_started("second", NOW - READ_AFTER_CLOSE_S)
+    table.table.closing_started("first", NOW)
     assert table.table.next_to_reset(NOW) == "second"
     table.table.forget("second")
     assert table.table.next_to_reset(NOW) is None
@@ -87,7 +87,7 @@
 def test_what_a_connection_brings_along_is_read_before_it_can_be_put_out(crowd: int) -> None:
     # Guards against calls named into a crowd: their connection was reset unread, and their ends were told to nobody.
     world = World()
-    most, _, _ = shares(256)
+    most, _, _ = descriptor_shares(256)
     for n in range(most + crowd):
         world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", ref(n)))
     world.run(0.05)
@@ -104,7 +104,7 @@
 
 def test_a_connection_that_speaks_after_it_was_chosen_stays() -> None:
     world = World()
-    most, _, _ = shares(256)
+    most, _, _ = descriptor_shares(256)
     first = world.caller()
     first.say(plain("OPTIONS", ref(1)))
     world.run(0.01)
--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from platform_world import DRAINING, READY, UNIX, World, row, told
+from platform_world import DRAINING, READY, UNIX, World, configuration, row
 
 from wellhitch.net.seam import now_us
 from wellhitch.platform.liveness import (
@@ -115,7 +115,7 @@
 def test_after_a_pause_of_this_process_an_endpoint_is_tested_before_its_calls_are_lost() -> None:
     endpoint = holding()
     assert endpoint.step(30 * S) == [LivenessTest(("old",), False)]
-    assert not endpoint.unproved(30 * S)
+    assert not endpoint.unconfirmed_calls(30 * S)
     assert not any(isinstance(due, CallsLost) for due in endpoint.step(30 * S + 900_000))
     answered, silent = endpoint, holding()
     answered.received("old", 31 * S)
@@ -152,11 +152,11 @@
     endpoint = EndpointLiveness(True, 0)
     if accepted_at is not None:  # by the kernel of a machine whose process hangs
         endpoint.connection_opened("new", accepted_at)
-    endpoint.call_named("call", 60 * S)
+    endpoint.call_reported("call", 60 * S)
     assert [type(due) for due in endpoint.step(61 * S)] == [LivenessTest]
     assert not any(isinstance(due, CallsLost) for due in endpoint.step(62 * S + S // 2))
     assert any(isinstance(due, CallsLost) for due in endpoint.step(63 * S))
-    assert endpoint.unproved(63 * S) == {"call"}
+    assert endpoint.unconfirmed_calls(63 * S) == {"call"}
 
 
 def test_one_that_answers_at_once_on_a_new_connection_is_not_taken_for_one_that_greets() -> None:
@@ -186,7 +186,7 @@
 def test_a_call_named_on_an_endpoint_that_was_quiet_for_long_is_kept(tests_allowed: bool) -> None:
     endpoint = EndpointLiveness(tests_allowed, 0)
     endpoint.connection_opened("old", 0)
-    endpoint.call_named("call", 60 * S)
+    endpoint.call_reported("call", 60 * S)
     for now in range(60 * S, 80 * S, S // 5):
         for due in endpoint.step(now):
             assert isinstance(due, LivenessTest), now
@@ -201,7 +201,7 @@
 
 
 def world(may_probe: bool = True) -> World:
-    opened = told().opened
+    opened = configuration().opened
     permissions = type(opened.permissions)(5, True, may_probe, True, 0, False)
     return World(opened=type(opened)(**{**_fields(opened), "permissions": permissions}))
 
@@ -266,8 +266,8 @@
     made.run(60)
     assert A in made.core.calls and not caller.byes(A)
     assert not made.counts["tests_sent"]
-    pool = next(pool for end, pool in made.service.links.pools.items() if end.number == 1)
-    assert len(pool.up) <= pool.links.most
+    pool = next(pool for end, pool in made.service.office_connections.pools.items() if end.number == 1)
+    assert len(pool.connected) <= pool.owner.max_per_office
 
 
 def test_a_short_cut_ends_no_call() -> None:
@@ -344,11 +344,11 @@
     made = world()
     made.board.tell(row(1, DRAINING))
     made.run(0.1)
-    known = (*told().known, *made.board.events)
+    known = (*configuration().known_updates, *made.board.events)
     made.net.reset_host(HERE)
     made.net.listeners.pop(f"{HERE}:2905")
     made.net.senders.clear()
-    service = made.serve(opened=made.service.told.opened, known=known, number=2)
+    service = made.serve(opened=made.service.configuration.opened, known_updates=known, revision=2)
     made.run(0.1)
     office = made.offices[1]
     office.down(A, 16, end=office.ends[-1])
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from platform_world import USES, World, told
+from platform_world import USES, World, configuration
 
 from wellhitch.net.seam import now_us
 from wellhitch.platform.shutdown import Phase, nothing_left, shutdown_schedule
@@ -16,7 +16,7 @@
 def stopping(longest_s: float = 3.0) -> World:
     """A call server whose longest deadline is `longest_s`."""
     uses = tuple(replace(use, outer_limit=int(longest_s * S)) for use in USES)
-    return World(opened=replace(told().opened, use_cases=uses))
+    return World(opened=replace(configuration().opened, use_cases=uses))
 
 
 @pytest.mark.parametrize("longest", [0, 100_000, 300_000, S, 3 * S, 9 * S])
@@ -135,11 +135,14 @@
     world.service.stop()
     world.run(1)
     world.service.stop()
-    moved = replace(world.service.told, place=replace(world.service.told.place, board="10.2.0.9:8500"))
-    world.service.reconfigured(moved)
+    moved = replace(
+        world.service.configuration,
+        addresses=replace(world.service.configuration.addresses, discovery="10.2.0.9:8500"),
+    )
+    world.service.reconfigure(moved)
     world.run(2.7)
     assert world.ended
-    world.service.reconfigured(replace(moved, place=replace(moved.place, board="10.2.0.8:8500")))
+    world.service.reconfigure(replace(moved, addresses=replace(moved.addresses, discovery="10.2.0.8:8500")))
     world.run(1)
     assert not [pipe for pipe in world.net.pipes if pipe.here == "10.0.0.1" and pipe.there == "10.2.0.8"]
 
--- a/wellhitch/cli/platform.py
+++ b/wellhitch/cli/platform.py
@@ -14,7 +14,7 @@
 from wellhitch.net.seam import LoopNetwork, only_numeric
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.platform.event_log import EventLog
-from wellhitch.platform.service import WAITING, Service, shares
+from wellhitch.platform.service import ACCEPT_BACKLOG, Service, descriptor_shares
 from wellhitch.settings.checked import Faults
 
 STDERR = 2
@@ -37,12 +37,12 @@
         click.echo("LB_CONFIG = '': no file is named", err=True)
         sys.exit(2)
     with told_plainly():
-        told = read_configuration(path)
+        configuration = read_configuration(path)
     loop = asyncio.new_event_loop()
     log = EventLog(STDERR)
-    _, _, at_once = shares(told.sockets)
-    connect_within_s = min(told.connect_within / 1e6, LONGEST_CONNECT_S)
-    network = LoopNetwork(loop, only_numeric, connect_within_s, WAITING, at_once)
+    _, _, at_once = descriptor_shares(configuration.max_descriptors)
+    connect_timeout_s = min(configuration.connect_timeout_us / 1e6, LONGEST_CONNECT_S)
+    network = LoopNetwork(loop, only_numeric, connect_timeout_s, ACCEPT_BACKLOG, at_once)
     status = [0]
 
     def fault(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -53,11 +53,11 @@
             loop.stop()
 
     loop.set_exception_handler(fault)
-    service = Service(loop, network, told, lambda: time.time_ns() // 1000, log, loop.stop)
+    service = Service(loop, network, configuration, lambda: time.time_ns() // 1000, log, loop.stop)
 
     def hangup() -> None:
         try:
-            service.reconfigured(read_configuration(path))
+            service.reconfigure(read_configuration(path))
         except Faults as faults:  # the one in force stays
             log("configuration_refused", why=str(faults))
 
--- a/wellhitch/platform/__init__.py
+++ b/wellhitch/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The call server on the operators' platform: a pure core, and a thin shell of callers, offices, board and peers."""
+"""The call server on the operators' platform: a pure state machine (`core`) and the connections that drive it."""
--- a/wellhitch/platform/callers.py
+++ b/wellhitch/platform/callers.py
@@ -1,7 +1,7 @@
-"""Callers' connections: the only file of the platform that touches them. The core is told what came.
+"""Connections from callers. Messages that arrive on them are passed on as `CallerEvents`.
 
-Each limit has a name under which it is counted: `silent`, `half`, `unread`, `full`, `open_on_link` and those of the
-codec.
+Each limit on a connection has a name under which violations are counted: `silent`, `half`, `unread`, `full`,
+`open_on_link` and those of the SIP codec.
 """
 
 import asyncio
@@ -11,54 +11,53 @@
 
 from wellhitch.net.seam import Listener, Network
 from wellhitch.platform.eviction import SILENT_S, ConnectionTable
-from wellhitch.platform.set_up_request import names_call
+from wellhitch.platform.set_up_request import reports_established_call
 from wellhitch.sip import codec as sip
 
-# Turns of the loop from a connection's coming up until what came with it has been read.
+# Turns of the loop from accepting a connection until the data that came with it has been read.
 READING_TURNS = 2
-# Between looks for room while new connections wait: a part of what a new one is given to speak.
-ROOM_STEP_S = 0.005
-# Between looks at connections that are overdue: an eighth of the shortest limit.
-SWEEP_S = 0.25
-# Without a whole message: a refusal or a close is due within three seconds.
+# Between attempts to evict connections while new ones wait; a fraction of the time a new one has for its first message.
+EVICTION_RETRY_S = 0.005
+# Between checks for overdue connections; an eighth of the shortest limit.
+SWEEP_INTERVAL_S = 0.25
+# Without a complete message. Callers expect a refusal or a close within three seconds.
 SILENT_LIMIT_S = 2.0
-# Without a set-up or a call: usual callers close theirs after four seconds.
-IDLE_S = 6.0
-# From a message's first byte to its last, as for `SILENT_LIMIT_S`, and while draining.
+# Without a pending set-up or a call. Ordinary callers close an idle connection after four seconds.
+IDLE_LIMIT_S = 6.0
+# From a message's first byte to its last, chosen like `SILENT_LIMIT_S`; and the same while draining.
 PARTIAL_MESSAGE_S = 2.0
 PARTIAL_WHILE_DRAINING_S = 0.5
-# That a connection being closed is read to its end: a close with bytes unread resets it, and the other end may lose the
-# last answer that was written. A bad client writes without end.
+# How long, and how much, is read from a connection that is being closed. Closing with unread bytes resets the
+# connection, and the caller may lose the last answer written. The limits stop a client that never ceases to write.
 LINGER_S = 1.0
 LINGER_BYTES = 256 * 1024
-# That wait for a caller to read: some two hundred answers.
+# Answers that wait for a caller to read: some two hundred.
 MAX_UNSENT_BYTES = 64 * 1024
-# Open on one connection; usual callers have tens.
+# Pending on one connection; ordinary callers have tens.
 MAX_SET_UPS = 400
-# Of the one buffer that all connections share.
-READ_BYTES = 64 * 1024
+READ_BUFFER_BYTES = 64 * 1024  # shared by all connections
 
 
 class CallerEvents(Protocol):
-    """Who is told what callers send, and knows what is open on their connections."""
+    """Receives what happens on callers' connections, and knows what is pending on each."""
 
     def message_received(self, connection: "CallerConnection", message: sip.Message) -> None:
-        """A whole message came."""
+        """A complete message arrived."""
 
     def connection_closing(self, connection: "CallerConnection") -> None:
-        """A connection is about to be closed from here: what is open on it is answered first."""
+        """This server is about to close a connection; its pending set-ups are to be answered."""
 
     def connection_closed(self, connection: "CallerConnection") -> None:
         """A connection is gone."""
 
     def set_ups_on(self, connection: "CallerConnection") -> int:
-        """How many set-ups are open on it."""
+        """How many set-ups are pending on a connection."""
 
     def calls_on(self, connection: "CallerConnection") -> int:
-        """How many calls stand whose set-up came on it."""
+        """How many established calls were set up on a connection."""
 
     def log(self, event: str, **facts: Any) -> None:
-        """One line of the log."""
+        """Write one line of the log."""
 
 
 class CallerConnection(asyncio.BufferedProtocol):
@@ -68,11 +67,11 @@
         "owner",
         "transport",
         "decoder",
-        "since",
+        "last_message_at",
         "partial_since",
         "closing_since",
-        "discarded",
-        "messages",
+        "discarded_bytes",
+        "message_count",
         "peer",
         "unreadable",
         "__weakref__",
@@ -82,17 +81,17 @@
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self.decoder = sip.Decoder()
-        self.since = 0.0
+        self.last_message_at = 0.0  # or when the connection came up
         self.partial_since: float | None = None
         self.closing_since: float | None = None
-        self.discarded = 0  # bytes that came while it was being closed
-        self.messages = 0  # whole ones that came
-        self.peer = ""  # address of the other end, for the log
+        self.discarded_bytes = 0  # received while the connection is being closed
+        self.message_count = 0  # complete messages received
+        self.peer = ""  # address of the caller, for the log
         self.unreadable = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.since = self.owner.loop.time()
+        self.last_message_at = self.owner.loop.time()
         self.peer = str(transport.get_extra_info("peername"))
         self.owner.opened(self)
 
@@ -105,31 +104,36 @@
             return
         try:
             messages = self.decoder.feed(self.owner.buffer[:nbytes])
-        except sip.BadSip as bad:
+        except sip.BadSip as error:
             self.unreadable = True
-            # The connection closes, so that no answer to a set-up before the noise could arrive: none is dialled.
-            self._take(
-                [one for one in bad.before if not (isinstance(one, sip.Request) and one.method == "INVITE")]
+            # Set-ups before the invalid bytes are not dialled: the connection closes, so their answers could not
+            # arrive.
+            self._dispatch(
+                [
+                    message
+                    for message in error.before
+                    if not (isinstance(message, sip.Request) and message.method == "INVITE")
+                ]
             )
-            self.owner.counts[f"door.{bad.limit}"] += 1
-            self._refuse_and_close(bad)
+            self.owner.counts[f"door.{error.limit}"] += 1
+            self._refuse_and_close(error)
             return
-        self.messages += len(messages)
+        self.message_count += len(messages)
         if messages:
-            self.owner.heard(self)
-        self._take(messages)
+            self.owner.message_received(self)
+        self._dispatch(messages)
         if not self.decoder.pending:
             self.partial_since = None
         elif self.partial_since is None or messages:
             self.partial_since = self.owner.loop.time()
 
     def _read_while_closing(self, nbytes: int) -> None:
-        """What comes after the close: the ends of calls count, and calls that are named, since nothing is answered to
-        that; a set-up cannot be answered any more."""
-        self.discarded += nbytes
-        if self.discarded > LINGER_BYTES:
+        """Handle messages that arrive after the close: releases, and reports of established calls, which need no
+        answer. A set-up can no longer be answered and is ignored."""
+        self.discarded_bytes += nbytes
+        if self.discarded_bytes > LINGER_BYTES:
             self.owner.abort(self)
-        if self.unreadable or self.discarded > LINGER_BYTES:
+        if self.unreadable or self.discarded_bytes > LINGER_BYTES:
             return
         try:
             messages = self.decoder.feed(self.owner.buffer[:nbytes])
@@ -137,10 +141,14 @@
             self.unreadable = True
             return
         for message in messages:
-            if isinstance(message, sip.Response) or message.method == "BYE" or names_call(message):
+            if (
+                isinstance(message, sip.Response)
+                or message.method == "BYE"
+                or reports_established_call(message)
+            ):
                 self.owner.events.message_received(self, message)
 
-    def _take(self, messages: list[sip.Message]) -> None:
+    def _dispatch(self, messages: list[sip.Message]) -> None:
         for message in messages:
             if self.closing_since is not None:
                 return
@@ -154,12 +162,12 @@
                 continue
             self.owner.events.message_received(self, message)
 
-    def _refuse_and_close(self, bad: sip.BadSip) -> None:
-        request = bad.request
+    def _refuse_and_close(self, error: sip.BadSip) -> None:
+        request = error.request
         if request is None or request.method != "ACK":  # an ACK is never answered
-            status = 413 if bad.limit in ("too_large", "head_too_long", "too_many_headers") else 400
+            status = 413 if error.limit in ("too_large", "head_too_long", "too_many_headers") else 400
             self.write(sip.response(status, sip.echo(request) if request else ""))
-        self.close(bad.limit)
+        self.close(error.limit)
 
     def write(self, data: bytes) -> bool:
         """Write; False where the connection is closed or closing."""
@@ -169,24 +177,24 @@
         transport.write(data)
         if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.owner.counts["door.unread"] += 1
-            self.owner.closing_for(self, "unread")
+            self.owner.log_close(self, "unread")
             self.closing_since = self.owner.loop.time()
             transport.abort()
         return True
 
     def close(self, why: str) -> None:
-        """Close once what was written is out and the other end has closed too. `why` is for the log."""
+        """Close once the written data is sent and the caller has closed too. `why` is for the log."""
         if self.closing_since is not None:
             return
-        self.owner.closing_for(self, why)
+        self.owner.log_close(self, why)
         self.owner.events.connection_closing(self)
         self.closing_since = self.owner.loop.time()
-        self.owner.table.lingers(self, self.closing_since)
+        self.owner.table.closing_started(self, self.closing_since)
         if self.transport is None:
             return
         try:
             self.transport.write_eof()
-        except OSError:  # the other end has reset it
+        except OSError:  # the caller has reset the connection
             self.transport.abort()
 
     def eof_received(self) -> bool:
@@ -199,7 +207,7 @@
 
 
 class CallerConnections:
-    """All connections from callers, at most `limit`, and for moments `room` more that have just come up."""
+    """All connections from callers: at most `limit`, and `new_capacity` more while new ones have not been read yet."""
 
     def __init__(
         self,
@@ -207,50 +215,51 @@
         network: Network,
         events: CallerEvents,
         limit: int,
-        room: int,
+        new_capacity: int,
         counts: Counter[str],
     ) -> None:
         self.loop, self.network, self.events, self.counts = loop, network, events, counts
-        self.limit, self.room = limit, room
-        self.buffer = memoryview(bytearray(READ_BYTES))
+        self.limit, self.new_capacity = limit, new_capacity
+        self.buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.table: ConnectionTable[CallerConnection] = ConnectionTable(events.set_ups_on, events.calls_on)
         self.listener: Listener | None = None
-        self._sweeping: Any = None
-        self._looking_for_room: Any = None
+        self._sweep_timer: Any = None
+        self._eviction_timer: Any = None
 
     def listen(self, address: str, ready: Callable[[], None]) -> None:
-        """Take connections at this address alone."""
+        """Accept connections at an address; `ready` is called once that has begun."""
 
         def listening(listener: Listener) -> None:
             self.listener = listener
             ready()
 
         self.network.listen(address, lambda: CallerConnection(self), listening)
-        self._sweeping = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def opened(self, connection: CallerConnection) -> None:
-        """A connection is there. Guards the descriptors: where there are too many, others are closed, but not before
-        what has come on all of them is read."""
+        """Add a connection. If this exceeds the limits, others are closed to free descriptors, but not before the data
+        that came with each connection is read."""
         self.table.opened(connection, self.loop.time())
-        if self._too_many:
-            if self.open > self.limit + self.room and self.listener is not None:
+        if self._over_limit:
+            if self.open > self.limit + self.new_capacity and self.listener is not None:
                 self.listener.pause()
-            self._after_turns(READING_TURNS, self._make_room)
+            self._after_turns(READING_TURNS, self._evict)
 
-    def _after_turns(self, turns: int, work: Callable[[], None]) -> None:
-        """Do something some turns of the loop later."""
+    def _after_turns(self, turns: int, callback: Callable[[], None]) -> None:
+        """Call `callback` after a number of turns of the loop."""
         if turns == 0:
-            work()
+            callback()
         else:
-            self.loop.call_soon(self._after_turns, turns - 1, work)
+            self.loop.call_soon(self._after_turns, turns - 1, callback)
 
     @property
-    def _too_many(self) -> bool:
-        return self.table.in_service > self.limit or self.open > self.limit + self.room
+    def _over_limit(self) -> bool:
+        return self.table.in_service > self.limit or self.open > self.limit + self.new_capacity
 
-    def _make_room(self) -> None:
-        """Close connections where too many are in service, and read them to their end. While there is no room for that,
-        and while it is not known what the new ones want, more of them wait to be taken."""
+    def _evict(self) -> None:
+        """Close connections while too many are in service, and keep reading them until the callers close too. New
+        connections are not accepted while there is no capacity left, and while it is unknown what the latest ones
+        want."""
         now = self.loop.time()
         while self.table.in_service > self.limit:
             evicted = self.table.next_to_evict(now)
@@ -258,47 +267,47 @@
                 break
             self.counts["door.full"] += 1
             evicted.close("full")
-        while self.open > self.limit + self.room:
-            closed = self.table.next_to_reset(now)
-            if closed is None:
+        while self.open > self.limit + self.new_capacity:
+            closing = self.table.next_to_reset(now)
+            if closing is None:
                 break
-            self.abort(closed)
+            self.abort(closing)
         if self.listener is not None:
-            if self.open > self.limit + self.room:
+            if self.open > self.limit + self.new_capacity:
                 self.listener.pause()
             else:
                 self.listener.resume()
-        if self._too_many and self._looking_for_room is None:
-            self._looking_for_room = self.loop.call_later(ROOM_STEP_S, self._look_for_room)
+        if self._over_limit and self._eviction_timer is None:
+            self._eviction_timer = self.loop.call_later(EVICTION_RETRY_S, self._retry_eviction)
 
-    def _look_for_room(self) -> None:
-        self._looking_for_room = None
-        self._make_room()
+    def _retry_eviction(self) -> None:
+        self._eviction_timer = None
+        self._evict()
 
-    def heard(self, connection: CallerConnection) -> None:
-        """A whole message came: it is the last to go of those that may."""
-        connection.since = self.loop.time()
+    def message_received(self, connection: CallerConnection) -> None:
+        """Note the time of a complete message: connections that were quiet longer are evicted first."""
+        connection.last_message_at = self.loop.time()
         if connection.closing_since is None:
-            self.table.message_came(connection, connection.since)
+            self.table.message_received(connection, connection.last_message_at)
 
     def abort(self, connection: CallerConnection) -> None:
-        """Close at once, with a reset."""
-        # It counts no more from here on: asyncio tells that it is lost only in the next turn, and in one turn a burst
-        # brings hundreds, each of which must put another one out.
+        """Reset a connection at once."""
+        # It stops counting here: asyncio reports the loss only in the next turn, and a burst brings hundreds of
+        # connections in one turn, each of which must displace a different one.
         self.table.forget(connection)
         if connection.closing_since is None:
-            self.closing_for(connection, "full")
+            self.log_close(connection, "full")
         connection.closing_since = connection.closing_since or self.loop.time()
         if connection.transport is not None:
             connection.transport.abort()
 
     def lost(self, connection: CallerConnection) -> None:
-        """A connection is gone."""
+        """Forget a connection that is gone."""
         self.table.forget(connection)
         self.events.connection_closed(connection)
 
-    def closing_for(self, connection: CallerConnection, why: str) -> None:
-        """A connection is closed from here: say why, and what is left on it."""
+    def log_close(self, connection: CallerConnection, why: str) -> None:
+        """Log why this server closes a connection, and what is pending on it."""
         events = self.events
         events.log(
             "caller_connection_closed",
@@ -306,34 +315,35 @@
             open=events.set_ups_on(connection),
             established=events.calls_on(connection),
             peer=connection.peer,
-            messages=connection.messages,
-            quiet_ms=round((self.loop.time() - connection.since) * 1000),
+            messages=connection.message_count,
+            quiet_ms=round((self.loop.time() - connection.last_message_at) * 1000),
         )
 
     @property
     def open(self) -> int:
-        """Connections that are open."""
+        """How many connections are open, including those being closed."""
         return len(self.table)
 
     def _sweep(self) -> None:
+        """Close the connections that have exceeded a time limit."""
         now = self.loop.time()
-        self._sweeping = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         for connection in list(self.table.closing):
             if connection.closing_since is not None and now - connection.closing_since > LINGER_S:
                 self.abort(connection)
-        for connection in [*self.table.silent, *self.table.heard]:
+        for connection in [*self.table.silent, *self.table.active]:
             if connection.partial_since is not None and now - connection.partial_since > PARTIAL_MESSAGE_S:
                 if self.events.set_ups_on(connection):
-                    continue  # a slow writer; what it asked before is answered first
+                    continue  # a slow writer; its pending set-ups are answered first
                 self.counts["door.half"] += 1
                 connection.write(sip.response(408, ""))
                 connection.close("half")
             elif connection in self.table.silent:
-                if now - connection.since > SILENT_LIMIT_S:
+                if now - connection.last_message_at > SILENT_LIMIT_S:
                     self.counts["door.silent"] += 1
                     connection.close("silent")
             elif (
-                now - connection.since > IDLE_S
+                now - connection.last_message_at > IDLE_LIMIT_S
                 and not self.events.set_ups_on(connection)
                 and not self.events.calls_on(connection)
             ):
@@ -341,33 +351,33 @@
                 connection.close("idle")
 
     def close_unused(self) -> None:
-        """While draining: close each connection on which nothing is open, half said, or still to be told."""
+        """While draining, close each connection without pending set-ups, calls or a partly received message."""
         now = self.loop.time()
-        for connection in [*self.table.silent, *self.table.heard]:
-            half = (
+        for connection in [*self.table.silent, *self.table.active]:
+            partial = (
                 connection.partial_since is not None
                 and now - connection.partial_since < PARTIAL_WHILE_DRAINING_S
             )
-            new = connection in self.table.silent and now - connection.since < SILENT_S
-            if not (half or new or self.events.set_ups_on(connection) or self.events.calls_on(connection)):
+            new = connection in self.table.silent and now - connection.last_message_at < SILENT_S
+            if not (partial or new or self.events.set_ups_on(connection) or self.events.calls_on(connection)):
                 connection.close("draining")
 
     def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Accept no new connections."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
 
     def close(self) -> None:
-        """Close all."""
+        """Stop listening and close all connections."""
         self.stop_listening()
-        for connection in [*self.table.silent, *self.table.heard]:
+        for connection in [*self.table.silent, *self.table.active]:
             connection.close("stopping")
 
     def abort_all(self) -> None:
-        """Leave nothing open."""
-        for timer in (self._sweeping, self._looking_for_room):
+        """Reset all connections and stop the timers."""
+        for timer in (self._sweep_timer, self._eviction_timer):
             if timer is not None:
                 timer.cancel()
-        for connection in [*self.table.silent, *self.table.heard, *self.table.closing]:
+        for connection in [*self.table.silent, *self.table.active, *self.table.closing]:
             self.abort(connection)
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -1,4 +1,4 @@
-"""`LB_CONFIG` as typed records. Pure, but for one read of the file."""
+"""Reads the file named by `LB_CONFIG` into typed records and validates it."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,11 +11,13 @@
 from wellhitch.net.seam import only_numeric, split
 from wellhitch.settings.checked import Faults, read_open, shown
 
-MAX_FILE = 4 * 1024 * 1024  # bytes; with hundreds of events under `known` it has some tens of thousands
-FEWEST_SOCKETS = 64  # under this nothing is left for callers beside offices, board and what waits to be taken
+# A file with hundreds of updates under `known` has some tens of thousands of bytes.
+MAX_FILE_BYTES = 4 * 1024 * 1024
+# With fewer, offices, discovery and connections being accepted leave no descriptors for callers.
+MIN_DESCRIPTORS = 64
 
 
-class _UseCase(msgspec.Struct):
+class _TrafficClass(msgspec.Struct):
     name: str
     importance: float | msgspec.UnsetType = msgspec.UNSET
     late_value: float | msgspec.UnsetType = msgspec.UNSET
@@ -26,7 +28,7 @@
     memory_span_ns: int | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Family(msgspec.Struct):
+class _FamilyInfo(msgspec.Struct):
     self_no: int | msgspec.UnsetType = msgspec.UNSET
     topology: str | msgspec.UnsetType = msgspec.UNSET
     centre_advises: bool | msgspec.UnsetType = msgspec.UNSET
@@ -36,7 +38,7 @@
     clear_wait_ns: int | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Allowed(msgspec.Struct):
+class _PlatformLimits(msgspec.Struct):
     most_tries: int | msgspec.UnsetType = msgspec.UNSET
     may_cancel: bool | msgspec.UnsetType = msgspec.UNSET
     probes: bool | msgspec.UnsetType = msgspec.UNSET
@@ -60,31 +62,31 @@
     marks_retry: bool | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Told(msgspec.Struct):
-    """Of the settings, what the adapter's reader reads: their types, so that a wrong one is named."""
+class _Settings(msgspec.Struct):
+    """Types of the settings that `adapter.codec` reads, so that an error names the field with the wrong type."""
 
-    classes: list[_UseCase]
-    family_info: _Family
-    limits: _Allowed
+    classes: list[_TrafficClass]
+    family_info: _FamilyInfo
+    limits: _PlatformLimits
     rules: _Rules
     balancers: int | msgspec.UnsetType = msgspec.UNSET
     discovery: str | msgspec.UnsetType = msgspec.UNSET
     callers: _Callers | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Limits(msgspec.Struct):
+class _ProcessLimits(msgspec.Struct):
     sockets: int = 1024
     memory_mb: float = 0.0
     cores: float = 1.0
 
 
-class _File(msgspec.Struct):
+class _ConfigurationFile(msgspec.Struct):
     name: str
     listen: str
     seed: str
     settings: dict[str, Any]
     known: dict[str, Any]
-    limits: _Limits
+    limits: _ProcessLimits
     board: str
     peer_listen: str = ""
     peers: list[str] = []
@@ -92,87 +94,97 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where this call server listens and whom it follows, as host:port."""
+class Addresses:
+    """Name of this call server, and the addresses (host:port) at which it listens, follows discovery and reaches other
+    call servers. `peers_all` is the address that reaches all of them."""
 
     name: str
     listen: str
-    board: str
+    discovery: str
     peer_listen: str
     peers: tuple[str, ...]
     peers_all: str
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """All that a start needs: the place, the module's first event, the list so far with its last number, limits.
-    `connect_within` in us."""
+class Configuration:
+    """All that a call server needs to start. `opened` is the first event of the decision module; `known_updates` are
+    the discovery updates up to `revision`."""
 
-    place: Place
+    addresses: Addresses
     opened: Opened
-    number: int
-    known: tuple[board.Notice, ...]
-    sockets: int
+    revision: int
+    known_updates: tuple[board.Notice, ...]
+    max_descriptors: int
     max_open: int
-    connect_within: int
+    connect_timeout_us: int
 
 
-def read_configuration(path: str) -> Told:
-    """Read the file. Raises Faults naming the file, the field and its value."""
+def read_configuration(path: str) -> Configuration:
+    """Read and validate the file. Raises Faults naming the file, the field and its value."""
     try:
         with open(path, "rb") as file:
-            raw = file.read(MAX_FILE + 1)
-    except OSError as fault:
-        raise Faults(path, [f"cannot be read: {fault.strerror}"]) from None
-    if len(raw) > MAX_FILE:
-        raise Faults(path, [f"over {MAX_FILE} bytes"])
+            raw = file.read(MAX_FILE_BYTES + 1)
+    except OSError as error:
+        raise Faults(path, [f"cannot be read: {error.strerror}"]) from None
+    if len(raw) > MAX_FILE_BYTES:
+        raise Faults(path, [f"larger than {MAX_FILE_BYTES} bytes"])
     try:
         value = msgspec.json.decode(raw)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise Faults(path, [f"not JSON: {fault}"]) from None
-    told = read_open(value, _File, path)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise Faults(path, [f"not JSON: {error}"]) from None
+    decoded = read_open(value, _ConfigurationFile, path)
     for field, address in (
-        ("listen", told.listen),
-        ("board", told.board),
-        ("peer_listen", told.peer_listen),
-        ("peers_all", told.peers_all),
-        *((f"peers[{at}]", peer) for at, peer in enumerate(told.peers)),
+        ("listen", decoded.listen),
+        ("board", decoded.board),
+        ("peer_listen", decoded.peer_listen),
+        ("peers_all", decoded.peers_all),
+        *((f"peers[{index}]", peer) for index, peer in enumerate(decoded.peers)),
     ):
         if address or field in ("listen", "board"):
-            _address(path, field, address)
+            _check_address(path, field, address)
     try:
-        seed = int(told.seed, 16)
+        seed = int(decoded.seed, 16)
     except ValueError:
-        raise Faults(path, [f"seed = {shown(told.seed)}: not hexadecimal"]) from None
-    if told.limits.sockets < FEWEST_SOCKETS:
-        raise Faults(path, [f"limits.sockets = {told.limits.sockets}: under {FEWEST_SOCKETS}"])
-    settings = read_open({"settings": told.settings}, _Settings, path).settings
+        raise Faults(path, [f"seed = {shown(decoded.seed)}: not hexadecimal"]) from None
+    if decoded.limits.sockets < MIN_DESCRIPTORS:
+        raise Faults(path, [f"limits.sockets = {decoded.limits.sockets}: less than {MIN_DESCRIPTORS}"])
+    settings = read_open({"settings": decoded.settings}, _SettingsWrapper, path).settings
     opened = read_opened(seed, msgspec.to_builtins(settings))
     if not opened.use_cases:
-        raise Faults(path, ["settings.classes = []: no use case"])
-    number, known = board.read_known(told.known, path)
-    for notice in known:
-        for row in notice.rows:
-            _address(path, f"known: address of {row.id}", row.address)
-    connect_within = settings.limits.connect_timeout_ns
+        raise Faults(path, ["settings.classes = []: at least one traffic class is required"])
+    revision, known_updates = board.read_known(decoded.known, path)
+    for update in known_updates:
+        for row in update.rows:
+            _check_address(path, f"known: address of {row.id}", row.address)
+    connect_timeout_ns = settings.limits.connect_timeout_ns
     max_open = settings.limits.max_open
-    return Told(
-        Place(told.name, told.listen, told.board, told.peer_listen, tuple(told.peers), told.peers_all),
+    return Configuration(
+        Addresses(
+            decoded.name,
+            decoded.listen,
+            decoded.board,
+            decoded.peer_listen,
+            tuple(decoded.peers),
+            decoded.peers_all,
+        ),
         opened,
-        number,
-        tuple(known),
-        told.limits.sockets,
+        revision,
+        tuple(known_updates),
+        decoded.limits.sockets,
         max_open if isinstance(max_open, int) and max_open > 0 else 20_000,
-        connect_within // 1000 if isinstance(connect_within, int) and connect_within > 0 else 500_000,
+        connect_timeout_ns // 1000
+        if isinstance(connect_timeout_ns, int) and connect_timeout_ns > 0
+        else 500_000,
     )
 
 
-class _Settings(msgspec.Struct):
-    settings: _Told
+class _SettingsWrapper(msgspec.Struct):
+    settings: _Settings
 
 
-def _address(path: str, field: str, address: str) -> None:
+def _check_address(path: str, field: str, address: str) -> None:
     try:
         only_numeric(split(address)[0])
-    except ValueError as fault:
-        raise Faults(path, [f"{field} = {shown(address)}: {fault}"]) from None
+    except ValueError as error:
+        raise Faults(path, [f"{field} = {shown(address)}: {error}"]) from None
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -1,7 +1,8 @@
-"""The platform's call server without its sockets: messages and timers in, messages and timers out through `Outlet`.
+"""The platform's call server as a pure state machine: messages and timers come in, its output goes to `ServerIO`.
 
-It turns the platform's messages into the decisions' events and their actions into messages. What it adds are guards
-for what the decisions cannot see, each said where it stands. Circuits are told by the offices, not counted here.
+It translates the platform's messages into events of the decision module and the module's actions into messages. Its own
+checks are those for which the decision module lacks the information; each is explained where it is made. Free circuits
+are not counted here, as the offices report them.
 """
 
 from collections import Counter
@@ -14,20 +15,21 @@
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
 from wellhitch.office_lines import codec as lines
-from wellhitch.platform.established import CAUSE_CUT, CAUSE_OVER, EstablishedCalls
+from wellhitch.platform.established import CAUSE_CUT, CAUSE_NORMAL, EstablishedCalls
 from wellhitch.platform.liveness import EndpointLiveness
-from wellhitch.platform.records import Call, DialOut, OfficeEnd, Step, Taken
-from wellhitch.platform.server_io import Outlet
-from wellhitch.platform.set_up_request import SetUp, dialogue_id, read_set_up
+from wellhitch.platform.records import DialState, EstablishedCall, OfficeRecord, PendingCall, PendingDial
+from wellhitch.platform.server_io import ServerIO
+from wellhitch.platform.set_up_request import SetUp, read_call_id, read_set_up
 from wellhitch.sip import codec as sip
 
-# Taken off each deadline, so that the answer is there in time although a turn of the loop is late by most of it. The
+# Subtracted from each deadline, so that the answer is in time even if a turn of the loop is late by most of it. The
 # operators allow 50 ms more on every limit.
 ANSWER_MARGIN_US = 20_000
-# Characters of a load report; with four names it has some sixty.
-MAX_LOAD_REPORT = 256
-# After the start, in which callers name their calls from before it; they do so once the front takes it in again.
-CALLS_NAMED_WITHIN_US = 15_000_000
+# A load report with four names has some sixty characters.
+MAX_LOAD_REPORT_CHARACTERS = 256
+# After the start, in which callers report their calls from before it; they do so once the front accepts this server
+# again.
+CALLS_REPORTED_WITHIN_US = 15_000_000
 
 ENDINGS = {
     34: ev.Ending.FULL,
@@ -35,7 +37,8 @@
     47: ev.Ending.FAULT,
     102: ev.Ending.NOT_SENT,
 }
-"""What a release before the answer means; any other cause is a reset."""
+"""Meaning of the cause of a release before the answer; any other cause is a reset."""
+# Meaning of the note of a release before the answer.
 BLAMES = {
     "no_circuit": ev.Blame.NO_CIRCUIT,
     "turned_back": ev.Blame.TURNED_BACK,
@@ -43,173 +46,185 @@
     "overload": ev.Blame.PROCESSOR_FULL,
     "lines_busy": ev.Blame.LINES_BUSY,
 }
-STANDINGS = (ev.Standing.READY, ev.Standing.DRAINING, ev.Standing.GONE)  # by the board's states
+OFFICE_STATES = (
+    ev.Standing.READY,
+    ev.Standing.DRAINING,
+    ev.Standing.GONE,
+)  # indexed by the states of discovery
 
 
 class Core:
     """One exchange's call server on the platform."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, unix_at_zero: int, outlet: Outlet) -> None:
-        """`unix_at_zero`: Unix time in us at nought of the loop's clock, by which the board's starts are read."""
-        self.opened, self.max_open, self.unix_at_zero, self.outlet = opened, max_open, unix_at_zero, outlet
+    def __init__(self, opened: ev.Opened, max_open: int, loop_epoch_us: int, io: ServerIO) -> None:
+        """`loop_epoch_us`: Unix time in us at which the loop's clock was 0; converts the start times of discovery."""
+        self.opened, self.max_open, self.loop_epoch_us, self.io = opened, max_open, loop_epoch_us, io
         self.number = opened.place.number if opened.place.number is not None else -1
         self.counts: Counter[str] = Counter()
-        self.runner = Runner(self, outlet.timer, outlet.log, self.counts)
+        self.runner = Runner(self, io.start_timer, io.log, self.counts)
         self.exchange = self.runner.exchange
-        self.taken: dict[int, Taken] = {}
-        self.by_ref: dict[str, Taken] = {}
-        self.by_link: dict[Hashable, dict[str, Taken]] = {}
-        self.offices: dict[str, OfficeEnd] = {}
-        self.established = EstablishedCalls(outlet, self.offices, self.counts, self._call_ended, self._let_go)
+        self.pending_calls: dict[int, PendingCall] = {}
+        self.pending_by_call_id: dict[str, PendingCall] = {}
+        self.pending_by_connection: dict[Hashable, dict[str, PendingCall]] = {}
+        self.offices: dict[str, OfficeRecord] = {}
+        self.established = EstablishedCalls(
+            io, self.offices, self.counts, self._call_ended, self._release_if_unused
+        )
         self.calls, self.releases = self.established.calls, self.established.releases
-        self.stopping = False  # tests fail, so that callers' front takes this call server out
+        self.stopping = False  # health checks fail, so that the callers' front stops using this call server
         self.draining = False  # new set-ups are refused
-        # A while after the start callers have named the calls that were up before it.
-        self._callers_named_calls = False
-        self._next_id = 0
-        self._use_cases = {use.name: use for use in opened.use_cases}
-
-    def start(self, known: Iterable[Notice], now: int) -> None:
-        """Begin with the facts of the place and the list so far. Connections are opened once all of it is known, and to
-        draining offices too: calls from before a restart may be up there, and their releases come on the first one."""
+        # Whether callers have had the time to report the calls from before the start.
+        self._callers_reported_calls = False
+        self._last_dialogue = 0
+        self._use_cases = {use_case.name: use_case for use_case in opened.use_cases}
+
+    def start(self, known_updates: Iterable[Notice], now: int) -> None:
+        """Begin with the settings and the discovery updates known so far. Connections are opened after all updates are
+        applied. Draining offices are connected too: they may hold calls from before a restart, and send the releases of
+        these on the first connection."""
         self.feed(self.opened, now)
-        for notice in known:
-            self._take_notice(notice, ev.Heard.REMEMBERED, now)
-        for end in list(self.offices.values()):
-            self._follow_standing(end, now)
-            if end.standing is ev.Standing.DRAINING and end.number != self.number:
-                self.outlet.keep_links(end)
-        self.outlet.timer(CALLS_NAMED_WITHIN_US, self._calls_named)
+        for update in known_updates:
+            self._apply_update(update, ev.Heard.REMEMBERED, now)
+        for office in list(self.offices.values()):
+            self._apply_state(office, now)
+            if office.state is ev.Standing.DRAINING and office.number != self.number:
+                self.io.keep_connected(office)
+        self.io.start_timer(CALLS_REPORTED_WITHIN_US, self._calls_reported)
 
-    def _calls_named(self, now: int) -> None:
-        self._callers_named_calls = True
-        for end in list(self.offices.values()):
-            self._let_go(end)
+    def _calls_reported(self, now: int) -> None:
+        self._callers_reported_calls = True
+        for office in list(self.offices.values()):
+            self._release_if_unused(office)
 
-    # ---- the decisions ----
+    # ---- decision module ----
 
     def feed(self, event: ev.Event, now: int) -> None:
-        """Tell the decisions one event."""
+        """Pass an event to the decision module and carry out its actions."""
         self.runner.feed(event, now)
 
     def rescued(self, dialogue: int, now: int) -> None:
-        """The decisions raised on this dialogue: it gets its one final answer."""
-        taken = self.taken.get(dialogue)
-        if taken:
-            self._refuse(taken, 500, "forfeited", "", now)
+        """Answer a dialogue on which the decision module raised an exception."""
+        pending = self.pending_calls.get(dialogue)
+        if pending:
+            self._send_failure(pending, 500, "forfeited", "", now)
 
     def carry_out(self, action: act.Action, now: int) -> None:
-        """Do one thing that the decisions ask for."""
+        """Carry out one action of the decision module."""
         match action:
             case act.Send(dialogue, office, within):
-                self._send(dialogue, office, within, now)
+                self._dial(dialogue, office, within, now)
             case act.Cancel(dialogue, number):
-                taken = self.taken.get(dialogue)
-                if taken and taken.out and taken.out.number == number:
-                    self._give_up_dial(taken.out, ev.Ending.CANCELLED, now)
+                pending = self.pending_calls.get(dialogue)
+                if pending and pending.dial and pending.dial.number == number:
+                    self._abandon_dial(pending.dial, ev.Ending.CANCELLED, now)
             case act.PushBack(dialogue, come_back):
-                if dialogue in self.taken:
-                    more = f"X-Cooldown: {-(-come_back // 1000)}\r\n" if come_back else ""
-                    self._refuse(self.taken[dialogue], 503, "pushed_back", more, now)
+                if dialogue in self.pending_calls:
+                    headers = f"X-Cooldown: {-(-come_back // 1000)}\r\n" if come_back else ""
+                    self._send_failure(self.pending_calls[dialogue], 503, "pushed_back", headers, now)
             case act.Forfeit(dialogue):
-                if dialogue in self.taken:
-                    self._refuse(self.taken[dialogue], 500, "forfeited", "", now)
+                if dialogue in self.pending_calls:
+                    self._send_failure(self.pending_calls[dialogue], 500, "forfeited", "", now)
             case act.TellPeers(text):
-                self.outlet.tell_peers(text)
+                self.io.send_to_peers(text)
             case act.Follow():
-                pass  # the board pushes on its own
+                pass  # discovery pushes its updates
 
     # ---- callers ----
 
-    def caller_said(self, link: Hashable, message: sip.Message, now: int) -> None:
-        """A whole message from a caller."""
+    def caller_message(self, connection: Hashable, message: sip.Message, now: int) -> None:
+        """Handle a message from a caller."""
         if isinstance(message, sip.Response):
-            self.releases.heard(message.headers.get("call-id", ""), link)
+            self.releases.answered(message.headers.get("call-id", ""), connection)
             return
-        self.counts[f"caller.{message.method if message.method in KNOWN else 'other'}"] += 1
+        self.counts[f"caller.{message.method if message.method in KNOWN_METHODS else 'other'}"] += 1
         match message.method:
             case "INVITE":
-                self._invited(link, message, now)
+                self._handle_invite(connection, message, now)
             case "ACK":
-                pass  # nothing waits for it: an answer is never sent twice over a stream
+                pass  # not needed: an answer is never resent over a stream
             case "CANCEL":
-                self._cancelled(link, message, now)
+                self._handle_cancel(connection, message, now)
             case "BYE":
-                self._caller_released(link, message, now)
+                self._handle_bye(connection, message, now)
             case "OPTIONS":
                 status = 503 if self.stopping else 200
-                self.outlet.to_caller(link, sip.response(status, sip.echo(message)))
+                self.io.send_to_caller(connection, sip.response(status, sip.echo(message)))
             case "NOTIFY":
-                pass  # a group's state is an office's to tell, on its own link; it wants no answer
+                pass  # only offices report trunk group states, on their own connections; it needs no answer
             case _:
                 self.counts["door.method"] += 1
-                self.outlet.to_caller(link, sip.response(501, sip.echo(message)))
+                self.io.send_to_caller(connection, sip.response(501, sip.echo(message)))
 
-    def _turned_away(self, link: Hashable, message: sip.Request, limit: str, status: int = 400) -> None:
-        """Refuse at the door what was never taken."""
+    def _reject_request(
+        self, connection: Hashable, message: sip.Request, limit: str, status: int = 400
+    ) -> None:
+        """Refuse a request that was never accepted."""
         self.counts[f"door.{limit}"] += 1
-        self.outlet.log("request_refused", call=dialogue_id(message), status=status, why=limit)
-        self.outlet.to_caller(link, sip.response(status, sip.echo(message)))
-        if status == 400 and not self.open_on(link) and not self.standing_on(link):
-            # What no usual caller says: such connections come by the hundreds and would take up all descriptors.
-            self.outlet.close_caller(link)
-
-    def _invited(self, link: Hashable, message: sip.Request, now: int) -> None:
+        self.io.log("request_refused", call=read_call_id(message), status=status, why=limit)
+        self.io.send_to_caller(connection, sip.response(status, sip.echo(message)))
+        if status == 400 and not self.pending_on(connection) and not self.established_on(connection):
+            # Ordinary callers send no invalid requests. Connections that do come by the hundreds and would use up the
+            # descriptors.
+            self.io.close_caller_connection(connection)
+
+    def _handle_invite(self, connection: Hashable, message: sip.Request, now: int) -> None:
         set_up = read_set_up(message, self._use_cases)
         if isinstance(set_up, str):
-            self._turned_away(link, message, set_up)
+            self._reject_request(connection, message, set_up)
             return
-        if set_up.at is not None:
-            self.releases.used(link, now)
-            if set_up.ref in self.by_ref:
+        if set_up.established_at is not None:
+            self.releases.connection_used(connection, now)
+            if set_up.call_id in self.pending_by_call_id:
                 self.counts["stands_known"] += 1
             else:
-                self.established.named(set_up.ref, set_up.at, link, now)
+                self.established.reported_by_caller(set_up.call_id, set_up.established_at, connection, now)
             return
-        open_one = self.by_ref.get(set_up.ref)
-        if open_one is not None and open_one.link == link:
-            # Answers are told apart by the id alone: any to the second would be taken for the first one's, which
-            # then had two. Neither is served, and the connection is closed.
+        pending = self.pending_by_call_id.get(set_up.call_id)
+        if pending is not None and pending.connection == connection:
+            # Answers are matched by Call-ID alone: an answer to the second set-up would be taken for one to the first,
+            # which would then have two. Neither is served, and the connection is closed.
             self.counts["door.id_twice_on_a_link"] += 1
-            self.outlet.log("request_refused", call=set_up.ref, status=400, why="id_twice_on_a_link")
-            self._gone(open_one, now)
-            self.outlet.to_caller(link, sip.response(400, sip.echo(message)))
-            self.outlet.close_caller(link)
-        elif open_one is not None or set_up.ref in self.calls:
-            self._turned_away(link, message, "id_in_use")
+            self.io.log("request_refused", call=set_up.call_id, status=400, why="id_twice_on_a_link")
+            self._cancel(pending, now)
+            self.io.send_to_caller(connection, sip.response(400, sip.echo(message)))
+            self.io.close_caller_connection(connection)
+        elif pending is not None or set_up.call_id in self.calls:
+            self._reject_request(connection, message, "id_in_use")
         elif self.draining:
-            self._turned_away(link, message, "draining", 503)
-        elif len(self.taken) >= self.max_open:
-            self._turned_away(link, message, "max_open", 503)
+            self._reject_request(connection, message, "draining", 503)
+        elif len(self.pending_calls) >= self.max_open:
+            self._reject_request(connection, message, "max_open", 503)
         else:
-            self.releases.used(link, now)
-            self._take(link, message, set_up, now)
-
-    def _take(self, link: Hashable, message: sip.Request, set_up: SetUp, now: int) -> None:
-        self._next_id += 1
-        taken = Taken(
-            self._next_id,
-            set_up.ref,
-            link,
+            self.releases.connection_used(connection, now)
+            self._accept(connection, message, set_up, now)
+
+    def _accept(self, connection: Hashable, message: sip.Request, set_up: SetUp, now: int) -> None:
+        self._last_dialogue += 1
+        pending = PendingCall(
+            self._last_dialogue,
+            set_up.call_id,
+            connection,
             sip.echo(message),
             set_up.use_case,
-            set_up.key,
+            set_up.called_number,
             set_up.description,
             set_up.destination,
             set_up.transit,
         )
-        self.taken[taken.id] = self.by_ref[taken.ref] = taken
-        self.by_link.setdefault(link, {})[taken.ref] = taken
+        self.pending_calls[pending.id] = self.pending_by_call_id[pending.call_id] = pending
+        self.pending_by_connection.setdefault(connection, {})[pending.call_id] = pending
         self.counts["taken"] += 1
-        # Guards against a time without end: past the outer limit a dialogue is worth nothing to anybody.
-        left = min(set_up.left, self._use_cases[set_up.use_case].outer_limit or set_up.left)
+        # Bounds the time left: an answer after the traffic class's deadline has no value.
+        time_left_us = min(
+            set_up.time_left_us, self._use_cases[set_up.use_case].outer_limit or set_up.time_left_us
+        )
         self.feed(
             ev.Arrived(
-                dialogue=taken.id,
+                dialogue=pending.id,
                 use_case=set_up.use_case,
                 destination=set_up.destination,
-                called=set_up.key,
-                left=max(0, left - ANSWER_MARGIN_US),
+                called=set_up.called_number,
+                left=max(0, time_left_us - ANSWER_MARGIN_US),
                 width=set_up.width,
                 advised=set_up.advised,
                 redialled=set_up.redialled,
@@ -218,405 +233,449 @@
             now,
         )
 
-    def _cancelled(self, link: Hashable, message: sip.Request, now: int) -> None:
-        """A caller gives up its set-up, on the connection on which it came."""
-        self.outlet.to_caller(link, sip.response(200, sip.echo(message)))
-        ref = dialogue_id(message) or ""
-        taken, call = self.by_ref.get(ref), self.calls.get(ref)
-        if taken is not None and taken.link == link:
-            self.outlet.to_caller(link, sip.response(487, taken.echo))
-            self._gone(taken, now)
-        elif call is not None and call.link == link:
-            # It crossed the answer: its caller has not seen that and waits no more.
+    def _handle_cancel(self, connection: Hashable, message: sip.Request, now: int) -> None:
+        """A caller cancels its set-up, on the connection on which it came."""
+        self.io.send_to_caller(connection, sip.response(200, sip.echo(message)))
+        call_id = read_call_id(message) or ""
+        pending, call = self.pending_by_call_id.get(call_id), self.calls.get(call_id)
+        if pending is not None and pending.connection == connection:
+            self.io.send_to_caller(connection, sip.response(487, pending.echo))
+            self._cancel(pending, now)
+        elif call is not None and call.connection == connection:
+            # The answer was already on its way: the caller cancelled before reading it and no longer waits for it.
             self.counts["cancel_crossed_answer"] += 1
             self.established.released_by_caller(call, now)
-            self.established.tell_over(ref, CAUSE_OVER, link, now)
+            self.established.release_to_caller(call_id, CAUSE_NORMAL, connection, now)
         else:
             self.counts["strays.cancel"] += 1
 
-    def _caller_released(self, link: Hashable, message: sip.Request, now: int) -> None:
-        """A caller ends a call that stands; that may come on any connection."""
-        self.outlet.to_caller(link, sip.response(200, sip.echo(message)))
-        ref = dialogue_id(message) or ""
-        call, taken = self.calls.get(ref), self.by_ref.get(ref)
+    def _handle_bye(self, connection: Hashable, message: sip.Request, now: int) -> None:
+        """A caller releases an established call, on any connection."""
+        self.io.send_to_caller(connection, sip.response(200, sip.echo(message)))
+        call_id = read_call_id(message) or ""
+        call, pending = self.calls.get(call_id), self.pending_by_call_id.get(call_id)
         if call is not None:
-            self.releases.used(link, now)
+            self.releases.connection_used(connection, now)
             self.established.released_by_caller(call, now)
-        elif taken is not None and taken.link == link:
-            self.outlet.to_caller(link, sip.response(487, taken.echo))
-            self._gone(taken, now)
+        elif pending is not None and pending.connection == connection:
+            self.io.send_to_caller(connection, sip.response(487, pending.echo))
+            self._cancel(pending, now)
         else:
             self.counts["strays.bye"] += 1
-            self.releases.heard(ref, link)  # both ends released at the same moment
-
-    def caller_closing(self, link: Hashable, now: int) -> None:
-        """A caller's connection is about to be closed from here: each set-up that is open on it gets its answer."""
-        for taken in list(self.by_link.get(link, {}).values()):
-            self._refuse(taken, 500, "connection_closed", "", now)
-            self.feed(ev.WentAway(taken.id), now)
-
-    def caller_closed(self, link: Hashable, now: int) -> None:
-        """A caller's connection is gone: its open set-ups are given up; calls that stand belong to no connection."""
-        for taken in list(self.by_link.get(link, {}).values()):
-            self._gone(taken, now)
-        self.by_link.pop(link, None)
-        self.releases.closed(link, now)
-
-    def open_on(self, link: Hashable) -> int:
-        """How many set-ups are open on a caller's connection."""
-        return len(self.by_link.get(link, ()))
-
-    def standing_on(self, link: Hashable) -> int:
-        """How many calls stand whose set-up came on a caller's connection."""
-        return self.established.on_connection(link)
-
-    def _gone(self, taken: Taken, now: int) -> None:
-        """The caller waits no more, and no answer is owed."""
+            self.releases.answered(call_id, connection)  # caller and office released at the same moment
+
+    def caller_closing(self, connection: Hashable, now: int) -> None:
+        """Answer each pending set-up on a caller's connection that this server is about to close."""
+        for pending in list(self.pending_by_connection.get(connection, {}).values()):
+            self._send_failure(pending, 500, "connection_closed", "", now)
+            self.feed(ev.WentAway(pending.id), now)
+
+    def caller_closed(self, connection: Hashable, now: int) -> None:
+        """Cancel the pending set-ups of a caller's connection that is gone. Established calls are not tied to it."""
+        for pending in list(self.pending_by_connection.get(connection, {}).values()):
+            self._cancel(pending, now)
+        self.pending_by_connection.pop(connection, None)
+        self.releases.connection_closed(connection, now)
+
+    def pending_on(self, connection: Hashable) -> int:
+        """How many set-ups are pending on a caller's connection."""
+        return len(self.pending_by_connection.get(connection, ()))
+
+    def established_on(self, connection: Hashable) -> int:
+        """How many established calls were set up on a caller's connection."""
+        return self.established.on_connection(connection)
+
+    def _cancel(self, pending: PendingCall, now: int) -> None:
+        """End a set-up whose caller no longer waits; it gets no answer."""
         self.counts["answer.gone"] += 1
-        self.outlet.log("set_up_given_up", call=taken.ref, attempts=taken.dials)
-        self._forget(taken)
-        dial = taken.out
-        self.feed(ev.WentAway(taken.id), now)
-        if dial is not None and dial.step is Step.OUT:
+        self.io.log("set_up_given_up", call=pending.call_id, attempts=pending.dial_count)
+        self._forget(pending)
+        dial = pending.dial
+        self.feed(ev.WentAway(pending.id), now)
+        if dial is not None and dial.state is DialState.PENDING:
             self._end_dial(dial, now)
-            self._let_go(dial.office)
+            self._release_if_unused(dial.office)
 
-    def _refuse(self, taken: Taken, status: int, answer: str, more: str, now: int) -> None:
-        """The one final answer where it is not that the call stands; the dialogue is forgotten with it."""
+    def _send_failure(self, pending: PendingCall, status: int, answer: str, headers: str, now: int) -> None:
+        """Send the one final answer of a set-up that is not established, and forget the set-up."""
         self.counts[f"answer.{answer}"] += 1
-        self._forget(taken)
-        sent = self.outlet.to_caller(taken.link, sip.response(status, taken.echo, more=more))
-        self.outlet.log(
-            "set_up_refused", call=taken.ref, status=status, why=answer, attempts=taken.dials, sent=sent
+        self._forget(pending)
+        sent = self.io.send_to_caller(pending.connection, sip.response(status, pending.echo, more=headers))
+        self.io.log(
+            "set_up_refused",
+            call=pending.call_id,
+            status=status,
+            why=answer,
+            attempts=pending.dial_count,
+            sent=sent,
         )
-        if taken.out is not None:  # given up while a dial is out: only after a fault in the decisions
-            self._end_dial(taken.out, now)
-
-    def _forget(self, taken: Taken) -> None:
-        self.taken.pop(taken.id, None)
-        self.by_ref.pop(taken.ref, None)
-        held = self.by_link.get(taken.link)
-        if held is not None:
-            held.pop(taken.ref, None)
-            if not held:
-                del self.by_link[taken.link]
+        if pending.dial is not None:  # a dial is pending only after a fault in the decision module
+            self._end_dial(pending.dial, now)
+
+    def _forget(self, pending: PendingCall) -> None:
+        self.pending_calls.pop(pending.id, None)
+        self.pending_by_call_id.pop(pending.call_id, None)
+        on_connection = self.pending_by_connection.get(pending.connection)
+        if on_connection is not None:
+            on_connection.pop(pending.call_id, None)
+            if not on_connection:
+                del self.pending_by_connection[pending.connection]
 
     # ---- dials ----
 
-    def _send(self, dialogue: int, office: str, within: int, now: int) -> None:
-        """Carry out a send. What cannot be sent comes back as not sent at once."""
-        taken, end = self.taken.get(dialogue), self.offices.get(office)
-        if taken is None or taken.out is not None:
-            # Guards rule 2: never a second dial out for one dialogue.
+    def _dial(self, dialogue: int, office_id: str, within: int, now: int) -> None:
+        """Dial an office. A dial that must not be sent is reported as not sent at once."""
+        pending, office = self.pending_calls.get(dialogue), self.offices.get(office_id)
+        if pending is None or pending.dial is not None:
+            # Enforces rule 2: a dialogue never has two pending dials.
             self.counts["sends_refused"] += 1
-            self.outlet.log("send_refused", dialogue=dialogue, office=office)
+            self.io.log("send_refused", dialogue=dialogue, office=office_id)
             return
-        number = taken.dials
-        taken.dials += 1
+        number = pending.dial_count
+        pending.dial_count += 1
         self.counts["sends"] += 1
         if (
-            end is None
-            or end.standing is not ev.Standing.READY
-            or end.number == self.number
-            or (taken.transit and end.number != taken.destination)
+            office is None
+            or office.state is not ev.Standing.READY
+            or office.number == self.number
+            or (pending.transit and office.number != pending.destination)
         ):
-            # Guards rule 3, and what the platform calls a fault: the own exchange, or a call in transit to any but its
-            # destination.
+            # Enforces rule 3 and two rules of the platform: no dial goes to the own exchange, and a call in transit
+            # goes only to its destination.
             self.counts["sends_kept_back"] += 1
-            self._ended(taken.id, number, office, ev.Ending.NOT_SENT, ev.Blame.NONE, ev.Report(), now)
+            self._report_dial_end(
+                pending.id, number, office_id, ev.Ending.NOT_SENT, ev.Blame.NONE, ev.Report(), now
+            )
             return
-        dial = taken.out = DialOut(taken, number, end, now)
-        end.dials[taken.ref] = dial
-        dial.timer = self.outlet.timer(max(0, within), lambda at: self._overdue(dial, at))
-        line = lines.new(taken.ref, taken.use_case, taken.key, max(1, within // 1000), taken.description)
-        self.outlet.dial(dial, line)
-        if dial.link is not None:
-            end.liveness.set_up_sent(now)
-
-    def _overdue(self, dial: DialOut, now: int) -> None:
-        if dial.step is Step.OUT:
-            self._give_up_dial(dial, ev.Ending.TIMED_OUT, now)
-
-    def _give_up_dial(self, dial: DialOut, ending: ev.Ending, now: int) -> None:
+        dial = pending.dial = PendingDial(pending, number, office, now)
+        office.dials[pending.call_id] = dial
+        dial.timer = self.io.start_timer(
+            max(0, within), lambda fired_at: self._dial_timed_out(dial, fired_at)
+        )
+        line = lines.new(
+            pending.call_id,
+            pending.use_case,
+            pending.called_number,
+            max(1, within // 1000),
+            pending.description,
+        )
+        self.io.send_dial(dial, line)
+        if dial.connection is not None:
+            office.liveness.set_up_sent(now)
+
+    def _dial_timed_out(self, dial: PendingDial, now: int) -> None:
+        if dial.state is DialState.PENDING:
+            self._abandon_dial(dial, ev.Ending.TIMED_OUT, now)
+
+    def _abandon_dial(self, dial: PendingDial, ending: ev.Ending, now: int) -> None:
         self._end_dial(dial, now)
         self._dial_ended(dial, ending, ev.Blame.NONE, ev.Report(), now)
 
-    def _end_dial(self, dial: DialOut, now: int) -> None:
-        """Give a dial up from this end, and tell its office where the set-up went out."""
-        link = dial.link
-        if self._over(dial) or link is None:
+    def _end_dial(self, dial: PendingDial, now: int) -> None:
+        """End a dial from this side, and release it at its office if its set-up was sent."""
+        connection = dial.connection
+        if self._forget_dial(dial) or connection is None:
             return
-        dial.office.remember_given_up(dial.taken.ref, now)
-        self.outlet.to_office(dial.office, lines.down(dial.taken.ref, CAUSE_OVER), link)
+        dial.office.remember_ended(dial.call.call_id, now)
+        self.io.send_to_office(dial.office, lines.down(dial.call.call_id, CAUSE_NORMAL), connection)
 
-    def _over(self, dial: DialOut) -> bool:
-        """A dial is out no more; True where its set-up was never sent."""
+    def _forget_dial(self, dial: PendingDial) -> bool:
+        """Mark a dial as ended; True where its set-up was never sent."""
         dial.end()
         if dial.timer is not None:
             dial.timer.cancel()
             dial.timer = None
-        dial.taken.out = None
-        if dial.office.dials.get(dial.taken.ref) is dial:
-            del dial.office.dials[dial.taken.ref]
-        return self.outlet.undial(dial)
-
-    def dial_lost(self, dial: DialOut, reached: bool, now: int) -> None:
-        """The link of a dial was lost, or never came up: then nothing ran. Where it went out, its answer may have been
-        lost with the link; what stands there is released, before it is dialled again under its id."""
-        if dial.step is not Step.OUT:
+        dial.call.dial = None
+        if dial.office.dials.get(dial.call.call_id) is dial:
+            del dial.office.dials[dial.call.call_id]
+        return self.io.withdraw_dial(dial)
+
+    def dial_connection_lost(self, dial: PendingDial, sent: bool, now: int) -> None:
+        """The connection of a dial was lost, or none came up, in which case the set-up was not `sent` and has had no
+        effect. If it was sent, its answer may have been lost with the connection: the call that may be established is
+        released before the office is dialled again under the same Call-ID."""
+        if dial.state is not DialState.PENDING:
             return
-        self._over(dial)
-        if reached and dial.office.standing is not ev.Standing.GONE:
-            dial.office.remember_given_up(dial.taken.ref, now)
-            self.outlet.to_office(dial.office, lines.down(dial.taken.ref, CAUSE_OVER), None)
-        ending = ev.Ending.RESET if reached else ev.Ending.UNREACHABLE
+        self._forget_dial(dial)
+        if sent and dial.office.state is not ev.Standing.GONE:
+            dial.office.remember_ended(dial.call.call_id, now)
+            self.io.send_to_office(dial.office, lines.down(dial.call.call_id, CAUSE_NORMAL), None)
+        ending = ev.Ending.RESET if sent else ev.Ending.UNREACHABLE
         self._dial_ended(dial, ending, ev.Blame.NONE, ev.Report(), now)
 
     def _dial_ended(
-        self, dial: DialOut, ending: ev.Ending, blame: ev.Blame, report: ev.Report, now: int
+        self, dial: PendingDial, ending: ev.Ending, blame: ev.Blame, report: ev.Report, now: int
     ) -> None:
-        self._ended(dial.taken.id, dial.number, dial.office.id, ending, blame, report, now)
-        self._let_go(dial.office)
+        self._report_dial_end(dial.call.id, dial.number, dial.office.id, ending, blame, report, now)
+        self._release_if_unused(dial.office)
 
-    def _ended(
+    def _report_dial_end(
         self,
         dialogue: int,
         number: int,
-        office: str,
+        office_id: str,
         ending: ev.Ending,
         blame: ev.Blame,
         report: ev.Report,
         now: int,
         over: bool = False,
     ) -> None:
+        """Report the end of a dial to the decision module; `over` where its call was established before."""
         self.counts[f"ending.{ending.name.lower()}"] += 1
         if not over:
-            self.outlet.log(
+            self.io.log(
                 "attempt_ended",
-                call=self.taken[dialogue].ref if dialogue in self.taken else None,
+                call=self.pending_calls[dialogue].call_id if dialogue in self.pending_calls else None,
                 attempt=number,
-                endpoint=office,
+                endpoint=office_id,
                 ending=ending.name.lower(),
                 blame=blame.name.lower(),
             )
         if blame is not ev.Blame.NONE:
             self.counts[f"blame.{blame.name.lower()}"] += 1
-        self.feed(ev.DialEnded(dialogue, number, office, ending, blame, 0, over, report), now)
+        self.feed(ev.DialEnded(dialogue, number, office_id, ending, blame, 0, over, report), now)
 
     # ---- offices ----
 
-    def office_heard(self, end: OfficeEnd, link: Hashable, now: int) -> None:
-        """Bytes came from an office."""
-        end.liveness.received(link, now)
+    def office_bytes_received(self, office: OfficeRecord, connection: Hashable, now: int) -> None:
+        """Bytes from an office confirm that it is running."""
+        office.liveness.received(connection, now)
 
-    def office_said(self, end: OfficeEnd, link: Hashable, line: lines.Line, now: int) -> None:
-        """A whole line from an office."""
+    def office_line_received(
+        self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
+    ) -> None:
+        """Handle a complete line from an office."""
         match line.t:
             case "up":
-                self._up(end, link, line, now)
+                self._office_answered(office, connection, line, now)
             case "down":
-                self._down(end, link, line, now)
+                self._office_released(office, connection, line, now)
             case "gauge":
                 report = _report(line)
-                if report != NOTHING_TOLD:
-                    self.feed(ev.Reported(end.id, False, True, report), now)
+                if report != EMPTY_REPORT:
+                    self.feed(ev.Reported(office.id, False, True, report), now)
             case "wait" | "ack" | "hb" | "hb_ok":
                 pass
             case _:
                 self.counts["strays.line"] += 1
 
-    def _up(self, end: OfficeEnd, link: Hashable, line: lines.Line, now: int) -> None:
-        dial = end.dials.get(line.ref)
-        if dial is None or dial.link is None:
-            if line.ref in end.given_up and line.ref not in end.calls:
-                # The dial was given up here while its answer was on the way: what stands there is released.
+    def _office_answered(
+        self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
+    ) -> None:
+        dial = office.dials.get(line.ref)
+        if dial is None or dial.connection is None:
+            if line.ref in office.ended_here and line.ref not in office.calls:
+                # The dial was ended here while its answer was on the way: the call is released at the office.
                 self.counts["late_answers_released"] += 1
-                self.outlet.to_office(end, lines.down(line.ref, CAUSE_OVER), None)
+                self.io.send_to_office(office, lines.down(line.ref, CAUSE_NORMAL), None)
             else:
                 self.counts["strays.up"] += 1
             return
         body = None if line.d is None else line.d.encode("utf-8", "replace")
-        if body is None or len(body) + len(dial.taken.echo) + 256 > sip.MAX_MESSAGE:
+        if body is None or len(body) + len(dial.call.echo) + 256 > sip.MAX_MESSAGE:
             self.counts["answers_unreadable"] += 1
-            self._give_up_dial(dial, ev.Ending.RESET, now)
+            self._abandon_dial(dial, ev.Ending.RESET, now)
             return
-        taken = dial.taken
-        self._over(dial)
-        self._forget(taken)
-        self.established.add(Call(taken.ref, end, taken.link, taken.id, dial.number, now), link)
+        pending = dial.call
+        self._forget_dial(dial)
+        self._forget(pending)
+        self.established.add(
+            EstablishedCall(pending.call_id, office, pending.connection, pending.id, dial.number, now),
+            connection,
+        )
         self.counts["answer.stands"] += 1
-        sent = self.outlet.to_caller(taken.link, sip.response(200, taken.echo, body))
-        self.outlet.log(
+        sent = self.io.send_to_caller(pending.connection, sip.response(200, pending.echo, body))
+        self.io.log(
             "call_established",
-            call=taken.ref,
-            endpoint=end.id,
-            attempts=taken.dials,
-            ms=(now - dial.sent) // 1000,
+            call=pending.call_id,
+            endpoint=office.id,
+            attempts=pending.dial_count,
+            ms=(now - dial.started_at) // 1000,
             sent=sent,
         )
-        self.feed(ev.Stood(taken.id, dial.number, now - dial.sent), now)
+        self.feed(ev.Stood(pending.id, dial.number, now - dial.started_at), now)
         report = _report(line)
-        if report != NOTHING_TOLD:
-            self.feed(ev.Reported(end.id, False, True, report), now)
+        if report != EMPTY_REPORT:
+            self.feed(ev.Reported(office.id, False, True, report), now)
 
-    def _down(self, end: OfficeEnd, link: Hashable, line: lines.Line, now: int) -> None:
-        dial, call = end.dials.get(line.ref), end.calls.get(line.ref)
+    def _office_released(
+        self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
+    ) -> None:
+        dial, call = office.dials.get(line.ref), office.calls.get(line.ref)
         cause = CAUSE_CUT if line.c is None else line.c
-        if dial is not None and dial.link is not None and cause == CAUSE_OVER:
-            # The call has come to its end, and its answer was lost on the way: it stood, so the dialogue is over.
-            # Dialled again it stood a second time under its id, while its caller was owed a release of the first.
+        if dial is not None and dial.connection is not None and cause == CAUSE_NORMAL:
+            # The call was established and has ended normally, but its answer was lost, so the dialogue is over.
+            # Dialling again would establish a second call with the same Call-ID while the caller is owed a release of
+            # the first.
             self.counts["answers_lost"] += 1
-            self._over(dial)
-            taken = dial.taken
-            self._ended(
-                taken.id, dial.number, end.id, ev.Ending.ENDED_WELL, ev.Blame.NONE, _report(line), now, True
+            self._forget_dial(dial)
+            pending = dial.call
+            self._report_dial_end(
+                pending.id,
+                dial.number,
+                office.id,
+                ev.Ending.ENDED_WELL,
+                ev.Blame.NONE,
+                _report(line),
+                now,
+                True,
             )
-            self._refuse(taken, 500, "forfeited", "", now)
-        elif dial is not None and dial.link is not None:
-            self._over(dial)
+            self._send_failure(pending, 500, "forfeited", "", now)
+        elif dial is not None and dial.connection is not None:
+            self._forget_dial(dial)
             ending = ENDINGS.get(cause, ev.Ending.RESET)
             blame = BLAMES.get(str(line.f.get("note", "")), ev.Blame.NONE)
             self._dial_ended(dial, ending, blame, _report(line), now)
         elif call is not None:
-            self.established.released_by_endpoint(call, link, cause, _report(line), now)
-        elif line.ref not in end.given_up:
+            self.established.released_by_office(call, connection, cause, _report(line), now)
+        elif line.ref not in office.ended_here:
             self.established.unknown_released(line.ref, cause, now)
 
-    def office_refuses(self, end: OfficeEnd) -> None:
-        """No link to an office is up and it refuses new ones."""
-        self.established.endpoint_refuses(end)
+    def office_refused_connection(self, office: OfficeRecord) -> None:
+        """An office without a connection refused a new one."""
+        self.established.office_refused_connection(office)
 
-    def office_reached(self, end: OfficeEnd, link: Hashable, now: int) -> None:
-        """A link to an office is up."""
-        self.established.connection_opened(end, link, now)
+    def office_connected(self, office: OfficeRecord, connection: Hashable, now: int) -> None:
+        """A connection to an office is up."""
+        self.established.connection_opened(office, connection, now)
 
-    def office_lost(self, end: OfficeEnd, link: Hashable) -> None:
-        """A link to an office is gone."""
-        end.liveness.connection_closed(link)
+    def office_connection_lost(self, office: OfficeRecord, connection: Hashable) -> None:
+        """A connection to an office is gone."""
+        office.liveness.connection_closed(connection)
 
-    def _call_ended(self, call: Call, ending: ev.Ending, report: ev.Report, now: int) -> None:
-        """An established call is over: the decisions hear of it, unless it is from before a restart."""
+    def _call_ended(self, call: EstablishedCall, ending: ev.Ending, report: ev.Report, now: int) -> None:
+        """Report the end of an established call to the decision module, unless it is from before a restart."""
         if call.dialogue is not None:
-            self._ended(call.dialogue, call.dial, call.office.id, ending, ev.Blame.NONE, report, now, True)
-        self._let_go(call.office)
+            self._report_dial_end(
+                call.dialogue, call.dial_number, call.office.id, ending, ev.Blame.NONE, report, now, True
+            )
+        self._release_if_unused(call.office)
 
-    # ---- the list ----
+    # ---- discovery ----
 
-    def listed(self, notice: Notice, now: int) -> None:
-        """The board told an event."""
-        if notice.empty:
+    def discovery_update(self, update: Notice, now: int) -> None:
+        """Apply an update from discovery."""
+        if update.empty:
             return
-        self._take_notice(notice, ev.Heard.WHOLE, now)
-        for end in list(self.offices.values()):
-            self._follow_standing(end, now)
-
-    def _take_notice(self, notice: Notice, whole: ev.Heard, now: int) -> None:
-        """Take over what an event says; `whole`: what the decisions are told where it is the whole list."""
-        for row in notice.rows:
-            self._listed_row(row, now)
-        if notice.whole:
-            named = {row.id for row in notice.rows}
-            for end in self.offices.values():
-                if end.id not in named:
-                    end.standing = ev.Standing.GONE
-        ends = [self.offices[row.id] for row in notice.rows]
-        entries = tuple(ev.Entry(end.id, end.number, end.standing, end.started) for end in ends)
-        self.feed(ev.Listed(whole if notice.whole else ev.Heard.CHANGES, entries), now)
-
-    def _listed_row(self, row: Row, now: int) -> None:
-        standing = STANDINGS[row.state]
-        # By the offset taken at the start: one start read twice gives the same time, and no other.
-        started = max(1, row.started_ms * 1000 - self.unix_at_zero) if row.started_ms else None
-        end = self.offices.get(row.id)
-        if end is None:
+        self._apply_update(update, ev.Heard.WHOLE, now)
+        for office in list(self.offices.values()):
+            self._apply_state(office, now)
+
+    def _apply_update(self, update: Notice, whole: ev.Heard, now: int) -> None:
+        """Update the office records and tell the decision module. `whole` is what the module is told about the source
+        of a complete list."""
+        for row in update.rows:
+            self._apply_row(row, now)
+        if update.whole:
+            listed = {row.id for row in update.rows}
+            for office in self.offices.values():
+                if office.id not in listed:
+                    office.state = ev.Standing.GONE
+        offices = [self.offices[row.id] for row in update.rows]
+        entries = tuple(
+            ev.Entry(office.id, office.number, office.state, office.started) for office in offices
+        )
+        self.feed(ev.Listed(whole if update.whole else ev.Heard.CHANGES, entries), now)
+
+    def _apply_row(self, row: Row, now: int) -> None:
+        state = OFFICE_STATES[row.state]
+        # The offset is fixed at the start, so that the same start time always gives the same loop time.
+        started = max(1, row.started_ms * 1000 - self.loop_epoch_us) if row.started_ms else None
+        office = self.offices.get(row.id)
+        if office is None:
             tests_allowed = self.opened.permissions.may_probe
-            self.offices[row.id] = OfficeEnd(
+            self.offices[row.id] = OfficeRecord(
                 row.id,
                 row.cell,
                 row.address,
-                standing,
+                state,
                 started,
                 liveness=EndpointLiveness(tests_allowed, now),
             )
-            self.outlet.log("office", office=row.id, number=row.cell, standing=standing.name, started=started)
+            self.io.log("office", office=row.id, number=row.cell, standing=state.name, started=started)
             return
-        if standing is not end.standing:
-            self.outlet.log("office", office=row.id, number=row.cell, standing=standing.name, started=started)
-        new_start = started is not None and started != end.started
-        end.standing, end.started, end.number = standing, started, row.cell
-        if new_start:
-            self.established.endpoint_restarted(end, now)
-        if end.address != row.address:
-            self.outlet.drop_links(end, True)
-            end.address = row.address
-            if end.calls:
-                self.outlet.keep_links(end)
-
-    def _follow_standing(self, end: OfficeEnd, now: int) -> None:
-        if end.number == self.number:
+        if state is not office.state:
+            self.io.log("office", office=row.id, number=row.cell, standing=state.name, started=started)
+        restarted = started is not None and started != office.started
+        office.state, office.started, office.number = state, started, row.cell
+        if restarted:
+            self.established.office_restarted(office, now)
+        if office.address != row.address:
+            self.io.drop_connections(office, True)
+            office.address = row.address
+            if office.calls:
+                self.io.keep_connected(office)
+
+    def _apply_state(self, office: OfficeRecord, now: int) -> None:
+        """Connect to an office that is ready; withdraw what was not sent to one that is draining or gone."""
+        if office.number == self.number:
             return
-        if end.standing is ev.Standing.READY:
-            self.outlet.keep_links(end)
+        if office.state is ev.Standing.READY:
+            self.io.keep_connected(office)
             return
-        self.outlet.unsent_stays(end)  # guards rule 3, against an office that does not read
-        for dial in list(end.dials.values()):
-            if dial.link is None:
-                # Guards rule 3: a set-up that waits here for a link to an office that drains is taken back.
+        self.io.discard_unsent(office)  # enforces rule 3 for an office that does not read
+        for dial in list(office.dials.values()):
+            if dial.connection is None:
+                # Enforces rule 3: a set-up that still waits for a connection to the office is withdrawn.
                 self.counts["kept_back.drained"] += 1
-                self._over(dial)
+                self._forget_dial(dial)
                 self._dial_ended(dial, ev.Ending.NOT_SENT, ev.Blame.NONE, ev.Report(), now)
-        if end.standing is ev.Standing.GONE and end.calls:
-            self.established.endpoint_gone(end)
-        self._let_go(end)
-
-    def _let_go(self, end: OfficeEnd) -> None:
-        """Close the links of an office that drains or is gone once nothing is left there. One that is gone is
-        forgotten with that: replaced ones must not pile up."""
-        if end.standing is ev.Standing.READY or end.calls or end.dials:
+        if office.state is ev.Standing.GONE and office.calls:
+            self.established.office_gone(office)
+        self._release_if_unused(office)
+
+    def _release_if_unused(self, office: OfficeRecord) -> None:
+        """Close the connections of an office that is draining or gone once it has no calls and no dials. The record of
+        one that is gone is then removed, as records of replaced offices must not accumulate."""
+        if office.state is ev.Standing.READY or office.calls or office.dials:
             return
-        if end.standing is ev.Standing.DRAINING and self._callers_named_calls:
-            self.outlet.rest_links(end)
-        if end.standing is ev.Standing.GONE:
-            self.outlet.drop_links(end, False)
-            if end.cut is not None:
-                end.cut.cancel()
-                end.cut = None
-            if self.offices.get(end.id) is end:
-                del self.offices[end.id]
-
-    # ---- others ----
-
-    def word(self, peer: int, text: bytes, now: int) -> None:
-        """Another call server said something."""
+        if office.state is ev.Standing.DRAINING and self._callers_reported_calls:
+            self.io.close_idle_connections(office)
+        if office.state is ev.Standing.GONE:
+            self.io.drop_connections(office, False)
+            if office.cut_timer is not None:
+                office.cut_timer.cancel()
+                office.cut_timer = None
+            if self.offices.get(office.id) is office:
+                del self.offices[office.id]
+
+    # ---- peers and shutdown ----
+
+    def peer_message(self, peer: int, text: bytes, now: int) -> None:
+        """Pass a message from another call server to the decision module."""
         self.feed(ev.PeerSaid(peer, text), now)
 
     @property
     def owed(self) -> int:
-        """Dialogues taken that still wait for their answer."""
-        return len(self.taken)
+        """How many accepted set-ups have not been answered."""
+        return len(self.pending_calls)
 
-    def forfeit_all(self, now: int) -> None:
-        """The time to stop is up: what is still owed is answered, and calls that may be gone are told over."""
-        for taken in list(self.taken.values()):
-            self._refuse(taken, 500, "forfeited", "", now)
-        self.established.cut_unproved(now)
+    def fail_all(self, now: int) -> None:
+        """Before the process ends, answer every pending set-up and release the calls that may be lost."""
+        for pending in list(self.pending_calls.values()):
+            self._send_failure(pending, 500, "forfeited", "", now)
+        self.established.cut_unconfirmed(now)
 
 
-KNOWN = frozenset(("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "NOTIFY"))
-assert (DRAINING, GONE) == (1, 2)  # STANDINGS is indexed by the board's states
+KNOWN_METHODS = frozenset(("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "NOTIFY"))
+assert (DRAINING, GONE) == (1, 2)  # OFFICE_STATES is indexed by the states of discovery
 
 
-NOTHING_TOLD = ev.Report()
+EMPTY_REPORT = ev.Report()
 
 
 def _report(line: lines.Line) -> ev.Report:
     load = line.f.get("load")
     if load is None:
-        return NOTHING_TOLD
-    return _read_load(load) if isinstance(load, str) and len(load) <= MAX_LOAD_REPORT else NOTHING_TOLD
+        return EMPTY_REPORT
+    return (
+        _read_load(load)
+        if isinstance(load, str) and len(load) <= MAX_LOAD_REPORT_CHARACTERS
+        else EMPTY_REPORT
+    )
 
 
 @lru_cache(maxsize=1024)
 def _read_load(load: str) -> ev.Report:
-    """A load report's figures. Kept: offices tell fourteen a dialogue, of few different ones."""
+    """The values of a load report. Cached, as offices send fourteen reports per dialogue with few different texts."""
     return read_report(lines.figures(load))
--- a/wellhitch/platform/discovery.py
+++ b/wellhitch/platform/discovery.py
@@ -1,4 +1,4 @@
-"""The client of discovery: the only file of the platform that touches its connections."""
+"""The client of discovery: follows its updates over lost connections, silence and changes of address."""
 
 import asyncio
 from collections import Counter
@@ -7,20 +7,20 @@
 
 from wellhitch.board import codec
 from wellhitch.net.seam import ConnectFailure, Network
-from wellhitch.platform.watch_policy import MOST_WATCHES, Order, Revisions, WatchPolicy
+from wellhitch.platform.watch_policy import MAX_WATCHES, Order, Revisions, WatchPolicy
 
-READ_BYTES = 16 * 1024
+READ_BUFFER_BYTES = 16 * 1024
 
 
 class _Watch(asyncio.BufferedProtocol):
-    """One connection on which discovery tells its updates."""
+    """One connection on which discovery sends its updates."""
 
     def __init__(self, client: "DiscoveryClient") -> None:
         self.client = client
         self.decoder = codec.Decoder()
-        self.buffer = memoryview(bytearray(READ_BYTES))
+        self.buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.transport: asyncio.Transport | None = None
-        self.over = False
+        self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -30,26 +30,26 @@
         return self.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        if not self.over:
+        if not self.ended:
             self.client.received(self, self.buffer[:nbytes])
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.over:
-            self.over = True
+        if not self.ended:
+            self.ended = True
             self.client.lost(self)
 
     def end(self) -> None:
-        """Nothing that still comes counts."""
-        self.over = True
+        """Close the connection and ignore what still arrives on it."""
+        self.ended = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class DiscoveryClient:
-    """Follows discovery from the last revision held, over breaks, silence and new addresses."""
+    """Receives the updates of discovery in order, starting after the last revision held."""
 
     def __init__(
         self,
@@ -61,51 +61,51 @@
         log: Callable[..., None],
         counts: Counter[str],
     ) -> None:
-        """`revision`: of the last update held."""
+        """`revision` is that of the last update held; `on_update` is called with each later one."""
         self.loop, self.network, self.address = loop, network, address
         self.on_update, self.log, self.counts = on_update, log, counts
         self.stopped = False
         self._revisions = Revisions(revision)
         self._policy = WatchPolicy()
         self._watches: list[_Watch] = []  # the oldest first
-        self._attempt = 0  # raised with each try, so that an old one that comes up late is known for one
+        self._attempt = 0  # increases with each attempt, to recognize the late result of an earlier one
         self._connecting = False
-        self._retry: asyncio.TimerHandle | None = None
-        self._silence: asyncio.TimerHandle | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._silence_timer: asyncio.TimerHandle | None = None
 
     @property
     def revision(self) -> int:
-        """Of the last update held."""
+        """The revision of the last update held."""
         return self._revisions.held
 
     def start(self) -> None:
-        """Connect."""
+        """Connect to discovery."""
         self._connect()
 
-    def move(self, address: str) -> None:
-        """Discovery has another address now; the revisions go on."""
+    def change_address(self, address: str) -> None:
+        """Reconnect at another address; the revisions continue."""
         self.log("discovery_moved", address=address, revision=self.revision)
         self.address = address
         if not self.stopped:
-            self._start_anew()
+            self._reconnect()
 
     def stop(self) -> None:
-        """Follow no more."""
+        """Close all connections and stop following discovery."""
         self.stopped = True
-        self._drop_all()
+        self._close_all()
 
     # ---- connecting ----
 
-    def _start_anew(self) -> None:
-        self._drop_all()
-        self._policy.spoke()
+    def _reconnect(self) -> None:
+        self._close_all()
+        self._policy.answered()
         self._connect()
 
-    def _drop_all(self) -> None:
-        for timer in (self._retry, self._silence):
+    def _close_all(self) -> None:
+        for timer in (self._retry_timer, self._silence_timer):
             if timer is not None:
                 timer.cancel()
-        self._retry = self._silence = None
+        self._retry_timer = self._silence_timer = None
         self._attempt += 1
         self._connecting = False
         for watch in self._watches:
@@ -113,7 +113,7 @@
         self._watches.clear()
 
     def _connect(self) -> None:
-        self._retry = None
+        self._retry_timer = None
         self._attempt += 1
         self._connecting = True
         attempt = self._attempt
@@ -125,29 +125,29 @@
                 self.log("discovery_unreachable", why=failure.detail, revision=self.revision)
                 self._retry_later()
 
-        def made() -> _Watch:
+        def create_watch() -> _Watch:
             watch = _Watch(self)
-            watch.over = attempt != self._attempt
+            watch.ended = attempt != self._attempt
             return watch
 
-        self.network.connect(self.address, made, failed)
+        self.network.connect(self.address, create_watch, failed)
 
     def _retry_later(self) -> None:
-        if not self.stopped and self._retry is None and not self._connecting:
-            self._retry = self.loop.call_later(self._policy.next_retry(), self._connect)
+        if not self.stopped and self._retry_timer is None and not self._connecting:
+            self._retry_timer = self.loop.call_later(self._policy.next_retry(), self._connect)
 
     def opened(self, watch: _Watch) -> None:
-        """A connection is up: ask for what came after the last update held."""
-        if watch.over or self.stopped:
+        """A connection is up: request the updates after the last one held."""
+        if watch.ended or self.stopped:
             watch.end()
             return
         self._connecting = False
-        if len(self._watches) >= MOST_WATCHES:
+        if len(self._watches) >= MAX_WATCHES:
             self._watches.pop(0).end()
         self._watches.append(watch)
         assert watch.transport is not None
         watch.transport.write(codec.ask(self.revision))
-        self._expect_news()
+        self._restart_silence_timer()
 
     def lost(self, watch: _Watch) -> None:
         """A connection is gone."""
@@ -155,78 +155,78 @@
             return
         self.counts["discovery.broken"] += 1
         self.log("discovery_broken", revision=self.revision)
-        self._let_go(watch)
+        self._remove(watch)
 
-    def _let_go(self, watch: _Watch) -> None:
-        """A watch is over; where it was the last one, another is opened soon."""
+    def _remove(self, watch: _Watch) -> None:
+        """Close a watch; if it was the last one, reconnect soon."""
         watch.end()
         self._watches.remove(watch)
         if not self._watches:
-            if self._silence is not None:
-                self._silence.cancel()
-                self._silence = None
+            if self._silence_timer is not None:
+                self._silence_timer.cancel()
+                self._silence_timer = None
             self._retry_later()
 
     # ---- silence ----
 
-    def _expect_news(self) -> None:
-        if self._silence is not None:
-            self._silence.cancel()
-        self._silence = self.loop.call_later(self._policy.silence_s, self._silent)
+    def _restart_silence_timer(self) -> None:
+        if self._silence_timer is not None:
+            self._silence_timer.cancel()
+        self._silence_timer = self.loop.call_later(self._policy.silence_s, self._silence_timeout)
 
-    def _silent(self) -> None:
-        self._silence = None
+    def _silence_timeout(self) -> None:
+        self._silence_timer = None
         self.counts["discovery.silent"] += 1
         self.log("discovery_silent", revision=self.revision, watches=len(self._watches))
-        self._policy.after_silence()
-        if not self._connecting and self._retry is None:
+        self._policy.back_off_after_silence()
+        if not self._connecting and self._retry_timer is None:
             self._connect()
 
     # ---- updates ----
 
     def received(self, watch: _Watch, data: memoryview) -> None:
-        """Bytes from discovery."""
+        """Decode bytes from discovery and apply the updates in them."""
         if watch not in self._watches:
             return
         self._keep_only(watch)
-        self._expect_news()
+        self._restart_silence_timer()
         limit = ""
         try:
             updates = watch.decoder.feed(data)
-        except codec.BadFrame as bad:
-            updates, limit = bad.before, str(bad)
+        except codec.BadFrame as error:
+            updates, limit = error.before, str(error)
         for update in updates:
-            if not self._take(update):
+            if not self._apply(update):
                 return
-            self._policy.spoke()
+            self._policy.answered()
         if limit:
             self.counts[f"discovery.{limit}"] += 1
             self.log("discovery_unreadable", limit=limit, revision=self.revision)
-            self._let_go(watch)
+            self._remove(watch)
 
     def _keep_only(self, watch: _Watch) -> None:
-        """This one speaks: the others are not needed, nor one that is being opened."""
+        """Close the other watches and stop opening another: this one has delivered data."""
         for other in [other for other in self._watches if other is not watch]:
             other.end()
             self._watches.remove(other)
-        if self._connecting or self._retry is not None:
+        if self._connecting or self._retry_timer is not None:
             self._attempt += 1
             self._connecting = False
-            if self._retry is not None:
-                self._retry.cancel()
-                self._retry = None
+            if self._retry_timer is not None:
+                self._retry_timer.cancel()
+                self._retry_timer = None
 
-    def _take(self, update: codec.Notice) -> bool:
-        """One update; False where discovery is asked again instead."""
+    def _apply(self, update: codec.Notice) -> bool:
+        """Apply one update; False where the client reconnects instead to request missing ones."""
         match self._revisions.order(update.number, update.whole, update.empty):
             case Order.HELD_ALREADY:
                 self.counts["discovery.held_already"] += not update.empty
-            case Order.AFTER_A_GAP:
+            case Order.AFTER_GAP:
                 self.counts["discovery.gap"] += 1
                 self.log("discovery_gap", revision=self.revision, came=update.number)
-                self._start_anew()
+                self._reconnect()
                 return False
             case Order.NEXT:
-                self._revisions.take(update.number)
+                self._revisions.accept(update.number)
                 self.on_update(update)
         return True
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -1,8 +1,8 @@
-"""Established calls: what holds them, what ends them, and who has to be told. Pure.
+"""Established calls: which endpoint holds each, what ends it, and who is told. Pure.
 
-A call is over when its caller or its endpoint releases it, when its endpoint is gone, has started again or refuses
-every connection, and when nothing proves any more that its endpoint still holds it (`liveness.py`). Whatever ended it,
-its caller is told through `releases.py` unless the caller ended it itself.
+A call ends when its caller or its endpoint releases it, when its endpoint is gone, has restarted or refuses every
+connection, and when nothing confirms any more that the endpoint still holds it (`liveness.py`). The caller is told
+through `releases.py`, unless it ended the call itself.
 """
 
 from collections import Counter
@@ -12,21 +12,20 @@
 from wellhitch.net.seam import Timer
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.liveness import CallsLost, LivenessTest
-from wellhitch.platform.records import MOST_REMEMBERED, REMEMBERED_US, Call, OfficeEnd
-from wellhitch.platform.releases import Releases
-from wellhitch.platform.server_io import Outlet
+from wellhitch.platform.records import MAX_REMEMBERED, REMEMBERED_US, EstablishedCall, OfficeRecord
+from wellhitch.platform.releases import ReleaseQueue
+from wellhitch.platform.server_io import ServerIO
 from wellhitch.sip import codec as sip
 
-CAUSE_OVER, CAUSE_CUT = 16, 41
-SINCE_UNKNOWN = (
-    0  # of a call from before the start here: earlier than any start of its endpoint that is told later
-)
-# That an endpoint refuses every connection before its calls count as cut: its process has died, and they with it.
-# Replacing a connection after a reset takes milliseconds.
+CAUSE_NORMAL, CAUSE_CUT = 16, 41
+# `established_at` of a call from before this server started: earlier than any start of its endpoint reported later.
+ESTABLISHED_BEFORE_START = 0
+# An endpoint that refuses every connection for so long has died with its calls. Replacing a connection after a reset
+# takes milliseconds.
 REFUSED_US = 1_000_000
-# From hearing that an endpoint is gone: releases that it sent at its end come before.
+# From the report that an endpoint is gone until its calls are cut: releases that it sent before it ended arrive first.
 GONE_US = 500_000
-# Between looks at endpoints that hold calls: short beside the second that is left for telling their callers.
+# Between liveness checks; short compared with the second that is left for telling callers.
 LIVENESS_STEP_US = 200_000
 
 
@@ -35,198 +34,205 @@
 
     def __init__(
         self,
-        outlet: Outlet,
-        endpoints: dict[str, OfficeEnd],
+        io: ServerIO,
+        offices: dict[str, OfficeRecord],
         counts: Counter[str],
-        ended: Callable[[Call, Ending, Report, int], None],
-        let_go: Callable[[OfficeEnd], None],
+        on_ended: Callable[[EstablishedCall, Ending, Report, int], None],
+        on_unused: Callable[[OfficeRecord], None],
     ) -> None:
-        """`ended` hears of each end once; `let_go` of endpoints on which nothing may be left."""
-        self.calls: dict[str, Call] = {}
-        self.releases = Releases(outlet.to_caller, outlet.timer, outlet.log)
-        self._outlet, self._endpoints, self._counts = outlet, endpoints, counts
-        self._ended, self._let_go = ended, let_go
-        self._by_connection: Counter[Hashable] = Counter()  # of their set-ups
-        self._released_unknown: dict[str, tuple[int, int]] = {}  # cause and when
+        """`on_ended` is called once for each call that ends, `on_unused` for an office that may have no calls left."""
+        self.calls: dict[str, EstablishedCall] = {}
+        self.releases = ReleaseQueue(io.send_to_caller, io.start_timer, io.log)
+        self._io, self._offices, self._counts = io, offices, counts
+        self._on_ended, self._on_unused = on_ended, on_unused
+        # Calls for each caller's connection on which their set-up came.
+        self._by_connection: Counter[Hashable] = Counter()
+        self._released_unknown: dict[str, tuple[int, int]] = {}  # cause and time
         self._liveness_timer: Timer | None = None
-        self._next_test = 0
+        self._last_test = 0
 
     def on_connection(self, connection: Hashable) -> int:
-        """How many are up whose set-up came on a caller's connection."""
+        """How many calls were set up on a caller's connection."""
         return self._by_connection.get(connection, 0)
 
-    # ---- beginnings ----
+    # ---- new calls ----
 
-    def add(self, call: Call, connection: Hashable) -> None:
-        """A call was answered on an endpoint's connection."""
-        self._hold(call)
+    def add(self, call: EstablishedCall, connection: Hashable) -> None:
+        """Add a call that was answered on an office's connection."""
+        self._register(call)
         call.office.liveness.call_established(call, connection)
 
-    def named(self, ref: str, endpoint: str, caller: Hashable, now: int) -> None:
-        """A caller names a call that was up before a restart here; what is held already is left as it is."""
-        if ref in self.calls:
+    def reported_by_caller(self, call_id: str, office_id: str, connection: Hashable, now: int) -> None:
+        """Add a call that its caller reports as established before a restart of this server; a known one is left as it
+        is."""
+        if call_id in self.calls:
             self._counts["stands_known"] += 1
             return
         self._counts["stands_told"] += 1
-        released = self._released_unknown.pop(ref, None)
-        end = self._endpoints.get(endpoint)
-        self._outlet.log(
-            "call_named", call=ref, endpoint=endpoint, listed=end is not None, released=released is not None
+        released = self._released_unknown.pop(call_id, None)
+        office = self._offices.get(office_id)
+        self._io.log(
+            "call_named",
+            call=call_id,
+            endpoint=office_id,
+            listed=office is not None,
+            released=released is not None,
         )
         if released is not None:
-            self.tell_over(ref, released[0], caller, now)
+            self.release_to_caller(call_id, released[0], connection, now)
             return
-        if end is None:  # gone while this call server was away, and its calls with it
-            self.tell_over(ref, CAUSE_CUT, caller, now)
+        if office is None:  # removed, with its calls, while this server was down
+            self.release_to_caller(call_id, CAUSE_CUT, connection, now)
             return
-        call = Call(ref, end, caller, None, 0, SINCE_UNKNOWN)
-        self._hold(call)
-        end.liveness.call_named(call, now)
-        if end.standing is Standing.GONE:
-            self.endpoint_gone(end)
+        call = EstablishedCall(call_id, office, connection, None, 0, ESTABLISHED_BEFORE_START)
+        self._register(call)
+        office.liveness.call_reported(call, now)
+        if office.state is Standing.GONE:
+            self.office_gone(office)
         else:
-            self._outlet.keep_links(end)
+            self._io.keep_connected(office)
 
     # ---- ends ----
 
-    def released_by_caller(self, call: Call, now: int) -> None:
-        """A call is over from the caller's side; its endpoint is told."""
-        self._release_at_endpoint(call, CAUSE_OVER, now)
+    def released_by_caller(self, call: EstablishedCall, now: int) -> None:
+        """End a call that its caller released, and tell its office."""
+        self._release_at_office(call, CAUSE_NORMAL, now)
         self._end(call, Ending.CANCELLED, Report(), now, "released by its caller")
 
-    def released_by_endpoint(
-        self, call: Call, connection: Hashable, cause: int, report: Report, now: int
+    def released_by_office(
+        self, call: EstablishedCall, connection: Hashable, cause: int, report: Report, now: int
     ) -> None:
-        """A call is over from the endpoint's side; its caller is told."""
+        """End a call that its office released, and tell its caller."""
         call.office.liveness.call_mentioned(call, connection, now)
-        over = cause == CAUSE_OVER
-        self.tell_over(call.ref, CAUSE_OVER if over else CAUSE_CUT, call.link, now)
-        ending = Ending.ENDED_WELL if over else Ending.RESET
+        normal = cause == CAUSE_NORMAL
+        self.release_to_caller(call.call_id, CAUSE_NORMAL if normal else CAUSE_CUT, call.connection, now)
+        ending = Ending.ENDED_WELL if normal else Ending.RESET
         self._end(call, ending, report, now, f"released by its endpoint, cause {cause}")
 
-    def unknown_released(self, ref: str, cause: int, now: int) -> None:
-        """An endpoint released a call not known here: after a restart that may come before its caller names it."""
+    def unknown_released(self, call_id: str, cause: int, now: int) -> None:
+        """Remember the release of an unknown call: after a restart it may come before the caller reports the call."""
         self._counts["strays.down"] += 1
-        kept = self._released_unknown
-        kept[ref] = (cause, now)
-        while kept:
-            first = next(iter(kept))
-            if len(kept) <= MOST_REMEMBERED and now - kept[first][1] <= REMEMBERED_US:
+        remembered = self._released_unknown
+        remembered[call_id] = (cause, now)
+        while remembered:
+            oldest = next(iter(remembered))
+            if len(remembered) <= MAX_REMEMBERED and now - remembered[oldest][1] <= REMEMBERED_US:
                 break
-            del kept[first]
-
-    def tell_over(self, ref: str, cause: int, caller: Hashable, now: int) -> None:
-        """A caller must hear that its call is over."""
-        release = sip.request("BYE", ref, 2, f"Reason: Q.850;cause={cause}\r\n")
-        self.releases.add(ref, release, caller, now)
-
-    # ---- endpoints ----
-
-    def endpoint_refuses(self, end: OfficeEnd) -> None:
-        """No connection is up and new ones are refused: unless that passes soon, the process has died."""
-        end.liveness.connection_refused()
-        if end.calls:
-            self._cut_later(end, REFUSED_US)
-
-    def endpoint_gone(self, end: OfficeEnd) -> None:
-        """Discovery says that an endpoint is gone."""
-        self._cut_later(end, GONE_US)
-
-    def endpoint_restarted(self, end: OfficeEnd, now: int) -> None:
-        """Discovery tells a new start of an endpoint: what was up there before is over."""
-        before = [call for call in end.calls.values() if call.since < (end.started or 0)]
-        self._cut(end, before, "its endpoint started again", now)
-
-    def connection_opened(self, end: OfficeEnd, connection: Hashable, now: int) -> None:
-        """A connection to an endpoint is up. Releases that nothing was heard after go out on it again: they may have
-        been lost with the connection before, and their calls would be left standing."""
-        for ref, (cause, released_at) in end.released.items():
-            if released_at >= end.liveness.current.proved_at:
-                self._outlet.to_office(end, lines.down(ref, cause), connection)
-        end.liveness.connection_opened(connection, now)
-        if end.liveness.under_test(connection):
-            self._test(end, connection)
-        if end.cut is not None and end.standing is not Standing.GONE:
-            end.cut.cancel()
-            end.cut = None
-
-    def cut_unproved(self, now: int) -> None:
-        """The process ends: the next one cannot know how long an endpoint has been silent. Calls on one that may have
-        vanished are over, and their callers hear it while they can."""
-        for end in list(self._endpoints.values()):
-            unproved = end.liveness.unproved(now)
-            calls = [call for call in end.calls.values() if call in unproved]
-            self._cut(end, calls, "its endpoint is silent, and this process ends", now)
-
-    # ---- inside ----
-
-    def _hold(self, call: Call) -> None:
-        self.calls[call.ref] = call.office.calls[call.ref] = call
-        self._by_connection[call.link] += 1
-        self._look_later()
-
-    def _end(self, call: Call, ending: Ending, report: Report, now: int, why: str) -> None:
-        if self.calls.pop(call.ref, None) is None:
-            return  # over already: each end is told once
-        call.office.calls.pop(call.ref, None)
+            del remembered[oldest]
+
+    def release_to_caller(self, call_id: str, cause: int, connection: Hashable, now: int) -> None:
+        """Tell a caller that its call has ended, preferably on `connection`."""
+        release = sip.request("BYE", call_id, 2, f"Reason: Q.850;cause={cause}\r\n")
+        self.releases.add(call_id, release, connection, now)
+
+    # ---- offices ----
+
+    def office_refused_connection(self, office: OfficeRecord) -> None:
+        """An office without a connection refused a new one: unless it accepts one soon, its process has died."""
+        office.liveness.connection_refused()
+        if office.calls:
+            self._cut_later(office, REFUSED_US)
+
+    def office_gone(self, office: OfficeRecord) -> None:
+        """Discovery reports that an office is gone: its calls are cut soon."""
+        self._cut_later(office, GONE_US)
+
+    def office_restarted(self, office: OfficeRecord, now: int) -> None:
+        """Discovery reports a new start of an office: calls from before it have ended."""
+        earlier = [call for call in office.calls.values() if call.established_at < (office.started or 0)]
+        self._cut(office, earlier, "its endpoint started again", now)
+
+    def connection_opened(self, office: OfficeRecord, connection: Hashable, now: int) -> None:
+        """A connection to an office is up. Releases sent since its last confirmation are sent again: they may have been
+        lost with an earlier connection, and the office would keep the calls."""
+        for call_id, (cause, released_at) in office.released.items():
+            if released_at >= office.liveness.current.confirmed_at:
+                self._io.send_to_office(office, lines.down(call_id, cause), connection)
+        office.liveness.connection_opened(connection, now)
+        if office.liveness.under_test(connection):
+            self._send_test(office, connection)
+        if office.cut_timer is not None and office.state is not Standing.GONE:
+            office.cut_timer.cancel()
+            office.cut_timer = None
+
+    def cut_unconfirmed(self, now: int) -> None:
+        """Before this process ends, cut the calls whose office may have vanished: the next process cannot know how long
+        it has been silent, and their callers can still be told."""
+        for office in list(self._offices.values()):
+            unconfirmed = office.liveness.unconfirmed_calls(now)
+            calls = [call for call in office.calls.values() if call in unconfirmed]
+            self._cut(office, calls, "its endpoint is silent, and this process ends", now)
+
+    # ---- internal ----
+
+    def _register(self, call: EstablishedCall) -> None:
+        self.calls[call.call_id] = call.office.calls[call.call_id] = call
+        self._by_connection[call.connection] += 1
+        self._schedule_liveness_check()
+
+    def _end(self, call: EstablishedCall, ending: Ending, report: Report, now: int, why: str) -> None:
+        if self.calls.pop(call.call_id, None) is None:
+            return  # ended already; each end is reported once
+        call.office.calls.pop(call.call_id, None)
         call.office.liveness.call_ended(call)
-        self._by_connection[call.link] -= 1
-        if self._by_connection[call.link] <= 0:
-            del self._by_connection[call.link]
-        self._outlet.log("call_over", call=call.ref, endpoint=call.office.id, why=why)
-        self._ended(call, ending, report, now)
-
-    def _release_at_endpoint(self, call: Call, cause: int, now: int) -> None:
-        self._outlet.to_office(call.office, lines.down(call.ref, cause), None)
-        call.office.remember_given_up(call.ref, now)
-        call.office.remember_released(call.ref, cause, now)
-
-    def _cut_later(self, end: OfficeEnd, after: int) -> None:
-        if end.cut is None:
-            end.cut = self._outlet.timer(after, lambda now: self._cut_all(end, now))
-
-    def _cut_all(self, end: OfficeEnd, now: int) -> None:
-        end.cut = None
-        self._cut(end, list(end.calls.values()), "its endpoint is dead or gone", now)
-        self._let_go(end)
-
-    def _cut(self, end: OfficeEnd, calls: list[Call], why: str, now: int) -> None:
+        self._by_connection[call.connection] -= 1
+        if self._by_connection[call.connection] <= 0:
+            del self._by_connection[call.connection]
+        self._io.log("call_over", call=call.call_id, endpoint=call.office.id, why=why)
+        self._on_ended(call, ending, report, now)
+
+    def _release_at_office(self, call: EstablishedCall, cause: int, now: int) -> None:
+        self._io.send_to_office(call.office, lines.down(call.call_id, cause), None)
+        call.office.remember_ended(call.call_id, now)
+        call.office.remember_released(call.call_id, cause, now)
+
+    def _cut_later(self, office: OfficeRecord, delay_us: int) -> None:
+        if office.cut_timer is None:
+            office.cut_timer = self._io.start_timer(delay_us, lambda now: self._cut_all(office, now))
+
+    def _cut_all(self, office: OfficeRecord, now: int) -> None:
+        office.cut_timer = None
+        self._cut(office, list(office.calls.values()), "its endpoint is dead or gone", now)
+        self._on_unused(office)
+
+    def _cut(self, office: OfficeRecord, calls: list[EstablishedCall], why: str, now: int) -> None:
         if not calls:
             return
         self._counts["calls_cut_with_office"] += len(calls)
-        self._outlet.log("calls_cut", endpoint=end.id, calls=len(calls), why=why)
+        self._io.log("calls_cut", endpoint=office.id, calls=len(calls), why=why)
         for call in calls:
-            self.tell_over(call.ref, CAUSE_CUT, call.link, now)
+            self.release_to_caller(call.call_id, CAUSE_CUT, call.connection, now)
             self._end(call, Ending.RESET, Report(), now, why)
 
-    # ---- endpoints that fall silent ----
+    # ---- liveness of offices with calls ----
 
-    def _look_later(self) -> None:
+    def _schedule_liveness_check(self) -> None:
         if self._liveness_timer is None and self.calls:
-            self._liveness_timer = self._outlet.timer(LIVENESS_STEP_US, self._look)
+            self._liveness_timer = self._io.start_timer(LIVENESS_STEP_US, self._check_liveness)
 
-    def _look(self, now: int) -> None:
+    def _check_liveness(self, now: int) -> None:
         self._liveness_timer = None
-        for end in [end for end in self._endpoints.values() if end.calls]:
-            for due in end.liveness.step(now):
+        for office in [office for office in self._offices.values() if office.calls]:
+            for due in office.liveness.step(now):
                 match due:
                     case LivenessTest(connections, open_another):
                         for connection in connections:
-                            self._test(end, connection)
+                            self._send_test(office, connection)
                         if open_another:
-                            self._outlet.open_another(end)
+                            self._io.open_another(office)
                     case CallsLost(calls, silent_us):
-                        self._silent_too_long(end, frozenset(calls), silent_us, now)
-        self._look_later()
+                        self._calls_lost(office, frozenset(calls), silent_us, now)
+        self._schedule_liveness_check()
 
-    def _test(self, end: OfficeEnd, connection: Hashable) -> None:
-        self._next_test += 1
+    def _send_test(self, office: OfficeRecord, connection: Hashable) -> None:
+        self._last_test += 1
         self._counts["tests_sent"] += 1
-        self._outlet.test(end, connection, lines.test(f"{self._next_test:016x}"))
+        self._io.send_test(office, connection, lines.test(f"{self._last_test:016x}"))
 
-    def _silent_too_long(self, end: OfficeEnd, lost: frozenset[Hashable], silent_us: int, now: int) -> None:
-        """Nothing proves that these calls are up. Their endpoint hears it too, if it ever comes back with them."""
-        calls = [call for call in end.calls.values() if call in lost]
+    def _calls_lost(self, office: OfficeRecord, lost: frozenset[Hashable], silent_us: int, now: int) -> None:
+        """Cut calls that nothing has confirmed for too long, and release them at their office in case it still has
+        them."""
+        calls = [call for call in office.calls.values() if call in lost]
         for call in calls:
-            self._release_at_endpoint(call, CAUSE_CUT, now)
-        self._cut(end, calls, f"nothing heard for {silent_us // 1000} ms", now)
+            self._release_at_office(call, CAUSE_CUT, now)
+        self._cut(office, calls, f"nothing received for {silent_us // 1000} ms", now)
--- a/wellhitch/platform/event_log.py
+++ b/wellhitch/platform/event_log.py
@@ -1,7 +1,7 @@
-"""The log of a call server on the platform: one JSON object a line, written so that it can never hold up a call.
+"""The log of a call server on the platform: one JSON object per line, written so that it never delays a call.
 
-A line that the reader has no room for is dropped and counted, and so are lines past a budget: bad clients cause events
-at their own speed, and a log that follows them would cost the usual clients their answers.
+Lines are dropped and counted when the reader is too slow, and when they exceed a budget: misbehaving clients cause
+events at any rate, and logging all of them would delay the answers to other clients.
 """
 
 import os
@@ -13,12 +13,12 @@
 
 import msgspec
 
-LINES_PER_S = 300  # twice what the busiest call server of the platform causes by its calls
-BURST_LINES = 900  # three seconds of that: a restart or a lost endpoint ends many calls together
+LINES_PER_S = 300  # twice the rate caused by the calls of the busiest call server on the platform
+BURST_LINES = 900  # three seconds of that, as a restart or a lost endpoint ends many calls at once
 
 
 class LineBudget:
-    """A token bucket for log lines. Pure; time in seconds is handed in."""
+    """A token bucket for log lines. Pure; times in seconds."""
 
     def __init__(self, per_second: float, burst: float) -> None:
         self._per_second, self._burst = per_second, burst
@@ -27,8 +27,8 @@
 
     def take(self, now: float) -> bool:
         """Whether one more line may be written now."""
-        grown = max(0.0, now - self._refilled_at) * self._per_second
-        self._tokens = min(self._burst, self._tokens + grown)
+        refill = max(0.0, now - self._refilled_at) * self._per_second
+        self._tokens = min(self._burst, self._tokens + refill)
         self._refilled_at = now
         if self._tokens < 1:
             return False
@@ -37,17 +37,17 @@
 
 
 class EventLog:
-    """Writes events to a descriptor. The time in a line is for people who read it; nothing is decided by it."""
+    """Writes events to a descriptor. The wall-clock time in a line is for its readers only."""
 
     def __init__(self, descriptor: int, unix_now: Callable[[], float] = time.time) -> None:
         self._descriptor, self._unix_now = descriptor, unix_now
         self._budget = LineBudget(LINES_PER_S, BURST_LINES)
-        self._room = select.poll()
-        self._room.register(descriptor, select.POLLOUT)
+        self._poll = select.poll()
+        self._poll.register(descriptor, select.POLLOUT)
         self.dropped: Counter[str] = Counter()
 
     def __call__(self, event: str, **facts: Any) -> None:
-        """Write one event; the lines dropped since the last one are told with it."""
+        """Write one event, with the counts of lines dropped since the last line."""
         now = self._unix_now()
         if not self._budget.take(now):
             self.dropped[event] += 1
@@ -61,9 +61,9 @@
             self.dropped[event] += 1
 
     def _write(self, line: bytes) -> bool:
-        """Write where there is room; False where the reader is slow or gone."""
+        """Write without blocking; False where the reader is too slow or gone."""
         try:
-            if not self._room.poll(0):
+            if not self._poll.poll(0):
                 return False
             os.write(self._descriptor, line)
         except OSError:
--- a/wellhitch/platform/eviction.py
+++ b/wellhitch/platform/eviction.py
@@ -1,7 +1,7 @@
-"""Which of the callers' connections is closed when there are more than the descriptors allow. Pure; times in seconds.
+"""Selects the caller connection to close when there are more than the descriptors allow. Pure; times in seconds.
 
-A connection that has just come up may bring a whole message with it, which is read only some turns of the loop later:
-what it wants is not known before, and it is not chosen before.
+A new connection may bring a complete message, which is read only some turns of the loop later. What it wants is unknown
+until then, and it is not selected before.
 """
 
 from collections.abc import Callable
@@ -9,29 +9,30 @@
 
 Connection = TypeVar("Connection")
 
-# A first message comes with its connection. One that does not say it within this time gives way to those that spoke.
+# A first message comes with its connection. A connection without one after this time yields to those that sent one.
 FIRST_MESSAGE_S = 0.02
-# A connection that has been silent for so long is likely to stay so, and gives way to any other.
+# A connection that has been silent for so long is likely to stay silent, and yields to any other.
 SILENT_S = 0.2
-# Callers read their answers in milliseconds; a connection quiet for longer is not in use.
+# Callers read their answers in milliseconds; a connection that is quiet for longer is not in use.
 IN_USE_S = 0.5
-# What crossed a close has come by then, and the other end has had the time to close too.
+# Messages sent before the caller noticed the close have arrived by then, and it has had the time to close too.
 READ_AFTER_CLOSE_S = 0.01
 
 
 class ConnectionTable(Generic[Connection]):
-    """All connections from callers that are open, in three groups, and in each the one unheard longest first."""
+    """All open connections from callers in three groups, each ordered by its last message, the oldest first."""
 
     def __init__(
         self, set_ups_on: Callable[[Connection], int], calls_on: Callable[[Connection], int]
     ) -> None:
-        """`set_ups_on` and `calls_on`: how many set-ups are open on a connection, and how many calls it set up."""
+        """`set_ups_on` and `calls_on` return how many set-ups are pending on a connection, and how many established
+        calls were set up on it."""
         self._set_ups_on, self._calls_on = set_ups_on, calls_on
-        # Without a whole message so far, and since when they are up.
+        # Connections without a complete message so far, and when each came up.
         self.silent: dict[Connection, float] = {}
-        # With one, and when the last one came.
-        self.heard: dict[Connection, float] = {}
-        # Closed from here, since when, and read to their end.
+        # Connections with one, and when the last one arrived.
+        self.active: dict[Connection, float] = {}
+        # Connections that this server is closing, and since when; they are read until the caller closes too.
         self.closing: dict[Connection, float] = {}
 
     def __len__(self) -> int:
@@ -39,64 +40,65 @@
 
     @property
     def in_service(self) -> int:
-        """How many are open and not being closed."""
-        return len(self.silent) + len(self.heard)
+        """How many connections are open and not being closed."""
+        return len(self.silent) + len(self.active)
 
     def opened(self, connection: Connection, now: float) -> None:
-        """A connection came up."""
+        """Add a new connection."""
         self.silent[connection] = now
 
-    def message_came(self, connection: Connection, now: float) -> None:
-        """A whole message came on a connection that is not being closed."""
+    def message_received(self, connection: Connection, now: float) -> None:
+        """Note a complete message on a connection that is not being closed."""
         self.forget(connection)
-        self.heard[connection] = now
+        self.active[connection] = now
 
-    def lingers(self, connection: Connection, now: float) -> None:
-        """A connection is being closed, and read until the other end has closed it too."""
+    def closing_started(self, connection: Connection, now: float) -> None:
+        """Note that this server is closing a connection."""
         self.forget(connection)
         self.closing[connection] = now
 
     def forget(self, connection: Connection) -> None:
-        """A connection counts no more."""
+        """Remove a connection."""
         self.silent.pop(connection, None)
-        self.heard.pop(connection, None)
+        self.active.pop(connection, None)
         self.closing.pop(connection, None)
 
     def next_to_evict(self, now: float) -> Connection | None:
-        """The connection whose end costs its caller least: of those that are in no use first, then of the others. None
-        where it is a new one that has yet to say what it wants."""
+        """The connection whose loss costs its caller least: first those not in use, then the others. None while a new
+        connection has yet to send its first message."""
         return (
-            self._silent(now - SILENT_S)
-            or self._unused(now - IN_USE_S, with_calls=False)
-            or self._unused(now - IN_USE_S, with_calls=True)
-            or self._silent(now - FIRST_MESSAGE_S)
-            or (None if self.silent else self._of_those_in_use(now))
+            self._oldest_silent(now - SILENT_S)
+            or self._oldest_without_set_ups(now - IN_USE_S, with_calls=False)
+            or self._oldest_without_set_ups(now - IN_USE_S, with_calls=True)
+            or self._oldest_silent(now - FIRST_MESSAGE_S)
+            or (None if self.silent else self._next_in_use(now))
         )
 
-    def _of_those_in_use(self, now: float) -> Connection | None:
-        """One without set-ups, or at last the newest, whose set-ups are then refused."""
+    def _next_in_use(self, now: float) -> Connection | None:
+        """A connection without set-ups, else the one with the latest message, whose set-ups are then refused."""
         return (
-            self._unused(now, with_calls=False)
-            or self._unused(now, with_calls=True)
-            or next(reversed(self.heard), None)
+            self._oldest_without_set_ups(now, with_calls=False)
+            or self._oldest_without_set_ups(now, with_calls=True)
+            or next(reversed(self.active), None)
         )
 
     def next_to_reset(self, now: float) -> Connection | None:
-        """The connection closed longest ago, if it has been read for long enough."""
+        """The connection whose closing began first, if it has been read for long enough."""
         for connection, since in self.closing.items():
             return connection if now - since >= READ_AFTER_CLOSE_S else None
         return None
 
-    def _silent(self, up_by: float) -> Connection | None:
-        """The one that has been silent longest, if it came up by then."""
-        for connection, since in self.silent.items():
-            return connection if since <= up_by else None
+    def _oldest_silent(self, opened_by: float) -> Connection | None:
+        """The connection that has been silent longest, if it came up by `opened_by`."""
+        for connection, opened_at in self.silent.items():
+            return connection if opened_at <= opened_by else None
         return None
 
-    def _unused(self, heard_by: float, with_calls: bool) -> Connection | None:
-        """The one unheard longest, at least since `heard_by`, on which no set-up is open."""
-        for connection, heard_at in self.heard.items():
-            if heard_at > heard_by:
+    def _oldest_without_set_ups(self, last_message_by: float, with_calls: bool) -> Connection | None:
+        """The connection without pending set-ups that has been quiet longest, at least since `last_message_by`. One
+        with established calls qualifies only `with_calls`."""
+        for connection, last_message_at in self.active.items():
+            if last_message_at > last_message_by:
                 break
             if not self._set_ups_on(connection) and (with_calls or not self._calls_on(connection)):
                 return connection
--- a/wellhitch/platform/offices.py
+++ b/wellhitch/platform/offices.py
@@ -1,7 +1,7 @@
-"""Links to offices: the only file of the platform that touches them. Decides nothing; the core is told what came.
+"""Connections to offices. What arrives on them is passed on as `OfficeEvents`; nothing is decided here.
 
-Each office has a few links, so that a spoilt one takes few dials along: a set-up goes out on one on which nothing
-waits, where there is one, and another is opened meanwhile.
+Each office has a few connections, so that one that fails takes few dials with it: a set-up is sent on a connection
+without unanswered dials if there is one, else another connection is opened meanwhile.
 """
 
 import asyncio
@@ -10,380 +10,398 @@
 
 from wellhitch.net.seam import ConnectFailure, Network
 from wellhitch.office_lines import codec as lines
-from wellhitch.platform.records import DialOut, OfficeEnd
-
-READ_BYTES = 64 * 1024  # of the one buffer that all links share
-# s that an office may pause within a line while set-ups wait on the link: while it stops short, the answers behind it
-# are held up.
-PARTIAL_S = 0.25
-# s where none waits. A slow writer gets to end its line, which may be the release of a call.
-PARTIAL_IDLE_S = 1.0
-AGAIN_S = 0.1  # before a link is tried again, doubling up to
-AGAIN_MOST_S = 1.0  # an office that restarts is reached soon, and one that is dead costs one try a second
-MOST_QUEUED = 512  # lines that wait for a link to an office: releases, which it would hear late
-
-
-class Hears(Protocol):
-    """Who is told what offices say."""
-
-    def office_heard(self, end: OfficeEnd, link: "OfficeLink") -> None:
-        """Bytes came, whatever they are."""
-
-    def office_said(self, end: OfficeEnd, link: "OfficeLink", line: lines.Line) -> None:
-        """A whole line came."""
+from wellhitch.platform.records import OfficeRecord, PendingDial
+
+READ_BUFFER_BYTES = 64 * 1024  # shared by all connections
+# How long an office may pause within a line while dials are unanswered on the connection: answers behind an incomplete
+# line are delayed.
+PARTIAL_LINE_S = 0.25
+# The same without unanswered dials: a slow writer may finish its line, which may be the release of a call.
+PARTIAL_LINE_IDLE_S = 1.0
+RETRY_DELAY_S = 0.1  # doubles with each failure
+MAX_RETRY_DELAY_S = (
+    1.0  # reconnects soon after an office restarts, and costs one attempt a second if it does not
+)
+MAX_QUEUED_LINES = (
+    512  # lines that wait for a connection to an office; they are releases, which would arrive late
+)
+
+
+class OfficeEvents(Protocol):
+    """Receives what happens on the connections to offices."""
+
+    def office_bytes_received(self, office: OfficeRecord, connection: "OfficeConnection") -> None:
+        """Bytes arrived, valid or not."""
+
+    def office_line_received(
+        self, office: OfficeRecord, connection: "OfficeConnection", line: lines.Line
+    ) -> None:
+        """A complete line arrived."""
 
-    def dial_lost(self, dial: DialOut, reached: bool) -> None:
-        """The link of a dial was lost, or never came up."""
+    def dial_connection_lost(self, dial: PendingDial, sent: bool) -> None:
+        """The connection of a dial was lost after the set-up was `sent`, or none came up."""
 
-    def office_refuses(self, end: OfficeEnd) -> None:
-        """No link is up, and a new one was refused."""
+    def office_refused_connection(self, office: OfficeRecord) -> None:
+        """No connection is up, and a new one was refused."""
 
-    def office_reached(self, end: OfficeEnd, link: "OfficeLink") -> None:
-        """A link is up."""
+    def office_connected(self, office: OfficeRecord, connection: "OfficeConnection") -> None:
+        """A connection is up."""
 
-    def office_lost(self, end: OfficeEnd, link: "OfficeLink") -> None:
-        """A link is gone."""
+    def office_connection_lost(self, office: OfficeRecord, connection: "OfficeConnection") -> None:
+        """A connection is gone."""
 
     def log(self, event: str, **facts: Any) -> None:
-        """One line of the log."""
+        """Write one line of the log."""
 
 
-class OfficeLink(asyncio.BufferedProtocol):
-    """One link to an office."""
+class OfficeConnection(asyncio.BufferedProtocol):
+    """One connection to an office."""
 
-    __slots__ = ("pool", "transport", "decoder", "dials", "partial", "since", "__weakref__")
+    __slots__ = ("pool", "transport", "decoder", "dials", "partial_timer", "connected_at", "__weakref__")
 
-    def __init__(self, pool: "Pool") -> None:
+    def __init__(self, pool: "ConnectionPool") -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.decoder = lines.Decoder()
-        self.dials: dict[DialOut, None] = {}
-        self.partial: Any = None
-        self.since = 0.0  # s, when it came up
+        self.dials: dict[PendingDial, None] = {}
+        self.partial_timer: Any = None
+        self.connected_at = 0.0  # in seconds of the loop's clock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.pool.opened(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.pool.links.buffer
+        return self.pool.owner.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         if self.transport is None:
             return
-        if self.partial is not None:
-            self.partial.cancel()
-            self.partial = None
+        if self.partial_timer is not None:
+            self.partial_timer.cancel()
+            self.partial_timer = None
         pool = self.pool
-        pool.links.hears.office_heard(pool.end, self)
+        pool.owner.events.office_bytes_received(pool.office, self)
         try:
-            said = self.decoder.feed(pool.links.buffer[:nbytes])
-        except lines.BadLine as bad:
-            self._take(bad.before)
-            self.spoilt(bad.limit)
+            received = self.decoder.feed(pool.owner.buffer[:nbytes])
+        except lines.BadLine as error:
+            self._pass_on(error.before)
+            self.abort(error.limit)
             return
-        self._take(said)
+        self._pass_on(received)
         if self.decoder.pending and self.transport is not None:
-            self.partial = pool.links.loop.call_later(PARTIAL_S, self._stopped_short)
+            self.partial_timer = pool.owner.loop.call_later(PARTIAL_LINE_S, self._line_stopped_short)
 
-    def _stopped_short(self) -> None:
+    def _line_stopped_short(self) -> None:
         if self.dials:
-            self.spoilt("line_stopped_short")
+            self.abort("line_stopped_short")
         else:
-            more = PARTIAL_IDLE_S - PARTIAL_S
-            self.partial = self.pool.links.loop.call_later(more, self.spoilt, "line_stopped_short")
+            delay_s = PARTIAL_LINE_IDLE_S - PARTIAL_LINE_S
+            self.partial_timer = self.pool.owner.loop.call_later(delay_s, self.abort, "line_stopped_short")
 
-    def _take(self, said: list[lines.Line]) -> None:
-        for line in said:
-            self.pool.links.hears.office_said(self.pool.end, self, line)
+    def _pass_on(self, received: list[lines.Line]) -> None:
+        for line in received:
+            self.pool.owner.events.office_line_received(self.pool.office, self, line)
 
     @property
     def writable(self) -> bool:
-        """Whether what is written may arrive: asyncio tells that a link is lost only in the turn after it noticed."""
+        """Whether written data may arrive; asyncio reports a lost connection only one turn after it is closing."""
         return self.transport is not None and not self.transport.is_closing()
 
     def write(self, line: bytes) -> None:
-        """Write, where it may arrive."""
+        """Write unless the connection is closed or closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(line)
 
-    def test(self, line: bytes) -> None:
-        """Send a test, unless what was sent before still waits."""
+    def send_test(self, line: bytes) -> None:
+        """Send a liveness test, unless earlier data is still unsent."""
         if self.transport is not None and not self.transport.get_write_buffer_size():
             self.write(line)
 
-    def spoilt(self, limit: str) -> None:
-        """Guards against an answer that cannot be read: what comes after it on this link can't be told apart, so the
-        link goes, and its unanswered dials with it."""
-        self.pool.links.counts[f"office.{limit}"] += 1
+    def abort(self, limit: str) -> None:
+        """Reset the connection after a line that cannot be read: whatever follows cannot be decoded either. Its
+        unanswered dials are lost."""
+        self.pool.owner.counts[f"office.{limit}"] += 1
         if self.transport is not None:
             self.transport.abort()
-        self._gone(limit)
+        self.detach(limit)
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         if exc is None:
-            self._gone("closed by the endpoint", read_to_its_end=True)
+            self.detach("closed by the endpoint", read_to_its_end=True)
         else:
-            self._gone(f"ended by the endpoint: {exc!r}")
+            self.detach(f"ended by the endpoint: {exc!r}")
 
-    def _gone(self, why: str, read_to_its_end: bool = False) -> None:
+    def detach(self, why: str, read_to_its_end: bool = False) -> None:
+        """Remove the connection from its pool."""
         if self.transport is None:
             return
         self.transport = None
-        if self.partial is not None:
-            self.partial.cancel()
-            self.partial = None
+        if self.partial_timer is not None:
+            self.partial_timer.cancel()
+            self.partial_timer = None
         self.pool.lost(self, why, read_to_its_end)
 
 
-class Pool:
-    """The links to one office, at most `links.most`."""
+class ConnectionPool:
+    """The connections to one office, at most `owner.max_per_office`."""
 
-    def __init__(self, links: "OfficeLinks", end: OfficeEnd) -> None:
-        self.links, self.end, self.address = links, end, end.address
-        self.up: dict[OfficeLink, None] = {}
-        self.opening = 0
-        self.waiting: dict[DialOut, tuple[bytes, Any]] = {}
+    def __init__(self, owner: "OfficeConnections", office: OfficeRecord) -> None:
+        self.owner, self.office, self.address = owner, office, office.address
+        self.connected: dict[OfficeConnection, None] = {}
+        self.connecting = 0
+        self.waiting: dict[PendingDial, tuple[bytes, Any]] = {}
         self.queue: list[bytes] = []
-        self.kept = True  # links are wanted
-        self.ended = False  # none will be wanted again
-        self._again: Any = None
-        self._pause = AGAIN_S
+        self.kept_connected = True  # at least one connection is wanted
+        self.ended = False  # no connection will be wanted again
+        self._retry_timer: Any = None
+        self._retry_delay_s = RETRY_DELAY_S
 
     # -- sending --
 
-    def dial(self, dial: DialOut, line: bytes) -> None:
-        """Send a set-up, or let it wait for a link."""
-        best, least = None, 1 << 30
-        for link in self.up:
-            if link.writable and len(link.dials) < least:
-                best, least = link, len(link.dials)
-                if not least:
+    def send_dial(self, dial: PendingDial, line: bytes) -> None:
+        """Send a set-up on the connection with the fewest unanswered dials, or keep it until one is up."""
+        best, fewest_dials = None, 1 << 30
+        for connection in self.connected:
+            if connection.writable and len(connection.dials) < fewest_dials:
+                best, fewest_dials = connection, len(connection.dials)
+                if not fewest_dials:
                     break
         if best is None:
-            due = self.links.loop.call_later(self.links.connect_within, self._unreached, dial)
-            self.waiting[dial] = line, due
-            if not self.opening:
-                self._open()
+            timer = self.owner.loop.call_later(self.owner.connect_timeout_s, self._connect_timed_out, dial)
+            self.waiting[dial] = line, timer
+            if not self.connecting:
+                self._connect()
             return
         self._write(best, dial, line)
-        if least and len(self.up) + self.opening < self.links.most:
-            self._open()
+        if fewest_dials and len(self.connected) + self.connecting < self.owner.max_per_office:
+            self._connect()
 
-    def _write(self, link: OfficeLink, dial: DialOut, line: bytes) -> None:
-        dial.link = link
-        link.dials[dial] = None
-        link.write(line)
+    def _write(self, connection: OfficeConnection, dial: PendingDial, line: bytes) -> None:
+        dial.connection = connection
+        connection.dials[dial] = None
+        connection.write(line)
 
-    def _unreached(self, dial: DialOut) -> None:
+    def _connect_timed_out(self, dial: PendingDial) -> None:
         if self.waiting.pop(dial, None) is not None:
-            self.links.hears.dial_lost(dial, False)
+            self.owner.events.dial_connection_lost(dial, False)
 
-    def undial(self, dial: DialOut) -> bool:
-        """A dial is over; True where its set-up still waited."""
+    def withdraw_dial(self, dial: PendingDial) -> bool:
+        """Forget a dial that has ended; True where its set-up still waited for a connection."""
         waited = self.waiting.pop(dial, None)
         if waited is not None:
             waited[1].cancel()
             return True
-        link = dial.link
-        if isinstance(link, OfficeLink):
-            link.dials.pop(dial, None)
+        connection = dial.connection
+        if isinstance(connection, OfficeConnection):
+            connection.dials.pop(dial, None)
         return False
 
-    def send(self, line: bytes, near: object | None) -> None:
-        """Send on `near` if it is up, else on any, else on the next."""
-        link = next((link for link in self.up if link.writable), None)
-        if isinstance(near, OfficeLink) and near in self.up and near.writable:
-            link = near
-        if link is not None:
-            link.write(line)
+    def send(self, line: bytes, preferred: object | None) -> None:
+        """Send on `preferred` if it is up, else on any other, else on the next that comes up."""
+        connection = next((connection for connection in self.connected if connection.writable), None)
+        if isinstance(preferred, OfficeConnection) and preferred in self.connected and preferred.writable:
+            connection = preferred
+        if connection is not None:
+            connection.write(line)
         elif self.ended:
-            self.links.counts["office.unsent_at_end"] += 1
-        elif len(self.queue) < MOST_QUEUED:
+            self.owner.counts["office.unsent_at_end"] += 1
+        elif len(self.queue) < MAX_QUEUED_LINES:
             self.queue.append(line)
-            if not self.opening and self._again is None:
-                self._open()
+            if not self.connecting and self._retry_timer is None:
+                self._connect()
         else:
-            self.links.counts["office.queue_full"] += 1
+            self.owner.counts["office.queue_full"] += 1
 
-    # -- links --
+    # -- connections --
 
-    def keep(self) -> None:
-        """Keep a link up."""
-        self.kept = True
-        if not self.up and not self.opening and self._again is None:
-            self._open()
+    def keep_connected(self) -> None:
+        """Keep at least one connection up."""
+        self.kept_connected = True
+        if not self.connected and not self.connecting and self._retry_timer is None:
+            self._connect()
 
     def open_another(self) -> None:
-        """Open one more, in place of an idle one where there are as many as may be."""
-        if self.opening:
+        """Open one more connection; where there are many already, it replaces an idle one."""
+        if self.connecting:
             return
-        if len(self.up) >= max(2, self.links.most // 2):
-            idle = next((link for link in self.up if not link.dials), None)
+        if len(self.connected) >= max(2, self.owner.max_per_office // 2):
+            idle = next((connection for connection in self.connected if not connection.dials), None)
             if idle is None or idle.transport is None:
                 return
-            self._open()
+            self._connect()
             idle.transport.close()
-            idle._gone("replaced by another")
+            idle.detach("replaced by another")
         else:
-            self._open()
-
-    def _open(self) -> None:
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
-        self.opening += 1
-        self.links.network.connect(self.address, lambda: OfficeLink(self), self._failed)
-
-    def opened(self, link: OfficeLink) -> None:
-        """A link is up."""
-        self.opening -= 1
-        if self.ended or (not self.kept and not self.end.calls and not self.waiting and not self.queue):
-            assert link.transport is not None
-            link.transport.abort()
-            link.transport = None
+            self._connect()
+
+    def _connect(self) -> None:
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
+        self.connecting += 1
+        self.owner.network.connect(self.address, lambda: OfficeConnection(self), self._connect_failed)
+
+    def opened(self, connection: OfficeConnection) -> None:
+        """Send what waited on a connection that has come up."""
+        self.connecting -= 1
+        if self.ended or (
+            not self.kept_connected and not self.office.calls and not self.waiting and not self.queue
+        ):
+            assert connection.transport is not None
+            connection.transport.abort()
+            connection.transport = None
             return
-        self.up[link] = None
-        link.since = self.links.loop.time()
-        self._pause = AGAIN_S
-        self.links.hears.office_reached(self.end, link)
+        self.connected[connection] = None
+        connection.connected_at = self.owner.loop.time()
+        self._retry_delay_s = RETRY_DELAY_S
+        self.owner.events.office_connected(self.office, connection)
         for line in self.queue:
-            link.write(line)
+            connection.write(line)
         self.queue.clear()
-        for dial, (line, due) in list(self.waiting.items()):
-            due.cancel()
-            self._write(link, dial, line)
+        for dial, (line, timer) in list(self.waiting.items()):
+            timer.cancel()
+            self._write(connection, dial, line)
         self.waiting.clear()
 
-    def _failed(self, failure: ConnectFailure) -> None:
-        self.opening -= 1
-        self.links.counts["office.link_failed"] += 1
-        self.links.hears.log(
-            "endpoint_connection_failed", endpoint=self.end.id, why=failure.detail, left=len(self.up)
+    def _connect_failed(self, failure: ConnectFailure) -> None:
+        self.connecting -= 1
+        self.owner.counts["office.link_failed"] += 1
+        self.owner.events.log(
+            "endpoint_connection_failed",
+            endpoint=self.office.id,
+            why=failure.detail,
+            left=len(self.connected),
         )
-        if self.up or self.opening:
+        if self.connected or self.connecting:
             return
-        for dial, (_, due) in list(self.waiting.items()):
-            due.cancel()
+        for dial, (_, timer) in list(self.waiting.items()):
+            timer.cancel()
             self.waiting.pop(dial, None)
-            self.links.hears.dial_lost(dial, False)
+            self.owner.events.dial_connection_lost(dial, False)
         if failure.refused:
-            self.links.hears.office_refuses(self.end)
-        self._later()
+            self.owner.events.office_refused_connection(self.office)
+        self._retry_later()
 
-    def _later(self) -> None:
-        if self._again is None and (self.kept or self.end.calls):
-            self._again = self.links.loop.call_later(self._pause, self._try_again)
-            self._pause = min(2 * self._pause, AGAIN_MOST_S)
+    def _retry_later(self) -> None:
+        if self._retry_timer is None and (self.kept_connected or self.office.calls):
+            self._retry_timer = self.owner.loop.call_later(self._retry_delay_s, self._retry)
+            self._retry_delay_s = min(2 * self._retry_delay_s, MAX_RETRY_DELAY_S)
 
-    def _try_again(self) -> None:
-        self._again = None
+    def _retry(self) -> None:
+        self._retry_timer = None
         if self._wants_another(True):
-            self._open()
+            self._connect()
 
-    def lost(self, link: OfficeLink, why: str, read_to_its_end: bool) -> None:
-        """A link is gone, and its unanswered dials with it."""
-        was_up = self.up.pop(link, 0) is None
-        self.links.hears.office_lost(self.end, link)
-        self.links.hears.log(
+    def lost(self, connection: OfficeConnection, why: str, read_to_its_end: bool) -> None:
+        """Report a lost connection and its unanswered dials, and replace it if another is wanted."""
+        was_connected = self.connected.pop(connection, 0) is None
+        self.owner.events.office_connection_lost(self.office, connection)
+        self.owner.events.log(
             "endpoint_connection_lost",
-            endpoint=self.end.id,
+            endpoint=self.office.id,
             why=why,
-            attempts=len(link.dials),
-            left=len(self.up),
+            attempts=len(connection.dials),
+            left=len(self.connected),
         )
-        dials, link.dials = link.dials, {}
+        dials, connection.dials = connection.dials, {}
         for dial in dials:
-            self.links.hears.dial_lost(dial, True)
-        if was_up and self._wants_another(read_to_its_end):
-            if self.links.loop.time() - link.since < AGAIN_S:
-                self._later()  # guards against an office that resets each link at once: a dial still opens one
+            self.owner.events.dial_connection_lost(dial, True)
+        if was_connected and self._wants_another(read_to_its_end):
+            if self.owner.loop.time() - connection.connected_at < RETRY_DELAY_S:
+                self._retry_later()  # the office may reset each connection at once; a dial still opens one
             else:
-                self._open()
+                self._connect()
 
     def _wants_another(self, read_to_its_end: bool) -> bool:
-        """Whether another link is to be opened. After one that was not read to its end it is, where calls stand: a
-        release may have been lost with it, and the office sends that again on the next one that is opened."""
-        if self.opening or self.ended:
+        """Whether another connection is to be opened. An office with calls needs one after a connection that was not
+        read to its end: a release may have been lost with it, and the office sends that again on the next
+        connection."""
+        if self.connecting or self.ended:
             return False
-        if not self.up:
-            return self.kept or bool(self.end.calls)
-        return bool(self.end.calls) and not read_to_its_end
-
-    def unsent_stays(self) -> None:
-        """Reset the links in whose buffers something waits."""
-        for link in list(self.up):
-            if link.transport is not None and link.transport.get_write_buffer_size():
-                self.links.counts["office.unsent_at_drain"] += 1
-                link.transport.abort()
-                link._gone("unsent at a drain")
-
-    def read_no_more(self) -> None:
-        """The process ends: what still comes is for the next one. What was written is sent; no new link is opened."""
-        self.kept, self.ended = False, True
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
-        for link in self.up:
-            if link.transport is not None:
-                link.transport.pause_reading()
-
-    def drop(self, now: bool) -> None:
-        """Let the links go: at once and for good, or those on which nothing is out."""
-        self.kept, self.ended = False, now
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
-        for link in list(self.up):
-            if link.transport is not None and (now or not link.dials):
+        if not self.connected:
+            return self.kept_connected or bool(self.office.calls)
+        return bool(self.office.calls) and not read_to_its_end
+
+    def discard_unsent(self) -> None:
+        """Reset the connections that have unsent data."""
+        for connection in list(self.connected):
+            if connection.transport is not None and connection.transport.get_write_buffer_size():
+                self.owner.counts["office.unsent_at_drain"] += 1
+                connection.transport.abort()
+                connection.detach("unsent at a drain")
+
+    def stop_reading(self) -> None:
+        """Leave what still arrives to the next process. Written data is sent; no new connection is opened."""
+        self.kept_connected, self.ended = False, True
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
+        for connection in self.connected:
+            if connection.transport is not None:
+                connection.transport.pause_reading()
+
+    def close(self, now: bool) -> None:
+        """Close all connections for good `now`, or only those without unanswered dials."""
+        self.kept_connected, self.ended = False, now
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
+        for connection in list(self.connected):
+            if connection.transport is not None and (now or not connection.dials):
                 if now:
-                    link.transport.abort()
+                    connection.transport.abort()
                 else:
-                    link.transport.close()
-                link._gone("let go")
+                    connection.transport.close()
+                connection.detach("no longer needed")
 
 
-class OfficeLinks:
-    """The links to all offices. `connect_within` in seconds; `most` links to one office."""
+class OfficeConnections:
+    """The connection pools of all offices."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
-        hears: Hears,
-        connect_within: float,
-        share: int,
+        events: OfficeEvents,
+        connect_timeout_s: float,
+        max_descriptors: int,
         counts: Counter[str],
     ) -> None:
-        """`share`: descriptors for all links to offices together."""
-        self.loop, self.network, self.hears, self.connect_within = loop, network, hears, connect_within
-        self.share, self.counts = share, counts
-        self.buffer = memoryview(bytearray(READ_BYTES))
-        self.pools: dict[OfficeEnd, Pool] = {}
+        """`max_descriptors`: for the connections to all offices together."""
+        self.loop, self.network, self.events, self.connect_timeout_s = (
+            loop,
+            network,
+            events,
+            connect_timeout_s,
+        )
+        self.max_descriptors, self.counts = max_descriptors, counts
+        self.buffer = memoryview(bytearray(READ_BUFFER_BYTES))
+        self.pools: dict[OfficeRecord, ConnectionPool] = {}
 
     @property
-    def most(self) -> int:
-        """Links to one office: its share of the descriptors, at most sixteen, which more dials than one link may lose
-        together seldom need."""
-        return max(2, min(16, self.share // max(1, len(self.pools))))
-
-    def pool(self, end: OfficeEnd) -> Pool:
-        """The links to an office."""
-        pool = self.pools.get(end)
+    def max_per_office(self) -> int:
+        """Connections allowed to one office: its share of the descriptors, at most sixteen. More are seldom needed to
+        keep the number of dials low that are lost with one connection."""
+        return max(2, min(16, self.max_descriptors // max(1, len(self.pools))))
+
+    def pool(self, office: OfficeRecord) -> ConnectionPool:
+        """The connection pool of an office, created on first use."""
+        pool = self.pools.get(office)
         if pool is None:
-            pool = self.pools[end] = Pool(self, end)
+            pool = self.pools[office] = ConnectionPool(self, office)
         return pool
 
-    def read_no_more(self) -> None:
-        """Take nothing more from any office."""
+    def stop_reading(self) -> None:
+        """Read nothing more from any office."""
         for pool in self.pools.values():
-            pool.read_no_more()
+            pool.stop_reading()
 
-    def drop(self, end: OfficeEnd, now: bool) -> None:
-        """Let an office's links go."""
-        pool = self.pools.pop(end, None)
+    def drop(self, office: OfficeRecord, now: bool) -> None:
+        """Remove an office's pool and close its connections."""
+        pool = self.pools.pop(office, None)
         if pool is not None:
-            pool.drop(now)
+            pool.close(now)
--- a/wellhitch/platform/records.py
+++ b/wellhitch/platform/records.py
@@ -1,5 +1,6 @@
-"""Records of the platform's call server, by how long they live: a dial, a dialogue, a call that stands, an office.
-Pure. Nothing is decided by them; the decisions keep their own."""
+"""Records of the platform's call server: a dial, a pending call, an established call and an office.
+
+They hold no decisions; the decision module keeps its own state."""
 
 from __future__ import annotations
 
@@ -11,99 +12,101 @@
 from wellhitch.net.seam import Timer
 from wellhitch.platform.liveness import EndpointLiveness
 
-REMEMBERED_US = 10_000_000  # that a ref given up is remembered at its office: longer than any deadline here
-MOST_REMEMBERED = 4096  # refs given up at one office, and releases of calls not known
+# How long an office record remembers call IDs whose dial or call this server ended: longer than any deadline here.
+REMEMBERED_US = 10_000_000
+MAX_REMEMBERED = 4096  # such call IDs of one office, and releases of unknown calls
 
 
-class Step(Enum):
-    """How far a dial is."""
+class DialState(Enum):
+    """Progress of one dial."""
 
-    OUT = auto()  # handed to the office's links, unanswered
-    OVER = auto()
+    PENDING = auto()  # handed to the office's connections, not answered
+    ENDED = auto()
 
 
 @dataclass(slots=True, eq=False)
-class OfficeEnd:
-    """One office under its id: links, dials and calls belong to that, never to an address."""
+class OfficeRecord:
+    """One office, identified by its id and not its address. Connections, dials and calls belong to the record."""
 
     id: str
     number: int
     address: str
-    standing: Standing
+    state: Standing
     started: int | None
-    dials: dict[str, DialOut] = field(default_factory=dict)
-    calls: dict[str, Call] = field(default_factory=dict)
-    given_up: dict[str, int] = field(default_factory=dict)  # refs given up here, and when
-    released: dict[str, tuple[int, int]] = field(
-        default_factory=dict
-    )  # calls ended from here: cause and when
-    cut: Timer | None = None
+    dials: dict[str, PendingDial] = field(default_factory=dict)
+    calls: dict[str, EstablishedCall] = field(default_factory=dict)
+    # Call IDs whose dial or call this server ended, and when.
+    ended_here: dict[str, int] = field(default_factory=dict)
+    # Established calls that this server released at the office: cause and time.
+    released: dict[str, tuple[int, int]] = field(default_factory=dict)
+    cut_timer: Timer | None = None
     liveness: EndpointLiveness = field(kw_only=True)
 
-    def remember_released(self, ref: str, cause: int, now: int) -> None:
-        """An established call was ended from here; its release may be lost with the connection."""
-        self.released[ref] = (cause, now)
+    def remember_released(self, call_id: str, cause: int, now: int) -> None:
+        """Remember the release of an established call, which may be lost with its connection and is then sent again."""
+        self.released[call_id] = (cause, now)
         while self.released:
-            first = next(iter(self.released))
-            if len(self.released) <= MOST_REMEMBERED and now - self.released[first][1] <= REMEMBERED_US:
+            oldest = next(iter(self.released))
+            if len(self.released) <= MAX_REMEMBERED and now - self.released[oldest][1] <= REMEMBERED_US:
                 break
-            del self.released[first]
-
-    def remember_given_up(self, ref: str, now: int) -> None:
-        """A ref was given up here; a late answer or release of it is then known for one."""
-        self.given_up.pop(ref, None)
-        self.given_up[ref] = now
-        while self.given_up:
-            first = next(iter(self.given_up))
-            if len(self.given_up) <= MOST_REMEMBERED and now - self.given_up[first] <= REMEMBERED_US:
+            del self.released[oldest]
+
+    def remember_ended(self, call_id: str, now: int) -> None:
+        """Remember a call ID that this server ended, to recognize a late answer or release from the office."""
+        self.ended_here.pop(call_id, None)
+        self.ended_here[call_id] = now
+        while self.ended_here:
+            oldest = next(iter(self.ended_here))
+            if len(self.ended_here) <= MAX_REMEMBERED and now - self.ended_here[oldest] <= REMEMBERED_US:
                 break
-            del self.given_up[first]
+            del self.ended_here[oldest]
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
-    """A dialogue from its set-up to its answer. `echo`: the header lines that each response repeats."""
+class PendingCall:
+    """An accepted set-up until its final answer. `echo` holds the header lines that each response repeats."""
 
     id: int
-    ref: str
-    link: Hashable
+    call_id: str
+    connection: Hashable
     echo: str
     use_case: str
-    key: str
+    called_number: str
     description: str
     destination: int
     transit: bool
-    out: DialOut | None = None
-    dials: int = 0
+    dial: PendingDial | None = None
+    dial_count: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class DialOut:
-    """One dial. `link`: the office's link that it went out on; None while it waits for one."""
+class PendingDial:
+    """One attempt to set a call up at an office. `connection` is the office's connection on which the set-up was sent;
+    None while it waits for one."""
 
-    taken: Taken
+    call: PendingCall
     number: int
-    office: OfficeEnd
-    sent: int
-    step: Step = Step.OUT
+    office: OfficeRecord
+    started_at: int
+    state: DialState = DialState.PENDING
     timer: Timer | None = None
-    link: object | None = None
+    connection: object | None = None
 
     def end(self) -> None:
-        """It is out no more. Raises RuntimeError the second time: a defect of the server."""
-        if self.step is Step.OVER:
-            raise RuntimeError(f"dial {self.taken.ref}.{self.number} is over already")
-        self.step = Step.OVER
+        """Mark the dial as ended. Raises RuntimeError if it has ended already, which is a defect of the server."""
+        if self.state is DialState.ENDED:
+            raise RuntimeError(f"dial {self.call.call_id}.{self.number} has already ended")
+        self.state = DialState.ENDED
 
 
 @dataclass(slots=True, eq=False)
-class Call:
-    """A call that stands, established here at `since`. `dialogue` and `dial` as the decisions know them; None for one
-    from before a restart."""
+class EstablishedCall:
+    """A call that was answered, at `established_at`. `dialogue` and `dial_number` identify its dial to the decision
+    module; `dialogue` is None for a call from before a restart. `connection` is the caller's."""
 
-    ref: str
-    office: OfficeEnd
-    link: Hashable
+    call_id: str
+    office: OfficeRecord
+    connection: Hashable
     dialogue: int | None
-    dial: int
-    since: int
+    dial_number: int
+    established_at: int
