--- a/wellhitch/platform/releases.py
+++ b/wellhitch/platform/releases.py
@@ -1,8 +1,8 @@
-"""Releases on their way to callers. Pure.
+"""Releases (BYE) on their way to callers: chooses connections, resends until one is answered, drops the outdated.
 
-A call that stands belongs to no connection: its release goes out on the one of its set-up, else on another open one
-that callers have used for dialogues, else on the next that opens, within its time. One that is not answered goes out
-again on another connection: what is open may be a stranger's, who knows nothing of the call.
+An established call belongs to no connection. Its release goes out on the connection of its set-up, else on another open
+one on which callers have sent dialogues, else on the next one that opens in time. A release that is not answered is
+resent on another connection: an open one may belong to a client that does not know the call and answers nothing.
 """
 
 from collections.abc import Callable, Hashable
@@ -10,110 +10,114 @@
 
 from wellhitch.net.seam import Timer
 
-KEEP = 8_000_000  # us that a release may wait for a connection: the platform's time for what has stood and is over
-HEAR_WITHIN = (
-    200_000  # us for a caller to answer: usual ones do in one, and three more tries fall within the second
-)
-# that a release may take
-MOST = 8192  # releases that wait; more calls than that do not stand at one exchange
+# How long a release may wait for a connection: the platform's limit for telling a caller that its call has ended.
+RETENTION_US = 8_000_000
+# How long a caller may take to answer; most answer within a millisecond. Three retries fit into the second that a
+# release may take.
+ANSWER_TIMEOUT_US = 200_000
+MAX_UNACKNOWLEDGED = 8192  # more calls than one exchange ever has established
 
 
 @dataclass(slots=True, eq=False)
 class Release:
-    """One release: its bytes, when its call ended, the connection it was last written to, those tried so far."""
+    """One release: its message, when its call ended, the connection it was last written to, and all those tried."""
 
-    ref: str
+    call_id: str
     data: bytes
-    over: int
-    link: Hashable | None = None
+    ended_at: int
+    connection: Hashable | None = None
     tried: set[Hashable] = field(default_factory=set)
 
 
-class Releases:
-    """What waits, and what was written and not yet heard."""
+class ReleaseQueue:
+    """Releases that wait for a connection, or were written and not answered yet."""
 
     def __init__(
         self,
         write: Callable[[Hashable, bytes], bool],
-        timer: Callable[[int, Callable[[int], None]], Timer],
+        start_timer: Callable[[int, Callable[[int], None]], Timer],
         log: Callable[..., None],
     ) -> None:
-        self._write, self._timer, self._log = write, timer, log
-        self._links: dict[Hashable, None] = {}  # used for dialogues; the last first used at the end
-        self._answering: dict[Hashable, None] = {}  # on which a release was answered; the last at the end
-        self._unheard: dict[str, Release] = {}
-        self._look: Timer | None = None
-        self.dropped = 0  # whose time was up before anybody answered
-        self.again = 0  # written once more
+        self._write, self._start_timer, self._log = write, start_timer, log
+        # Connections used for dialogues, in the order of first use.
+        self._connections: dict[Hashable, None] = {}
+        # Those on which a release was answered, the latest last.
+        self._answering: dict[Hashable, None] = {}
+        self._unacknowledged: dict[str, Release] = {}
+        self._retry_timer: Timer | None = None
+        self.dropped = 0  # not answered in time, or displaced
+        self.resent = 0
 
     def __len__(self) -> int:
-        return len(self._unheard)
-
-    def used(self, link: Hashable, now: int) -> None:
-        """A caller has sent a dialogue on this connection: what waits may go out on it."""
-        if link not in self._links:
-            self._links[link] = None
-            for one in list(self._unheard.values()):
-                if one.link is None:
-                    self._send(one, now)
-
-    def closed(self, link: Hashable, now: int) -> None:
-        """A connection is gone. Guards against a release that was written to it and that nobody has read: it goes out
-        on another."""
-        self._links.pop(link, None)
-        self._answering.pop(link, None)
-        for one in list(self._unheard.values()):
-            one.tried.discard(link)
-            if one.link == link:
-                one.link = None
-                self._send(one, now)
-
-    def add(self, ref: str, data: bytes, link: Hashable, now: int) -> None:
-        """A call is over and its caller must hear it."""
-        if len(self._unheard) >= MOST:
-            self._drop(next(iter(self._unheard)), "too many wait")
-        one = self._unheard[ref] = Release(ref, data, now)
-        if link in self._links and self._write(link, data):
-            one.link = link
-            one.tried.add(link)
+        return len(self._unacknowledged)
+
+    def connection_used(self, connection: Hashable, now: int) -> None:
+        """A caller sent a dialogue on this connection: waiting releases may go out on it."""
+        if connection not in self._connections:
+            self._connections[connection] = None
+            for release in list(self._unacknowledged.values()):
+                if release.connection is None:
+                    self._send(release, now)
+
+    def connection_closed(self, connection: Hashable, now: int) -> None:
+        """Resend on another connection each release last written to this one, as the caller may not have read it."""
+        self._connections.pop(connection, None)
+        self._answering.pop(connection, None)
+        for release in list(self._unacknowledged.values()):
+            release.tried.discard(connection)
+            if release.connection == connection:
+                release.connection = None
+                self._send(release, now)
+
+    def add(self, call_id: str, data: bytes, connection: Hashable, now: int) -> None:
+        """Send the release of a call to its caller, preferably on `connection`."""
+        if len(self._unacknowledged) >= MAX_UNACKNOWLEDGED:
+            self._drop(next(iter(self._unacknowledged)), "too many releases wait for an answer")
+        release = self._unacknowledged[call_id] = Release(call_id, data, now)
+        if connection in self._connections and self._write(connection, data):
+            release.connection = connection
+            release.tried.add(connection)
         else:
-            self._send(one, now)
-        self._look_later()
-
-    def heard(self, ref: str, link: Hashable) -> None:
-        """A caller has answered."""
-        if self._unheard.pop(ref, None) is not None and link in self._links:
-            self._answering.pop(link, None)
-            self._answering[link] = None
-
-    def _send(self, one: Release, now: int) -> None:
-        """On a connection not tried yet, one on which releases are answered first; where all were tried, again."""
-        for links in (self._answering, self._links):
-            for link in reversed(links):
-                if link not in one.tried and self._write(link, one.data):
-                    if one.tried:
-                        self.again += 1
-                        self._log("release_sent_again", call=one.ref, connections_tried=len(one.tried))
-                    one.link = link
-                    one.tried.add(link)
+            self._send(release, now)
+        self._schedule_retry()
+
+    def answered(self, call_id: str, connection: Hashable) -> None:
+        """A caller answered the release of a call."""
+        if self._unacknowledged.pop(call_id, None) is not None and connection in self._connections:
+            self._answering.pop(connection, None)
+            self._answering[connection] = None
+
+    def _send(self, release: Release, now: int) -> None:
+        """Write on a connection not tried yet, first on those where releases were answered. Once all were tried, the
+        next attempt starts over."""
+        for connections in (self._answering, self._connections):
+            for connection in reversed(connections):
+                if connection not in release.tried and self._write(connection, release.data):
+                    if release.tried:
+                        self.resent += 1
+                        self._log(
+                            "release_sent_again", call=release.call_id, connections_tried=len(release.tried)
+                        )
+                    release.connection = connection
+                    release.tried.add(connection)
                     return
-        one.tried.clear()
+        release.tried.clear()
 
-    def _drop(self, ref: str, why: str) -> None:
-        del self._unheard[ref]
+    def _drop(self, call_id: str, why: str) -> None:
+        del self._unacknowledged[call_id]
         self.dropped += 1
-        self._log("release_dropped", call=ref, why=why)
-
-    def _look_later(self) -> None:
-        if self._look is None and self._unheard:
-            self._look = self._timer(HEAR_WITHIN, self._look_now)
-
-    def _look_now(self, now: int) -> None:
-        self._look = None
-        for one in list(self._unheard.values()):
-            age = now - one.over
-            if age > KEEP:
-                self._drop(one.ref, "nobody answered in time")
-            elif age >= HEAR_WITHIN:
-                self._send(one, now)
-        self._look_later()
+        self._log("release_dropped", call=call_id, why=why)
+
+    def _schedule_retry(self) -> None:
+        if self._retry_timer is None and self._unacknowledged:
+            self._retry_timer = self._start_timer(ANSWER_TIMEOUT_US, self._retry)
+
+    def _retry(self, now: int) -> None:
+        self._retry_timer = None
+        for release in list(self._unacknowledged.values()):
+            age_us = now - release.ended_at
+            if age_us > RETENTION_US:
+                self._drop(release.call_id, "no caller answered in time")
+            elif age_us >= ANSWER_TIMEOUT_US:
+                self._send(release, now)
+        self._schedule_retry()
--- a/wellhitch/platform/server_io.py
+++ b/wellhitch/platform/server_io.py
@@ -1,53 +1,54 @@
-"""What the platform's call server asks of its shell: the way out to callers, endpoints, peers and the log."""
+"""The interface through which the call server's core reaches callers, offices, peers, timers and the log."""
 
 from collections.abc import Callable, Hashable
 from typing import Any, Protocol
 
 from wellhitch.net.seam import Timer
-from wellhitch.platform.records import DialOut, OfficeEnd
+from wellhitch.platform.records import OfficeRecord, PendingDial
 
 
-class Outlet(Protocol):
-    """What the shell does for the core."""
+class ServerIO(Protocol):
+    """What the core needs done. `service.Service` implements it with real or emulated connections."""
 
-    def to_caller(self, link: Hashable, data: bytes) -> bool:
-        """Write to a caller; False where the connection is closed."""
+    def send_to_caller(self, connection: Hashable, data: bytes) -> bool:
+        """Write to a caller; False where the connection is closed or closing."""
 
-    def close_caller(self, link: Hashable) -> None:
-        """Close a caller's connection once what was written is out; the core is told it is closed."""
+    def close_caller_connection(self, connection: Hashable) -> None:
+        """Close a caller's connection once its written data is sent; `Core.caller_closed` follows."""
 
-    def dial(self, dial: DialOut, line: bytes) -> None:
-        """Send a set-up on one of the office's links, or when one is up; `dial_lost` follows where none comes up."""
+    def send_dial(self, dial: PendingDial, line: bytes) -> None:
+        """Send a set-up on a connection to the office, now or when one is up; `Core.dial_connection_lost` follows where
+        none comes up."""
 
-    def undial(self, dial: DialOut) -> bool:
-        """A dial is over here; True where its set-up still waited and was never sent."""
+    def withdraw_dial(self, dial: PendingDial) -> bool:
+        """Forget a dial that has ended; True where its set-up still waited for a connection and was never sent."""
 
-    def to_office(self, end: OfficeEnd, line: bytes, near: object | None) -> None:
-        """Send on the link `near` if it is up, else on any, else on the next."""
+    def send_to_office(self, office: OfficeRecord, line: bytes, preferred: object | None) -> None:
+        """Send on the connection `preferred` if it is up, else on any other, else on the next that comes up."""
 
-    def keep_links(self, end: OfficeEnd) -> None:
-        """Keep links to an office up."""
+    def keep_connected(self, office: OfficeRecord) -> None:
+        """Keep at least one connection to an office up."""
 
-    def unsent_stays(self, end: OfficeEnd) -> None:
-        """Nothing that still waits in a link's buffer may reach the office: a link that holds some is reset."""
+    def discard_unsent(self, office: OfficeRecord) -> None:
+        """Reset each connection to an office that has unsent data, so that the data never arrives."""
 
-    def rest_links(self, end: OfficeEnd) -> None:
-        """Close an office's links until they are wanted again: nothing is out on them."""
+    def close_idle_connections(self, office: OfficeRecord) -> None:
+        """Close the connections to an office that have no unanswered dial, until one is needed again."""
 
-    def drop_links(self, end: OfficeEnd, now: bool) -> None:
-        """Let an office's links go for good: at once, or when nothing is out on them."""
+    def drop_connections(self, office: OfficeRecord, now: bool) -> None:
+        """Close the connections to an office for good: all of them `now`, or only those without an unanswered dial."""
 
-    def test(self, end: OfficeEnd, link: Hashable, line: bytes) -> None:
-        """Send a test on one of the office's links, if it is still up."""
+    def send_test(self, office: OfficeRecord, connection: Hashable, line: bytes) -> None:
+        """Send a liveness test on one of the office's connections if it is still up."""
 
-    def open_another(self, end: OfficeEnd) -> None:
-        """Open one more link to an office, within its share."""
+    def open_another(self, office: OfficeRecord) -> None:
+        """Open one more connection to an office within its share of the descriptors."""
 
-    def tell_peers(self, text: bytes) -> None:
-        """Send a word to every other call server."""
+    def send_to_peers(self, text: bytes) -> None:
+        """Send a datagram to every other call server."""
 
-    def timer(self, after: int, ring: Callable[[int], None]) -> Timer:
-        """Ring after so many us, with the time then."""
+    def start_timer(self, delay_us: int, callback: Callable[[int], None]) -> Timer:
+        """Call `callback` with the loop's time in us after `delay_us`."""
 
     def log(self, event: str, **facts: Any) -> None:
-        """One line of the log."""
+        """Write one line of the log."""
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -1,4 +1,4 @@
-"""One running call server on the platform: the core with its shell, on a loop and a network, real or emulated."""
+"""One running call server of the platform: the core, its connections and its timers on a real or emulated network."""
 
 import asyncio
 from collections import Counter
@@ -9,109 +9,149 @@
 from wellhitch.net.seam import Network, Sender, Timer, now_us
 from wellhitch.office_lines.codec import Line
 from wellhitch.platform.callers import CallerConnection, CallerConnections
-from wellhitch.platform.configuration import Told
+from wellhitch.platform.configuration import Configuration
 from wellhitch.platform.core import Core
 from wellhitch.platform.discovery import DiscoveryClient
-from wellhitch.platform.offices import OfficeLink, OfficeLinks
-from wellhitch.platform.records import DialOut, OfficeEnd
+from wellhitch.platform.offices import OfficeConnection, OfficeConnections
+from wellhitch.platform.records import OfficeRecord, PendingDial
 from wellhitch.platform.shutdown import Phase, nothing_left, shutdown_schedule
 from wellhitch.sip.codec import Message
 
-WORD_BYTES = 256  # of a datagram: a longer one is against the platform's rules
-STOP_LOOK_S = 0.01  # between looks at what is left while stopping
-STATUS_S = 5.0  # between lines of the log on how things stand
-SPARE = 16  # descriptors for the listener, the board, datagrams, standard streams, the loop, files read at signals
+MAX_PEER_MESSAGE_BYTES = 256  # of one datagram, set by the platform's rules
+SHUTDOWN_POLL_S = 0.01  # between checks whether a shutdown can go on
+STATUS_INTERVAL_S = 5.0  # between status lines in the log
+# For the listener, discovery, datagrams, standard streams, the event loop and files read on signals.
+RESERVED_DESCRIPTORS = 16
 
 
 class Log(Protocol):
-    """Takes one event of the log with its facts."""
+    """Writes one event and its fields to the log."""
 
     def __call__(self, event: str, **facts: Any) -> None: ...
 
 
-# Connections that may wait to be taken: one of a burst that finds no place is tried again after a second, and what was
-# sent on it waits as long. They take no descriptor yet.
-WAITING = 1024
-# Turns of the loop from taking a connection until no more are taken, or one that it puts out is closed: accept, task,
-# made, two to read, choose, lost; and three to spare, since a limit on descriptors that is met once stops the taking of
-# connections for a second.
-TURNS = 10
-TAKEN_A_TURN = 40  # of the descriptors, one in so many may be taken in one turn of the loop
-MOST_TAKEN_A_TURN = 32
-NEW_SHARE = 16  # of the descriptors, one in so many is for connections that have just come up
-
-
-def shares(sockets: int) -> tuple[int, int, int]:
-    """Of so many descriptors: those for callers, those for links to offices, and how many connections are taken in one
-    turn of the loop. An eighth for offices, at most a quarter for what is taken before it is counted or closed after,
-    and the room for new ones. Callers of the platform hold no more than a third, and get what is left."""
-    offices, at_once = sockets // 8, min(MOST_TAKEN_A_TURN, max(1, sockets // TAKEN_A_TURN))
-    return sockets - offices - TURNS * at_once - room_for_new(sockets) - SPARE, offices, at_once
-
-
-def room_for_new(sockets: int) -> int:
-    """How many more connections from callers there may be for the moment in which a new one says its first message."""
-    return sockets // NEW_SHARE
+# Connections the kernel holds until they are accepted; they use no descriptor yet. A connection of a burst that does
+# not fit is retried after a second, which delays the data sent on it by as much.
+ACCEPT_BACKLOG = 1024
+# Turns of the loop from accepting a connection until accepting stops or the connection it displaces is closed: accept,
+# task, connection_made, two to read, eviction, connection_lost. Three more are in reserve, because reaching the limit
+# on descriptors once stops accepting for a second.
+ACCEPT_TURNS = 10
+DESCRIPTORS_PER_ACCEPT = 40  # one connection is accepted in one turn of the loop for each so many descriptors
+MAX_ACCEPTS_PER_TURN = 32
+DESCRIPTORS_PER_NEW_CONNECTION = 16  # one new connection is held above the limit for each so many descriptors
+
+
+def descriptor_shares(max_descriptors: int) -> tuple[int, int, int]:
+    """Divide the descriptors: how many are for callers, how many for connections to offices, and how many connections
+    are accepted in one turn of the loop.
+
+    Offices get an eighth. At most a quarter is for connections that are accepted before they are counted or are still
+    being closed. Callers get the rest less the capacity for new connections; those of the platform need no more than a
+    third."""
+    offices, accepts_per_turn = (
+        max_descriptors // 8,
+        min(MAX_ACCEPTS_PER_TURN, max(1, max_descriptors // DESCRIPTORS_PER_ACCEPT)),
+    )
+    return (
+        max_descriptors
+        - offices
+        - ACCEPT_TURNS * accepts_per_turn
+        - new_connection_capacity(max_descriptors)
+        - RESERVED_DESCRIPTORS,
+        offices,
+        accepts_per_turn,
+    )
+
+
+def new_connection_capacity(max_descriptors: int) -> int:
+    """How many connections from callers are allowed above the limit until each new one has sent its first message."""
+    return max_descriptors // DESCRIPTORS_PER_NEW_CONNECTION
 
 
 class Service:
-    """The call server. `unix_now`: the wall clock in us; `ended` is called once it has stopped."""
+    """The call server. `unix_now` is the wall clock in us; `on_stopped` is called once it has stopped."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
-        told: Told,
+        configuration: Configuration,
         unix_now: Callable[[], int],
         log: Log,
-        ended: Callable[[], None],
+        on_stopped: Callable[[], None],
     ) -> None:
-        self.loop, self.network, self.told, self.write_log, self.ended = loop, network, told, log, ended
-        for_callers, for_offices, _ = shares(told.sockets)
-        self.core = Core(told.opened, told.max_open, unix_now() - now_us(loop), self)
+        self.loop, self.network, self.configuration, self.write_log, self.on_stopped = (
+            loop,
+            network,
+            configuration,
+            log,
+            on_stopped,
+        )
+        for_callers, for_offices, _ = descriptor_shares(configuration.max_descriptors)
+        self.core = Core(configuration.opened, configuration.max_open, unix_now() - now_us(loop), self)
         self.counts: Counter[str] = self.core.counts
         self.callers = CallerConnections(
-            loop, network, self, for_callers, room_for_new(told.sockets), self.counts
+            loop,
+            network,
+            self,
+            for_callers,
+            new_connection_capacity(configuration.max_descriptors),
+            self.counts,
+        )
+        self.office_connections = OfficeConnections(
+            loop, network, self, configuration.connect_timeout_us / 1e6, for_offices, self.counts
         )
-        self.links = OfficeLinks(loop, network, self, told.connect_within / 1e6, for_offices, self.counts)
         self.discovery = DiscoveryClient(
-            loop, network, told.place.board, told.number, self._told, log, self.counts
+            loop,
+            network,
+            configuration.addresses.discovery,
+            configuration.revision,
+            self._discovery_update,
+            log,
+            self.counts,
         )
-        self.peers = {address: at for at, address in enumerate(told.place.peers)}
+        self.peers = {address: index for index, address in enumerate(configuration.addresses.peers)}
         self.sender: Sender | None = None
         self.stopping = False
         self._stop_at = 0
         self._schedule = shutdown_schedule(0)
 
-    # ---- its life ----
+    # ---- start and shutdown ----
 
     def start(self) -> None:
-        """Learn the list, reach the offices, listen, follow the board."""
+        """Load the known offices, connect to them and to discovery, and listen for callers and peers."""
         self.write_log(
-            "started", name=self.told.place.name, number=self.core.number, seed=self.told.opened.seed
+            "started",
+            name=self.configuration.addresses.name,
+            number=self.core.number,
+            seed=self.configuration.opened.seed,
         )
-        self.core.start(self.told.known, self.now())
+        self.core.start(self.configuration.known_updates, self.now())
         self.discovery.start()
-        if self.told.place.peer_listen:
-            self.network.datagrams(self.told.place.peer_listen, self._datagram, self._may_send)
+        if self.configuration.addresses.peer_listen:
+            self.network.datagrams(
+                self.configuration.addresses.peer_listen, self._datagram_received, self._sender_ready
+            )
         self.callers.listen(
-            self.told.place.listen, lambda: self.write_log("listening", address=self.told.place.listen)
+            self.configuration.addresses.listen,
+            lambda: self.write_log("listening", address=self.configuration.addresses.listen),
         )
-        self.loop.call_later(STATUS_S, self._status)
+        self.loop.call_later(STATUS_INTERVAL_S, self._log_status)
 
-    def reconfigured(self, told: Told) -> None:
-        """SIGHUP: the configuration was read again. Only the board's address is followed; nothing in flight is
-        touched."""
-        if told.place.board != self.discovery.address:
-            self.discovery.move(told.place.board)
+    def reconfigure(self, configuration: Configuration) -> None:
+        """Apply a configuration that was read again on SIGHUP. Only a new address of discovery takes effect; dials and
+        calls are not affected."""
+        if configuration.addresses.discovery != self.discovery.address:
+            self.discovery.change_address(configuration.addresses.discovery)
 
     def stop(self) -> None:
-        """SIGTERM: drain, answer all that is owed, close every connection, and end before SIGKILL can come. Calls that
-        are up are not cut."""
+        """Shut down on SIGTERM: drain, answer every pending set-up, close every connection, and end before SIGKILL can
+        come. Established calls are not released."""
         if self.stopping:
             return
         self.stopping = self.core.stopping = True
-        longest = max(use_case.outer_limit for use_case in self.told.opened.use_cases)
+        longest = max(use_case.outer_limit for use_case in self.configuration.opened.use_cases)
         self._schedule = shutdown_schedule(longest)
         self._stop_at = self.now()
         self.write_log(
@@ -130,20 +170,20 @@
             self._close()
             return
         self.callers.close_unused()
-        self.loop.call_later(STOP_LOOK_S, self._drain)
+        self.loop.call_later(SHUTDOWN_POLL_S, self._drain)
 
     def _close(self) -> None:
         if self.core.owed:
             self.counts["stop.forfeited"] += self.core.owed
-        self.core.forfeit_all(self.now())
-        # A release that came from here on could be told to nobody, and the next process would not get it again.
-        self.links.read_no_more()
+        self.core.fail_all(self.now())
+        # A release read from here on could not be sent to its caller, and would be lost to the next process.
+        self.office_connections.stop_reading()
         self.callers.close()
         self._end_when_closed()
 
     def _end_when_closed(self) -> None:
         if self.callers.open and self.now() - self._stop_at < self._schedule.end_at:
-            self.loop.call_later(STOP_LOOK_S, self._end_when_closed)
+            self.loop.call_later(SHUTDOWN_POLL_S, self._end_when_closed)
             return
         self.write_log(
             "stopped", standing=len(self.core.calls), open=self.callers.open, counts=dict(self.counts)
@@ -152,18 +192,18 @@
         if self.sender is not None:
             self.sender.close()
         self.callers.abort_all()
-        self.loop.call_soon(self.ended)
+        self.loop.call_soon(self.on_stopped)
 
     def now(self) -> int:
         """The loop's time in us."""
         return now_us(self.loop)
 
-    def _status(self) -> None:
-        self.loop.call_later(STATUS_S, self._status)
+    def _log_status(self) -> None:
+        self.loop.call_later(STATUS_INTERVAL_S, self._log_status)
         self.write_log("status", **self.status())
 
     def status(self) -> dict[str, Any]:
-        """What is believed now, for people and for holding it against the sockets."""
+        """The current state of calls, offices, connections and counters, for operators."""
         core = self.core
         offices = {
             office.id: {
@@ -172,12 +212,14 @@
                 "free": office.free,
                 "size": office.size,
                 "price": round(office.price, 3),
-                "links": len(self.links.pools[end].up) if end in self.links.pools else 0,
-                "out": len(end.dials),
-                "calls": len(end.calls),
+                "links": len(self.office_connections.pools[record].connected)
+                if record in self.office_connections.pools
+                else 0,
+                "out": len(record.dials),
+                "calls": len(record.calls),
             }
-            for end in core.offices.values()
-            if (office := core.exchange.offices.get(end.id)) is not None
+            for record in core.offices.values()
+            if (office := core.exchange.offices.get(record.id)) is not None
         }
         return {
             "owed": core.owed,
@@ -185,7 +227,7 @@
             "standing": len(core.calls),
             "callers": self.callers.open,
             "releases": len(core.releases),
-            "releases_again": core.releases.again,
+            "releases_again": core.releases.resent,
             "releases_dropped": core.releases.dropped,
             "own_price": round(core.exchange.own_price, 3),
             "revision": self.discovery.revision,
@@ -193,131 +235,135 @@
             "counts": dict(core.counts),
         }
 
-    # ---- the core's outlet ----
+    # ---- ServerIO: what the core asks for ----
 
-    def to_caller(self, link: Hashable, data: bytes) -> bool:
-        """As `core.Outlet`."""
-        return isinstance(link, CallerConnection) and link.write(data)
+    def send_to_caller(self, connection: Hashable, data: bytes) -> bool:
+        """See `ServerIO`."""
+        return isinstance(connection, CallerConnection) and connection.write(data)
 
-    def close_caller(self, link: Hashable) -> None:
-        """As `core.Outlet`."""
-        if isinstance(link, CallerConnection):
-            link.close("refused request")
+    def close_caller_connection(self, connection: Hashable) -> None:
+        """See `ServerIO`."""
+        if isinstance(connection, CallerConnection):
+            connection.close("refused request")
 
-    def dial(self, dial: DialOut, line: bytes) -> None:
-        """As `core.Outlet`."""
-        self.links.pool(dial.office).dial(dial, line)
+    def send_dial(self, dial: PendingDial, line: bytes) -> None:
+        """See `ServerIO`."""
+        self.office_connections.pool(dial.office).send_dial(dial, line)
 
-    def undial(self, dial: DialOut) -> bool:
-        """As `core.Outlet`."""
-        pool = self.links.pools.get(dial.office)
-        return pool is not None and pool.undial(dial)
+    def withdraw_dial(self, dial: PendingDial) -> bool:
+        """See `ServerIO`."""
+        pool = self.office_connections.pools.get(dial.office)
+        return pool is not None and pool.withdraw_dial(dial)
 
-    def to_office(self, end: OfficeEnd, line: bytes, near: object | None) -> None:
-        """As `core.Outlet`."""
-        self.links.pool(end).send(line, near)
+    def send_to_office(self, office: OfficeRecord, line: bytes, preferred: object | None) -> None:
+        """See `ServerIO`."""
+        self.office_connections.pool(office).send(line, preferred)
 
-    def keep_links(self, end: OfficeEnd) -> None:
-        """As `core.Outlet`."""
-        self.links.pool(end).keep()
+    def keep_connected(self, office: OfficeRecord) -> None:
+        """See `ServerIO`."""
+        self.office_connections.pool(office).keep_connected()
 
-    def unsent_stays(self, end: OfficeEnd) -> None:
-        """As `core.Outlet`."""
-        pool = self.links.pools.get(end)
+    def discard_unsent(self, office: OfficeRecord) -> None:
+        """See `ServerIO`."""
+        pool = self.office_connections.pools.get(office)
         if pool is not None:
-            pool.unsent_stays()
+            pool.discard_unsent()
 
-    def rest_links(self, end: OfficeEnd) -> None:
-        """As `core.Outlet`."""
-        pool = self.links.pools.get(end)
+    def close_idle_connections(self, office: OfficeRecord) -> None:
+        """See `ServerIO`."""
+        pool = self.office_connections.pools.get(office)
         if pool is not None:
-            pool.drop(False)
-
-    def drop_links(self, end: OfficeEnd, now: bool) -> None:
-        """As `core.Outlet`."""
-        self.links.drop(end, now)
-
-    def test(self, end: OfficeEnd, link: Hashable, line: bytes) -> None:
-        """As `core.Outlet`."""
-        if isinstance(link, OfficeLink):
-            link.test(line)
-
-    def open_another(self, end: OfficeEnd) -> None:
-        """As `core.Outlet`."""
-        self.links.pool(end).open_another()
-
-    def tell_peers(self, text: bytes) -> None:
-        """As `core.Outlet`."""
-        if self.sender is not None and self.told.place.peers_all and len(text) <= WORD_BYTES:
-            self.sender.send(text, self.told.place.peers_all)
+            pool.close(False)
+
+    def drop_connections(self, office: OfficeRecord, now: bool) -> None:
+        """See `ServerIO`."""
+        self.office_connections.drop(office, now)
+
+    def send_test(self, office: OfficeRecord, connection: Hashable, line: bytes) -> None:
+        """See `ServerIO`."""
+        if isinstance(connection, OfficeConnection):
+            connection.send_test(line)
+
+    def open_another(self, office: OfficeRecord) -> None:
+        """See `ServerIO`."""
+        self.office_connections.pool(office).open_another()
+
+    def send_to_peers(self, text: bytes) -> None:
+        """See `ServerIO`."""
+        if (
+            self.sender is not None
+            and self.configuration.addresses.peers_all
+            and len(text) <= MAX_PEER_MESSAGE_BYTES
+        ):
+            self.sender.send(text, self.configuration.addresses.peers_all)
             self.counts["words_sent"] += 1
 
-    def timer(self, after: int, ring: Callable[[int], None]) -> Timer:
-        """As `core.Outlet`."""
-        return self.loop.call_later(after / 1e6, self._ring, ring)
+    def start_timer(self, delay_us: int, callback: Callable[[int], None]) -> Timer:
+        """See `ServerIO`."""
+        return self.loop.call_later(delay_us / 1e6, self._timer_fired, callback)
 
-    def _ring(self, ring: Callable[[int], None]) -> None:
-        ring(self.now())
+    def _timer_fired(self, callback: Callable[[int], None]) -> None:
+        callback(self.now())
 
     def log(self, event: str, **facts: Any) -> None:
-        """As `core.Outlet`."""
+        """See `ServerIO`."""
         self.write_log(event, **facts)
 
-    # ---- what comes ----
+    # ---- events of connections, discovery and peers ----
 
     def message_received(self, connection: CallerConnection, message: Message) -> None:
-        """As `callers.CallerEvents`."""
-        self.core.caller_said(connection, message, self.now())
+        """See `CallerEvents`."""
+        self.core.caller_message(connection, message, self.now())
 
     def connection_closing(self, connection: CallerConnection) -> None:
-        """As `callers.CallerEvents`."""
+        """See `CallerEvents`."""
         self.core.caller_closing(connection, self.now())
 
     def connection_closed(self, connection: CallerConnection) -> None:
-        """As `callers.CallerEvents`."""
+        """See `CallerEvents`."""
         self.core.caller_closed(connection, self.now())
 
     def set_ups_on(self, connection: CallerConnection) -> int:
-        """As `callers.CallerEvents`."""
-        return self.core.open_on(connection)
+        """See `CallerEvents`."""
+        return self.core.pending_on(connection)
 
     def calls_on(self, connection: CallerConnection) -> int:
-        """As `callers.CallerEvents`."""
-        return self.core.standing_on(connection)
+        """See `CallerEvents`."""
+        return self.core.established_on(connection)
 
-    def office_heard(self, end: OfficeEnd, link: OfficeLink) -> None:
-        """As `offices.Hears`."""
-        self.core.office_heard(end, link, self.now())
+    def office_bytes_received(self, office: OfficeRecord, connection: OfficeConnection) -> None:
+        """See `OfficeEvents`."""
+        self.core.office_bytes_received(office, connection, self.now())
 
-    def office_said(self, end: OfficeEnd, link: OfficeLink, line: Line) -> None:
-        """As `offices.Hears`."""
-        self.core.office_said(end, link, line, self.now())
+    def office_line_received(self, office: OfficeRecord, connection: OfficeConnection, line: Line) -> None:
+        """See `OfficeEvents`."""
+        self.core.office_line_received(office, connection, line, self.now())
 
-    def dial_lost(self, dial: DialOut, reached: bool) -> None:
-        """As `offices.Hears`."""
-        self.core.dial_lost(dial, reached, self.now())
+    def dial_connection_lost(self, dial: PendingDial, sent: bool) -> None:
+        """See `OfficeEvents`."""
+        self.core.dial_connection_lost(dial, sent, self.now())
 
-    def office_refuses(self, end: OfficeEnd) -> None:
-        """As `offices.Hears`."""
-        self.core.office_refuses(end)
+    def office_refused_connection(self, office: OfficeRecord) -> None:
+        """See `OfficeEvents`."""
+        self.core.office_refused_connection(office)
 
-    def office_reached(self, end: OfficeEnd, link: OfficeLink) -> None:
-        """As `offices.Hears`."""
-        self.core.office_reached(end, link, self.now())
+    def office_connected(self, office: OfficeRecord, connection: OfficeConnection) -> None:
+        """See `OfficeEvents`."""
+        self.core.office_connected(office, connection, self.now())
 
-    def office_lost(self, end: OfficeEnd, link: OfficeLink) -> None:
-        """As `offices.Hears`."""
-        self.core.office_lost(end, link)
+    def office_connection_lost(self, office: OfficeRecord, connection: OfficeConnection) -> None:
+        """See `OfficeEvents`."""
+        self.core.office_connection_lost(office, connection)
 
-    def _told(self, notice: Notice) -> None:
-        self.core.listed(notice, self.now())
+    def _discovery_update(self, update: Notice) -> None:
+        self.core.discovery_update(update, self.now())
 
-    def _may_send(self, sender: Sender) -> None:
+    def _sender_ready(self, sender: Sender) -> None:
         self.sender = sender
 
-    def _datagram(self, data: bytes, address: str) -> None:
+    def _datagram_received(self, data: bytes, address: str) -> None:
         peer = self.peers.get(address)
-        if peer is None or len(data) > WORD_BYTES:
+        if peer is None or len(data) > MAX_PEER_MESSAGE_BYTES:
             self.counts["strays.datagram"] += 1
             return
-        self.core.word(peer, data, self.now())
+        self.core.peer_message(peer, data, self.now())
--- a/wellhitch/platform/set_up_request.py
+++ b/wellhitch/platform/set_up_request.py
@@ -1,4 +1,6 @@
-"""What a set-up must be to be taken. Pure: limits of the door, each with its name; nothing of routing or admission."""
+"""Reads and validates set-up requests (INVITE) from callers. Each violated limit has a name, under which it is counted.
+
+Routing and admission are decided elsewhere."""
 
 import re
 from collections.abc import Mapping
@@ -6,127 +8,128 @@
 
 from wellhitch.sip.codec import Request
 
-# Ten minutes; deadlines of the platform are seconds, and what is longer is no figure.
-MAX_LEFT_MS = 600_000
+# Ten minutes. Deadlines on the platform are a few seconds; a longer one is an invalid value.
+MAX_DEADLINE_MS = 600_000
 # Circuits of one call; the largest trunk groups have some hundreds.
 MAX_WIDTH = 1024
-# Exchange numbers are two bytes at discovery.
-NUMBERS = 65536
-# Usual ones have eighty bytes, and as a JSON line it stays under 16 KiB even where most of it is escaped.
-MAX_DESCRIPTION = 4096
+# Discovery sends exchange numbers in two bytes.
+MAX_EXCHANGES = 65536
+# Usual descriptions have eighty bytes. Even if most of it is escaped, the JSON line stays under 16 KiB.
+MAX_DESCRIPTION_BYTES = 4096
 
 _ADDRESS = re.compile(r"sips?:([0-9a-fA-F]{16})@[!-~]+")
-_ID = re.compile(r"[0-9a-fA-F]{16}")
-_OFFICE = re.compile(r"s-[0-9a-f]{8}")
-_FIGURE = re.compile(r"-?[0-9]{1,9}")
+_CALL_ID = re.compile(r"[0-9a-fA-F]{16}")
+_OFFICE_ID = re.compile(r"s-[0-9a-f]{8}")
+_INTEGER = re.compile(r"-?[0-9]{1,9}")
 _CSEQ = re.compile(r"[0-9]{1,10} [A-Z]{1,16}")
 
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """A set-up as a caller sent it; `left` in us. `at`: the office at which it stands already."""
+    """A set-up as a caller sent it. `established_at` is the id of the office where the call is already established."""
 
-    ref: str
-    key: str
+    call_id: str
+    called_number: str
     use_case: str
-    left: int
+    time_left_us: int
     destination: int
     width: int
     advised: int | None
     transit: bool
     redialled: bool
-    at: str | None
+    established_at: str | None
     description: str
 
 
-def dialogue_id(request: Request) -> str | None:
-    """The id that a message names, or None where it has none."""
-    ref = request.headers.get("call-id", "")
-    return ref if _ID.fullmatch(ref) else None
+def read_call_id(request: Request) -> str | None:
+    """The Call-ID of a message; None where it is missing or malformed."""
+    call_id = request.headers.get("call-id", "")
+    return call_id if _CALL_ID.fullmatch(call_id) else None
 
 
-def cseq_fits(request: Request) -> bool:
-    """Whether CSeq is there and names the method."""
-    told = request.headers.get("cseq", "")
-    return bool(_CSEQ.fullmatch(told)) and told.endswith(f" {request.method}")
+def has_valid_cseq(request: Request) -> bool:
+    """Whether the CSeq header is present and names the request's method."""
+    cseq = request.headers.get("cseq", "")
+    return bool(_CSEQ.fullmatch(cseq)) and cseq.endswith(f" {request.method}")
 
 
-def names_call(request: Request) -> bool:
-    """Whether it names a call that is up already, to which no answer is expected."""
+def reports_established_call(request: Request) -> bool:
+    """Whether an INVITE reports a call that is already established; such a request is not answered."""
     return request.method == "INVITE" and "at" in (_attributes(request.headers.get("x-attrs", "")) or ())
 
 
 def read_set_up(request: Request, use_cases: Mapping[str, object]) -> SetUp | str:
-    """The set-up, or the name of what is wrong with it."""
+    """The set-up, or the name of the field or limit that is wrong."""
     headers = request.headers
-    ref, address = dialogue_id(request), _ADDRESS.fullmatch(request.uri)
-    if ref is None:
+    call_id, address = read_call_id(request), _ADDRESS.fullmatch(request.uri)
+    if call_id is None:
         return "no_id"
     if address is None:
         return "number_called"
-    if not cseq_fits(request):
+    if not has_valid_cseq(request):
         return "cseq"
-    use_case, left = headers.get("x-tier", ""), headers.get("x-deadline", "")
+    use_case, deadline_ms = headers.get("x-tier", ""), headers.get("x-deadline", "")
     if use_case not in use_cases:
         return "unknown_use_case"
-    if not _FIGURE.fullmatch(left) or not 0 < int(left) <= MAX_LEFT_MS:
+    if not _INTEGER.fullmatch(deadline_ms) or not 0 < int(deadline_ms) <= MAX_DEADLINE_MS:
         return "left"
     attributes = _attributes(headers.get("x-attrs", ""))
     if attributes is None:
         return "attributes"
-    at = attributes.get("at")
-    if at is not None and not _OFFICE.fullmatch(at):
+    established_at = attributes.get("at")
+    if established_at is not None and not _OFFICE_ID.fullmatch(established_at):
         return "at"
-    destination, width = _figure(attributes, "dest", None), _figure(attributes, "width", 1)
-    advised, transit = _figure(attributes, "via", -1), _figure(attributes, "transit", 0)
-    if destination is None or not 0 <= destination < NUMBERS:
+    destination, width = _integer(attributes, "dest", None), _integer(attributes, "width", 1)
+    advised, transit = _integer(attributes, "via", -1), _integer(attributes, "transit", 0)
+    if destination is None or not 0 <= destination < MAX_EXCHANGES:
         return "destination"
     if width is None or not 1 <= width <= MAX_WIDTH:
         return "width"
-    if advised is None or not -1 <= advised < NUMBERS:
+    if advised is None or not -1 <= advised < MAX_EXCHANGES:
         return "advised"
     if transit not in (0, 1):
         return "transit"
-    if len(request.body) > MAX_DESCRIPTION:
+    if len(request.body) > MAX_DESCRIPTION_BYTES:
         return "description_too_long"
     try:
         description = request.body.decode("utf-8")
     except UnicodeDecodeError:
         return "description_no_text"
     redialled = headers.get("x-resent", "0") not in ("", "0", "false")
-    known = advised if advised >= 0 and not transit else None
+    valid_advised = advised if advised >= 0 and not transit else None
     return SetUp(
-        ref,
+        call_id,
         address[1],
         use_case,
-        int(left) * 1000,
+        int(deadline_ms) * 1000,
         destination,
         width,
-        known,
+        valid_advised,
         bool(transit),
         redialled,
-        at,
+        established_at,
         description,
     )
 
 
 def _attributes(text: str) -> dict[str, str] | None:
-    """`name:value` parted by semicolons; None where one has no value or is told twice."""
-    out: dict[str, str] = {}
+    """Attributes `name:value` separated by semicolons; None where one has no value, a name repeats or there are more
+    than 16."""
+    attributes: dict[str, str] = {}
     for part in text.split(";"):
         if not part.strip():
             continue
         name, colon, value = part.partition(":")
         name = name.strip()
-        if not colon or name in out or len(out) >= 16:
+        if not colon or name in attributes or len(attributes) >= 16:
             return None
-        out[name] = value.strip()
-    return out
+        attributes[name] = value.strip()
+    return attributes
 
 
-def _figure(attributes: dict[str, str], name: str, absent: int | None) -> int | None:
-    """A whole figure, `absent` where it is not told, None where it is none."""
-    told = attributes.get(name)
-    if told is None:
-        return absent
-    return int(told) if _FIGURE.fullmatch(told) else None
+def _integer(attributes: dict[str, str], name: str, default: int | None) -> int | None:
+    """An attribute's integer value, `default` where it is absent, None where it is no integer."""
+    value = attributes.get(name)
+    if value is None:
+        return default
+    return int(value) if _INTEGER.fullmatch(value) else None
--- a/wellhitch/platform/watch_policy.py
+++ b/wellhitch/platform/watch_policy.py
@@ -1,69 +1,71 @@
-"""When discovery is asked again, and which of its answers count. Pure; times in seconds.
+"""When the discovery client reconnects, and which updates it applies. Pure; times in seconds.
 
-An open watch that falls silent is not given up when another is opened: discovery may only be slow or crowded, and one
-that is asked anew each time its answer is late never gets to give it. Whichever watch speaks first is kept.
+A watch is one open connection to discovery. A silent watch stays open when another is opened: discovery may only be
+slow or overloaded, and reconnecting each time an answer is late would never let it answer. The first watch that
+delivers data is kept and the others are closed.
 """
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-# An empty frame comes each second, and what an open watch has not told counts as told after four.
+# Discovery sends an empty frame every second. The platform counts an update as received four seconds after it was made,
+# whether or not an open watch delivered it.
 SILENCE_S = 1.8
-# While discovery stays silent it is asked more and more rarely. What it has counts as told six seconds after it could
-# be reached, which leaves room for connecting and an answer.
-LONGEST_SILENCE_S = 3.6
-MOST_WATCHES = 2
-# What a broken watch would have told counts as told two seconds after the break.
+# The timeout doubles while discovery stays silent. An update counts as received six seconds after discovery is
+# reachable again, which leaves time to connect and receive an answer.
+MAX_SILENCE_S = 3.6
+MAX_WATCHES = 2
+# An update that a broken watch missed counts as received two seconds after the break.
 RETRY_S = 0.05
-LONGEST_RETRY_S = 0.5
+MAX_RETRY_S = 0.5
 
 
 @dataclass(slots=True)
 class WatchPolicy:
-    """The waits before the next call to discovery; each success starts them anew."""
+    """The delays before the next connection to discovery; data from discovery resets them."""
 
     silence_s: float = SILENCE_S
     retry_s: float = RETRY_S
 
-    def spoke(self) -> None:
-        """Discovery said something."""
+    def answered(self) -> None:
+        """Reset the delays: discovery sent something."""
         self.silence_s, self.retry_s = SILENCE_S, RETRY_S
 
-    def after_silence(self) -> None:
-        """Nothing was said for `silence_s`."""
-        self.silence_s = min(2 * self.silence_s, LONGEST_SILENCE_S)
+    def back_off_after_silence(self) -> None:
+        """Double the silence timeout: nothing was received for `silence_s`."""
+        self.silence_s = min(2 * self.silence_s, MAX_SILENCE_S)
 
     def next_retry(self) -> float:
-        """How long to wait after a watch broke or could not be opened."""
-        wait, self.retry_s = self.retry_s, min(2 * self.retry_s, LONGEST_RETRY_S)
+        """How long to wait after a watch broke or could not be opened; each call doubles the next delay."""
+        wait, self.retry_s = self.retry_s, min(2 * self.retry_s, MAX_RETRY_S)
         return wait
 
 
 class Order(Enum):
-    """How an update's revision stands to the last one held."""
+    """How an update's revision relates to the last one held."""
 
     NEXT = auto()
     HELD_ALREADY = auto()
-    AFTER_A_GAP = auto()
+    AFTER_GAP = auto()
 
 
 @dataclass(slots=True)
 class Revisions:
-    """The last revision held. A revision that skips some is asked for again once, then taken as it comes."""
+    """The last revision held. A revision after a gap is requested again once, then accepted as it comes."""
 
     held: int
-    _asked_again_for: int | None = field(default=None)
+    _requested_again: int | None = field(default=None)
 
     def order(self, revision: int, whole: bool, empty: bool) -> Order:
-        """How an update stands to what is held; an empty one only names the last revision there is."""
+        """Compare an update with the revision held. An empty update only names the latest revision."""
         if revision <= self.held:
             return Order.HELD_ALREADY
         skips = empty or (revision > self.held + 1 and not whole)
-        if skips and self._asked_again_for != revision:
-            self._asked_again_for = revision
-            return Order.AFTER_A_GAP
+        if skips and self._requested_again != revision:
+            self._requested_again = revision
+            return Order.AFTER_GAP
         return Order.HELD_ALREADY if empty else Order.NEXT
 
-    def take(self, revision: int) -> None:
-        """An update was taken."""
-        self.held, self._asked_again_for = revision, None
+    def accept(self, revision: int) -> None:
+        """Record that an update was applied."""
+        self.held, self._requested_again = revision, None
