--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,4 +1,4 @@
-"""What tests of the platform share: a call server of exchange 0, offices 1 and 2, board, callers, in virtual time."""
+"""Shared by the platform tests: exchange 0's call server, offices 1 and 2, discovery and callers, in virtual time."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -15,37 +15,44 @@
 from wellhitch.stand_ins.platform import Board, Caller, PlatformOffice, invite
 
 SECOND = 1_000_000
-UNIX = 1_796_000_000 * SECOND  # Unix time at nought of the loop's clock
-USES = (
+UNIX_START_US = 1_796_000_000 * SECOND  # Unix time when the loop's clock is 0
+TRAFFIC_CLASSES = (
     UseCase("cheap", 1.0, 0.25, 380_000, 3 * SECOND, 1, 2 * SECOND, (), True, 0),
     UseCase("dear", 6.0, 0.25, 300_000, 2 * SECOND, 1, 2 * SECOND, (), True, 0),
 )
-HERE = "10.0.0.1"
-BOARD = "10.2.0.1:8500"
-__all__ = ["DRAINING", "GONE", "READY", "SECOND", "UNIX", "World", "invite", "row"]
+SERVER = "10.0.0.1"
+DISCOVERY = "10.2.0.1:8500"
+__all__ = ["DRAINING", "GONE", "READY", "SECOND", "UNIX_START_US", "World", "invite", "row"]
 
 
 def row(
     number: int, state: int = READY, office: int | None = None, started_ms: int = 0, host: str = ""
 ) -> Row:
-    """An office of an exchange; its id is the number where none is given."""
-    made = number if office is None else office
-    return Row(f"s-{made:08x}", f"{host or f'10.1.0.{made}'}:2905", state, number, started_ms)
+    """An office of exchange `number` in a discovery update. Its id is `office`, by default the exchange number."""
+    office_number = number if office is None else office
+    return Row(
+        f"s-{office_number:08x}", f"{host or f'10.1.0.{office_number}'}:2905", state, number, started_ms
+    )
 
 
 def configuration(**over: Any) -> Configuration:
     """The configuration of the call server, with fields replaced by `over`."""
     opened = ev.Opened(
         seed=7,
-        use_cases=USES,
+        use_cases=TRAFFIC_CLASSES,
         place=Place(0, 2, False, 0, True),
         permissions=Permissions(5, True, False, True, 0, False),
         release=ReleaseRule(100_000, 250_000),
         cold=ColdRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
     )
-    made = Configuration(
+    default = Configuration(
         addresses=Addresses(
-            "n0", f"{HERE}:2905", BOARD, f"{HERE}:7946", ("10.3.0.1:7946", "10.3.0.2:7946"), "10.3.255.1:7946"
+            "n0",
+            f"{SERVER}:2905",
+            DISCOVERY,
+            f"{SERVER}:7946",
+            ("10.3.0.1:7946", "10.3.0.2:7946"),
+            "10.3.255.1:7946",
         ),
         opened=opened,
         revision=1,
@@ -54,70 +61,70 @@
         max_open=2000,
         connect_timeout_us=500_000,
     )
-    return replace(made, **over)
+    return replace(default, **over)
 
 
 class World:
-    """All parties on one virtual loop; `run` lets so many seconds pass."""
+    """The call server and its simulated counterparts on one virtual loop."""
 
     def __init__(self, **over: Any) -> None:
         self.loop = VirtualLoop()
         self.net = EmulatedNetwork(self.loop, 3)
-        self.faults: list[dict[str, Any]] = []
-        self.loop.set_exception_handler(lambda loop, context: self.faults.append(context))
+        self.errors: list[dict[str, Any]] = []
+        self.loop.set_exception_handler(lambda loop, context: self.errors.append(context))
         self.log: list[tuple[str, dict[str, Any]]] = []
-        self.ended = False
+        self.stopped = False
         self.offices = {number: self.office(number) for number in (1, 2)}
-        self.board = Board(self.loop, self.net.at("10.2.0.1"), BOARD)
-        self.service = self.serve(**over)
+        self.discovery = Board(self.loop, self.net.at("10.2.0.1"), DISCOVERY)
+        self.service = self.start_server(**over)
         self.core = self.service.core
         self.counts = self.core.counts
         self.run(0.1)
 
-    def serve(self, **over: Any) -> Service:
+    def start_server(self, **over: Any) -> Service:
         """Start a call server."""
         service = Service(
             self.loop,
-            self.net.at(HERE),
+            self.net.at(SERVER),
             configuration(**over),
-            lambda: UNIX + now_us(self.loop),
-            self._said,
-            self._end,
+            lambda: UNIX_START_US + now_us(self.loop),
+            self._write_log,
+            self._on_stopped,
         )
         service.start()
         return service
 
-    def _said(self, event: str, **facts: Any) -> None:
+    def _write_log(self, event: str, **facts: Any) -> None:
         self.log.append((event, facts))
 
-    def _end(self) -> None:
-        self.ended = True
+    def _on_stopped(self) -> None:
+        self.stopped = True
 
     def office(self, number: int) -> PlatformOffice:
-        """An office at the address that the list gives it."""
+        """Start an office at the address given by `row`."""
         return PlatformOffice(self.loop, self.net.at(f"10.1.0.{number}"), f"10.1.0.{number}:2905")
 
     def caller(self, host: str = "10.9.0.1", **over: Any) -> Caller:
-        """A connection from a caller."""
-        return Caller(self.loop, self.net.at(host), f"{HERE}:2905", **over)
+        """Open a connection from a caller."""
+        return Caller(self.loop, self.net.at(host), f"{SERVER}:2905", **over)
 
     def run(self, seconds: float) -> None:
-        """Let time pass; nothing may have raised on the way."""
+        """Advance virtual time, and fail on any exception raised by a callback."""
         self.loop.advance(seconds)
-        assert not self.faults, self.faults
+        assert not self.errors, self.errors
 
-    def until(self, seconds: float, done: Callable[[], bool]) -> bool:
-        """Let time pass in small steps until something is so."""
+    def run_until(self, seconds: float, condition: Callable[[], bool]) -> bool:
+        """Advance virtual time in small steps, at most `seconds`, until `condition` holds; returns whether it does."""
         for _ in range(int(seconds / 0.01)):
-            if done():
+            if condition():
                 return True
             self.run(0.01)
-        return done()
+        return condition()
 
-    def standing(self, ref: str, caller: Caller | None = None, destination: int = 1) -> Caller:
-        """A call that stands at an office."""
+    def establish(self, call_id: str, caller: Caller | None = None, destination: int = 1) -> Caller:
+        """Set up a call and return its caller once it is established."""
         caller = caller or self.caller()
-        caller.say(invite(ref, destination))
+        caller.say(invite(call_id, destination))
         self.run(0.1)
-        assert caller.statuses(ref) == [200]
+        assert caller.statuses(call_id) == [200]
         return caller
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,11 +1,11 @@
-"""The platform's call server against stand-ins, in virtual time: the hard cases of its protocol."""
+"""The platform's call server with simulated callers, offices and discovery, in virtual time."""
 
 from collections.abc import Callable
 from dataclasses import replace
 from typing import Any
 
 import pytest
-from platform_world import DRAINING, GONE, READY, SECOND, UNIX, World, configuration, invite, row
+from platform_world import DRAINING, GONE, READY, SECOND, UNIX_START_US, World, configuration, invite, row
 
 from wellhitch.board import codec as board_codec
 from wellhitch.board.codec import Notice
@@ -15,19 +15,19 @@
 from wellhitch.stand_ins.platform import Board, Caller, plain
 
 
-def ref(n: int) -> str:
+def call_id(n: int) -> str:
     return f"{n:016x}"
 
 
-A = ref(0xA)
+A = call_id(0xA)
 
 
-# ---- a dialogue's way ----
+# ---- set-up, answer and release ----
 
 
-def test_a_call_stands_with_what_its_office_said_and_ends_once() -> None:
+def test_call_is_established_with_the_answer_of_its_office_and_ends_once() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     [new] = world.offices[1].said("new")
     assert (new.ref, new.f["class"], new.f["key"], new.d) == (
         A,
@@ -41,14 +41,14 @@
     world.offices[1].down(A, 16)
     world.run(0.1)
     assert [reason for _, reason in caller.byes(A)] == ["Q.850;cause=16"]
-    world.offices[1].down(A, 16, end=world.offices[1].ends[0])  # told once more on another link
+    world.offices[1].down(A, 16, end=world.offices[1].ends[0])  # repeated on another connection
     world.run(1)
     assert len(caller.byes(A)) == 1 and not world.core.calls and not world.core.exchange.dialogues
 
 
-def test_a_caller_releases_on_any_connection() -> None:
+def test_caller_can_release_on_any_connection() -> None:
     world = World()
-    first, other = world.standing(A), world.caller()
+    first, other = world.establish(A), world.caller()
     other.say(plain("BYE", A))
     world.run(0.1)
     assert other.statuses(A, "BYE") == [200] and [line.c for line in world.offices[1].said("down")] == [16]
@@ -69,7 +69,7 @@
         (99, "", "reset", ""),
     ],
 )
-def test_a_refusal_means_to_the_decisions_what_it_says(
+def test_cause_and_note_of_a_refusal_reach_the_decision_module(
     cause: int, note: str, ending: str, blame: str
 ) -> None:
     world = World()
@@ -77,7 +77,7 @@
     office.answers = False
     caller = world.caller()
     caller.say(invite(A))
-    assert world.until(1, lambda: A in office.by_ref)
+    assert world.run_until(1, lambda: A in office.by_ref)
     office.down(A, cause, note)
     world.run(0.01)
     assert world.counts[f"ending.{ending}"] == 1 and (not blame or world.counts[f"blame.{blame}"] == 1)
@@ -85,7 +85,7 @@
     assert len(caller.statuses(A)) == 1
 
 
-def test_a_group_without_room_is_known_from_what_offices_tell() -> None:
+def test_full_trunk_group_is_known_from_load_reports() -> None:
     world = World()
     for office in world.offices.values():
         office.ends[0].write(b'{"t":"gauge","ref":"0","f":{"load":"spare:0;total:50"}}\n')
@@ -96,32 +96,34 @@
     assert caller.statuses(A) == [503] and not world.offices[1].said("new")
 
 
-def test_a_dialogue_that_the_module_gave_up_is_answered_at_once() -> None:
+def test_dialogue_rejected_by_the_decision_module_is_answered_at_once() -> None:
     world = World()
     for office in world.offices.values():
         office.answers = False
     caller = world.caller()
     caller.say(invite(A))
-    assert world.until(1, lambda: A in world.offices[1].by_ref)
+    assert world.run_until(1, lambda: A in world.offices[1].by_ref)
     world.offices[1].down(A, 34, "overload")
     world.run(0.02)
     assert caller.statuses(A) == [503]
 
 
-@pytest.mark.parametrize(("heeded", "told"), [(0, None), (2 * SECOND, "95")])
-def test_a_push_back_names_a_time_to_come_back_where_the_settings_allow_it(
-    heeded: int, told: str | None
+@pytest.mark.parametrize(("max_retry_after", "cooldown"), [(0, None), (2 * SECOND, "95")])
+def test_rejection_has_a_retry_after_time_where_the_settings_allow_it(
+    max_retry_after: int, cooldown: str | None
 ) -> None:
     opened = configuration().opened
-    world = World(opened=replace(opened, permissions=replace(opened.permissions, longest_retry_after=heeded)))
+    world = World(
+        opened=replace(opened, permissions=replace(opened.permissions, longest_retry_after=max_retry_after))
+    )
     caller = world.caller()
     caller.say(invite(A, 0))
     world.run(0.1)
     [(_, answer)] = caller.heard
-    assert caller.statuses(A) == [503] and answer.headers.get("x-cooldown") == told
+    assert caller.statuses(A) == [503] and answer.headers.get("x-cooldown") == cooldown
 
 
-def test_time_is_up_at_an_office_that_never_answers() -> None:
+def test_set_up_times_out_at_an_office_that_never_answers() -> None:
     world = World()
     for office in world.offices.values():
         office.answers = False
@@ -132,7 +134,7 @@
     assert len([line for office in world.offices.values() for line in office.said("down")]) >= 1
 
 
-def test_a_late_answer_of_a_dial_given_up_is_released_and_told_to_nobody() -> None:
+def test_late_answer_to_a_timed_out_dial_is_released_and_not_forwarded() -> None:
     world = World()
     world.offices[1].answers = False
     caller = world.caller()
@@ -146,17 +148,17 @@
     assert not world.core.calls and world.counts["late_answers_released"] == 1
 
 
-def test_an_answer_counts_only_from_the_office_whose_dial_is_out() -> None:
+def test_answer_counts_only_from_the_office_with_the_pending_dial() -> None:
     world = World()
     for office in world.offices.values():
         office.answers = False
     caller = world.caller()
     caller.say(invite(A, 1))
-    assert world.until(1, lambda: A in world.offices[1].by_ref)
+    assert world.run_until(1, lambda: A in world.offices[1].by_ref)
     world.offices[1].down(A, 34, "no_circuit")
-    if not world.until(0.3, lambda: A in world.offices[2].by_ref):
+    if not world.run_until(0.3, lambda: A in world.offices[2].by_ref):
         pytest.fail("the tandem was not dialled")
-    world.offices[1].up(A)  # the first office, after it refused
+    world.offices[1].up(A)  # a late answer from the office that refused
     world.run(0.1)
     assert caller.statuses(A) == []
     world.offices[2].up(A, "of the second")
@@ -164,30 +166,30 @@
     assert caller.statuses(A) == [200] and caller.heard[-1][1].body == b"of the second"
 
 
-def test_an_answer_ahead_or_under_an_unknown_id_is_no_answer() -> None:
+def test_answer_with_an_unknown_call_id_is_ignored() -> None:
     world = World()
     world.offices[1].ends[0].write(b'{"t":"up","ref":"00000000000000ff","f":{},"d":"x"}\n')
     world.run(0.1)
-    caller = world.standing(ref(0xFF))
+    caller = world.establish(call_id(0xFF))
     assert caller.heard[-1][1].body == b"office's own\r\n" and world.counts["strays.up"] == 1
 
 
-def test_a_second_copy_of_an_answer_or_a_release_does_nothing() -> None:
+def test_duplicate_answer_is_ignored() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     world.offices[1].up(A)
     world.run(0.1)
     assert caller.statuses(A) == [200] and A in world.core.calls
 
 
-def test_a_call_that_ended_with_its_answer_lost_is_over_and_not_dialled_again() -> None:
-    # It was, and stood a second time under its id: on a day with late answers two callers were not told in time that
-    # the first had ended.
+def test_call_that_ended_with_its_answer_lost_is_not_dialled_again() -> None:
+    # Guards against dialling it again: the second call had the same Call-ID, and in a run with late answers two callers
+    # were not told in time that the first had ended.
     world = World()
     world.offices[1].answers = False
     caller = world.caller()
     caller.say(invite(A))
-    assert world.until(1, lambda: A in world.offices[1].by_ref)
+    assert world.run_until(1, lambda: A in world.offices[1].by_ref)
     world.offices[1].down(A, 16)
     world.run(2)
     assert caller.statuses(A) == [500] and not caller.byes(A)
@@ -195,27 +197,27 @@
     assert not world.core.pending_calls and not world.core.exchange.dialogues
 
 
-def test_an_answer_without_its_description_is_none() -> None:
+def test_answer_without_a_description_counts_as_a_reset() -> None:
     world = World()
     world.offices[1].answers = world.offices[2].answers = False
     caller = world.caller()
     caller.say(invite(A))
-    assert world.until(1, lambda: A in world.offices[1].by_ref)
+    assert world.run_until(1, lambda: A in world.offices[1].by_ref)
     world.offices[1].raw(A, f'{{"t":"up","ref":"{A}","f":{{}}}}\n'.encode())
     world.run(0.02)
     assert world.counts["ending.reset"] == 1 and caller.statuses(A) == []
     assert [line.c for line in world.offices[1].said("down")] == [16]
 
 
-# ---- give-up ----
+# ---- cancellation ----
 
 
-def test_a_cancel_before_the_answer_gives_the_dial_up_and_nothing_follows() -> None:
+def test_cancel_before_the_answer_ends_the_dial_without_a_release() -> None:
     world = World()
     world.offices[1].answers = False
     caller = world.caller()
     caller.say(invite(A))
-    assert world.until(1, lambda: A in world.offices[1].by_ref)
+    assert world.run_until(1, lambda: A in world.offices[1].by_ref)
     caller.say(plain("CANCEL", A))
     world.run(0.1)
     assert caller.statuses(A, "CANCEL") == [200] and caller.statuses(A) == [487]
@@ -225,16 +227,16 @@
     assert caller.statuses(A) == [487] and not caller.byes(A) and not world.core.pending_calls
 
 
-def test_a_cancel_that_crosses_the_answer_releases_both_ends() -> None:
+def test_cancel_that_crosses_the_answer_releases_both_ends() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     caller.say(plain("CANCEL", A))
     world.run(0.1)
     assert len(caller.byes(A)) == 1 and [line.c for line in world.offices[1].said("down")] == [16]
     assert not world.core.calls
 
 
-def test_a_groups_state_is_not_a_callers_to_tell() -> None:
+def test_trunk_group_state_from_a_caller_is_ignored() -> None:
     world = World()
     caller = world.caller()
     more = b"X-Office: s-00000001\r\nX-Load: spare:0;total:50\r\nContent-Length: 0"
@@ -243,49 +245,49 @@
     assert not caller.heard and world.core.exchange.offices["s-00000001"].free == 50
 
 
-@pytest.mark.parametrize("leaves", ["cancel", "close"])
-def test_a_set_up_given_up_while_it_waits_for_a_link_is_never_sent(leaves: str) -> None:
+@pytest.mark.parametrize("action", ["cancel", "close"])
+def test_set_up_cancelled_while_it_waits_for_a_connection_is_never_sent(action: str) -> None:
     world = World()
     world.net.delay = lambda here, there: 200_000 if "10.1.0.1" in (here, there) else 1000
     world.offices[1].cut()
-    world.run(0.05)  # a link is on its way up
+    world.run(0.05)  # a connection is being opened
     caller = world.caller()
     caller.say(invite(A))
     world.run(0.05)
-    if leaves == "cancel":
+    if action == "cancel":
         caller.say(plain("CANCEL", A))
     else:
         caller.close()
     world.run(2)
-    assert caller.statuses(A) == ([487] if leaves == "cancel" else []) and not world.core.pending_calls
+    assert caller.statuses(A) == ([487] if action == "cancel" else []) and not world.core.pending_calls
     assert not world.offices[1].said("new") and not world.offices[1].said("down")
 
 
-def test_nobody_cancels_a_dialogue_of_another_connection() -> None:
+def test_cancel_on_another_connection_is_ignored() -> None:
     world = World()
     world.offices[1].answers = False
     caller, other = world.caller(), world.caller("10.9.0.2")
     caller.say(invite(A))
-    assert world.until(1, lambda: A in world.offices[1].by_ref)
+    assert world.run_until(1, lambda: A in world.offices[1].by_ref)
     other.say(plain("CANCEL", A))
     world.run(0.05)
     assert A in world.core.pending_by_call_id
 
 
-def test_a_connection_that_closes_gives_up_its_open_set_ups_and_no_call_that_stands() -> None:
+def test_closed_connection_cancels_its_pending_set_ups_but_no_established_call() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     world.offices[1].answers = False
-    caller.say(invite(ref(2)))
-    assert world.until(1, lambda: ref(2) in world.offices[1].by_ref)
+    caller.say(invite(call_id(2)))
+    assert world.run_until(1, lambda: call_id(2) in world.offices[1].by_ref)
     caller.close()
     world.run(0.1)
-    assert [line.ref for line in world.offices[1].said("down")] == [ref(2)] and A in world.core.calls
+    assert [line.ref for line in world.offices[1].said("down")] == [call_id(2)] and A in world.core.calls
 
 
-def test_a_bye_against_a_release_at_the_same_moment_ends_once() -> None:
+def test_simultaneous_releases_from_both_ends_end_the_call_once() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     world.offices[1].down(A, 16)
     caller.say(plain("BYE", A))
     world.run(1)
@@ -293,9 +295,9 @@
 
 
 @pytest.mark.parametrize("times", [0, 1, 2])
-def test_an_ack_late_twice_or_never_changes_nothing(times: int) -> None:
+def test_missing_or_repeated_ack_changes_nothing(times: int) -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     for _ in range(times):
         caller.say(plain("ACK", A))
     world.run(2)
@@ -305,9 +307,9 @@
 # ---- releases ----
 
 
-def test_a_release_whose_connection_is_gone_goes_out_on_another_open_one() -> None:
+def test_release_is_sent_on_another_connection_if_its_own_is_gone() -> None:
     world = World()
-    caller, other = world.standing(A), world.standing(ref(2))
+    caller, other = world.establish(A), world.establish(call_id(2))
     caller.close()
     world.run(0.1)
     world.offices[1].down(A, 16)
@@ -315,42 +317,43 @@
     assert len(other.byes(A)) == 1
 
 
-def test_a_release_without_any_connection_waits_for_the_next() -> None:
+def test_release_without_any_connection_waits_for_the_next() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     caller.close()
     world.run(0.1)
     world.offices[1].down(A, 16)
     world.run(1)
-    later = world.standing(ref(2))
+    next_caller = world.establish(call_id(2))
     world.run(0.5)
-    assert len(later.byes(A)) == 1
+    assert len(next_caller.byes(A)) == 1
 
 
-def test_a_release_that_a_stranger_leaves_unanswered_goes_out_again_within_its_second() -> None:
-    # Connections of bad clients look used too; on the day of bad clients 167 releases were lost on them.
+def test_release_left_unanswered_by_another_client_is_resent_within_a_second() -> None:
+    # Guards against sending a release only on connections of misbehaving clients, which count as used too; in a run
+    # with such clients 167 releases were lost.
     world = World()
-    caller, usual = world.standing(A), world.standing(ref(2))
-    strangers = [world.standing(ref(20 + n), world.caller(answers_bye=False)) for n in range(3)]
+    caller, ordinary = world.establish(A), world.establish(call_id(2))
+    unresponsive = [world.establish(call_id(20 + n), world.caller(answers_bye=False)) for n in range(3)]
     caller.close()
     world.run(0.1)
     over = world.loop.time()
     world.offices[1].down(A, 16)
     world.run(1.1)
-    [(at, _)] = usual.byes(A)
-    assert at / 1e6 - over < 1 and sum(len(one.byes(A)) for one in strangers) == 3
+    [(at, _)] = ordinary.byes(A)
+    assert at / 1e6 - over < 1 and sum(len(one.byes(A)) for one in unresponsive) == 3
 
 
-def test_a_release_that_was_answered_is_not_sent_again() -> None:
+def test_answered_release_is_not_resent() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     world.offices[1].down(A, 16)
     world.run(10)
     assert len(caller.byes(A)) == 1 and not len(world.core.releases)
 
 
-def test_what_was_over_before_its_caller_told_of_it_is_released_to_it() -> None:
-    # After a restart here, an office's release may come before the caller's set-up with `at`.
+def test_call_that_ended_before_its_caller_reported_it_is_released() -> None:
+    # After a restart of the call server, an office's release may arrive before its caller reports the call.
     world = World()
     world.offices[1].ends[0].write(f'{{"t":"down","ref":"{A}","f":{{}},"c":16}}\n'.encode())
     world.run(0.1)
@@ -360,11 +363,11 @@
     assert len(caller.byes(A)) == 1 and caller.statuses(A) == []
 
 
-def test_a_call_that_stands_already_gets_no_answer_and_its_release() -> None:
+def test_reported_call_gets_no_answer_but_its_release() -> None:
     world = World()
     caller = world.caller()
     caller.say(invite(A, more=";at:s-00000001"))
-    caller.say(invite(A, more=";at:s-00000001"))  # what is held already
+    caller.say(invite(A, more=";at:s-00000001"))  # reported twice
     world.run(0.1)
     assert caller.statuses(A) == [] and not world.offices[1].said("new")
     world.offices[1].ends[0].write(f'{{"t":"down","ref":"{A}","f":{{}},"c":16}}\n'.encode())
@@ -372,7 +375,7 @@
     assert len(caller.byes(A)) == 1
 
 
-def test_a_call_told_to_stand_at_an_office_nobody_knows_is_released() -> None:
+def test_call_reported_at_an_unknown_office_is_released() -> None:
     world = World()
     caller = world.caller()
     caller.say(invite(A, more=";at:s-0000dead"))
@@ -383,36 +386,36 @@
 # ---- offices ----
 
 
-def test_a_spoilt_link_is_closed_its_unanswered_dials_reset_and_its_calls_live_on() -> None:
+def test_unreadable_connection_is_closed_with_its_dials_but_not_its_calls() -> None:
     for noise in (b"\xff\x00\xfe\n", b"x" * 20000, b'{"t":"up","ref":"', b"[1]\n"):
         world = World()
-        caller = world.standing(A)
+        caller = world.establish(A)
         office = world.offices[1]
         office.answers = False
-        caller.say(invite(ref(2)))
-        assert world.until(1, lambda office=office: ref(2) in office.by_ref)
-        office.raw(ref(2), noise)
+        caller.say(invite(call_id(2)))
+        assert world.run_until(1, lambda office=office: call_id(2) in office.by_ref)
+        office.raw(call_id(2), noise)
         office.answers = True
         world.run(0.3)
         assert world.counts["ending.reset"] == 1 and A in world.core.calls, noise
-        office.down(A, 16, end=office.ends[-1])  # on a link opened since
+        office.down(A, 16, end=office.ends[-1])  # on a connection opened since
         world.run(0.3)
         assert len(caller.byes(A)) == 1, noise
-        assert caller.statuses(ref(2)) == [200], noise  # dialled again, after the release wait
+        assert caller.statuses(call_id(2)) == [200], noise  # dialled again after the release wait
 
 
-def test_a_spoilt_link_takes_few_dials_along() -> None:
+def test_dials_are_spread_over_several_connections() -> None:
     world = World()
     office = world.offices[1]
     office.answers = False
     caller = world.caller()
     for n in range(6):
-        caller.say(invite(ref(n)))
+        caller.say(invite(call_id(n)))
         world.run(0.02)
     assert len(set(office.by_ref.values())) >= 3
 
 
-def test_a_dial_to_an_office_that_refuses_links_is_unreachable_at_once() -> None:
+def test_dial_to_an_office_that_refuses_connections_is_unreachable_at_once() -> None:
     world = World()
     world.offices[1].stop_listening()
     world.offices[1].cut()
@@ -423,26 +426,26 @@
     assert world.counts["ending.unreachable"] >= 1 and caller.statuses(A) == [503]
 
 
-def test_the_calls_of_an_office_that_died_are_released_once_it_refuses_links() -> None:
+def test_calls_of_an_office_are_released_once_it_refuses_connections() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     world.offices[1].stop_listening()
     world.offices[1].cut()
     world.run(1)
-    assert A in world.core.calls  # a reset alone proves nothing
+    assert A in world.core.calls  # a reset alone does not end calls
     world.run(4)
     assert [reason for _, reason in caller.byes(A)] == ["Q.850;cause=41"]
 
 
-def test_an_office_that_comes_back_after_a_reset_keeps_its_calls() -> None:
+def test_office_that_reconnects_after_a_reset_keeps_its_calls() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     world.offices[1].cut()
     world.run(5)
     assert A in world.core.calls and not caller.byes(A)
 
 
-def test_an_office_that_resets_each_link_at_once_is_not_tried_without_a_pause() -> None:
+def test_office_that_resets_each_connection_is_reconnected_with_backoff() -> None:
     world = World()
     office = world.offices[1]
     office.resets = True
@@ -452,23 +455,23 @@
     assert 2 <= office.opened - before <= 25
     office.resets = False
     world.run(1.5)
-    world.standing(A)
+    world.establish(A)
 
 
-def test_nothing_new_goes_to_an_office_that_drains_and_what_waits_for_a_link_is_taken_back() -> None:
+def test_set_up_waiting_for_a_connection_is_withdrawn_when_the_office_drains() -> None:
     world = World()
     world.net.delay = lambda here, there: 200_000 if "10.1.0.1" in (here, there) else 1000
     world.offices[1].cut()
-    world.run(0.05)  # a link is on its way up
+    world.run(0.05)  # a connection is being opened
     caller = world.caller()
     caller.say(invite(A))
     world.run(0.05)
-    world.board.tell(row(1, DRAINING))
+    world.discovery.tell(row(1, DRAINING))
     world.run(1)
     assert not world.offices[1].said("new") and len(caller.statuses(A)) == 1
 
 
-def test_a_set_up_in_the_buffer_of_an_office_that_does_not_read_never_reaches_it_once_it_drains() -> None:
+def test_unsent_set_up_never_reaches_an_office_that_drains() -> None:
     world = World()
     office = world.offices[1]
     for end in office.ends:
@@ -478,7 +481,7 @@
     caller = world.caller()
     caller.say(invite(A))
     world.run(0.05)
-    world.board.tell(row(1, DRAINING))
+    world.discovery.tell(row(1, DRAINING))
     world.run(0.3)
     for end in ends:
         assert end.transport is not None
@@ -487,42 +490,42 @@
     assert not office.said("new") and len(caller.statuses(A)) == 1
 
 
-def test_a_drain_cuts_no_call_and_one_that_is_gone_releases_its_calls() -> None:
+def test_draining_office_keeps_its_calls_and_a_removed_one_releases_them() -> None:
     world = World()
-    caller = world.standing(A)
-    world.board.tell(row(1, DRAINING))
+    caller = world.establish(A)
+    world.discovery.tell(row(1, DRAINING))
     world.run(3)
     assert A in world.core.calls
-    world.board.tell(row(1, GONE))
+    world.discovery.tell(row(1, GONE))
     world.run(1)
     assert len(caller.byes(A)) == 1 and "s-00000001" not in world.core.offices
 
 
-def test_a_new_office_at_the_address_of_one_gone_is_another() -> None:
+def test_new_office_at_the_address_of_a_removed_one_is_distinct() -> None:
     world = World()
-    caller = world.standing(A)
-    world.board.tell(row(1, GONE), row(1, READY, 0x77, host="10.1.0.1"))
+    caller = world.establish(A)
+    world.discovery.tell(row(1, GONE), row(1, READY, 0x77, host="10.1.0.1"))
     world.run(1)
     assert len(caller.byes(A)) == 1
-    world.standing(ref(2), caller)
-    assert world.core.calls[ref(2)].office.id == "s-00000077"
+    world.establish(call_id(2), caller)
+    assert world.core.calls[call_id(2)].office.id == "s-00000077"
 
 
-def test_a_start_on_the_board_is_unix_time_and_twice_the_same() -> None:
+def test_start_time_from_discovery_is_converted_to_the_same_loop_time_each_time() -> None:
     world = World()
     world.run(20)
-    started_ms = UNIX // 1000 + 15_000
-    world.board.tell(row(1, READY, 0x78, started_ms))
+    started_ms = UNIX_START_US // 1000 + 15_000
+    world.discovery.tell(row(1, READY, 0x78, started_ms))
     world.run(0.2)
     known = world.core.exchange.offices["s-00000078"].started
     assert known == 15 * SECOND
     world.run(5)
-    world.board.tell(row(1, READY, 0x78, started_ms))
+    world.discovery.tell(row(1, READY, 0x78, started_ms))
     world.run(0.2)
     assert world.core.exchange.offices["s-00000078"].started == known
 
 
-def test_the_own_exchange_is_never_dialled_nor_linked() -> None:
+def test_own_exchange_is_never_dialled_or_connected() -> None:
     world = World()
     caller = world.caller()
     caller.say(invite(A, 0))
@@ -531,129 +534,134 @@
     assert [end.number for end in world.service.office_connections.pools] == [1, 2]
 
 
-def test_a_call_in_transit_goes_to_its_destination_or_back() -> None:
+def test_call_in_transit_goes_only_to_its_destination() -> None:
     world = World()
     world.offices[1].ends[0].write(b'{"t":"gauge","ref":"0","f":{"load":"spare:0;total:50"}}\n')
     world.run(0.1)
     caller = world.caller()
     caller.say(invite(A, 1, more=";transit:1"))
-    caller.say(invite(ref(2), 2, more=";transit:1"))
+    caller.say(invite(call_id(2), 2, more=";transit:1"))
     world.run(0.1)
-    assert caller.statuses(A) == [503] and caller.statuses(ref(2)) == [200]
+    assert caller.statuses(A) == [503] and caller.statuses(call_id(2)) == [200]
     assert not [line for line in world.offices[2].said("new") if line.ref == A]
 
 
-# ---- the board ----
+# ---- discovery ----
 
 
-def _cut_in_a_frame(world: World) -> None:
-    notice = world.board.tell(row(1, DRAINING), loud=False)
-    world.board.raw(board_codec.frame(notice)[:20])
+def _cut_within_a_frame(world: World) -> None:
+    update = world.discovery.tell(row(1, DRAINING), loud=False)
+    world.discovery.raw(board_codec.frame(update)[:20])
     world.run(0.05)
-    world.board.cut()
+    world.discovery.cut()
 
 
-def _silent(world: World) -> None:
-    world.board.tell(row(1, DRAINING), loud=False)
-    world.board.silent = True
-    world.loop.call_later(1, lambda: setattr(world.board, "silent", False))
+def _silent_for_a_second(world: World) -> None:
+    world.discovery.tell(row(1, DRAINING), loud=False)
+    world.discovery.silent = True
+    world.loop.call_later(1, lambda: setattr(world.discovery, "silent", False))
 
 
-def _twice(world: World) -> None:
-    notice = world.board.tell(row(1, DRAINING))
-    world.board.raw(board_codec.frame(notice))
+def _duplicate_update(world: World) -> None:
+    update = world.discovery.tell(row(1, DRAINING))
+    world.discovery.raw(board_codec.frame(update))
 
 
-def _left_out(world: World) -> None:
-    world.board.tell(row(1, DRAINING), loud=False)
-    world.board.tell(row(2, READY))
+def _missing_update(world: World) -> None:
+    world.discovery.tell(row(1, DRAINING), loud=False)
+    world.discovery.tell(row(2, READY))
 
 
-def _unreadable(world: World) -> None:
-    world.board.tell(row(1, DRAINING), loud=False)
-    world.board.raw(b"\xff" * 40)
+def _unreadable_frame(world: World) -> None:
+    world.discovery.tell(row(1, DRAINING), loud=False)
+    world.discovery.raw(b"\xff" * 40)
 
 
-@pytest.mark.parametrize("trouble", [_cut_in_a_frame, _silent, _twice, _left_out, _unreadable])
-def test_a_board_in_trouble_is_asked_again_from_the_last_number(trouble: Callable[[World], None]) -> None:
+@pytest.mark.parametrize(
+    "fault",
+    [_cut_within_a_frame, _silent_for_a_second, _duplicate_update, _missing_update, _unreadable_frame],
+)
+def test_faulty_discovery_is_asked_again_from_the_last_revision(fault: Callable[[World], None]) -> None:
     world = World()
     world.run(0.5)
-    trouble(world)
+    fault(world)
     world.run(3.5)
     assert world.core.offices["s-00000001"].state is ev.Standing.DRAINING
-    assert world.service.discovery.revision == world.board.events[-1].number
-    drains = [facts for event, facts in world.log if event == "office" and facts["standing"] == "DRAINING"]
-    assert len(drains) == 1
+    assert world.service.discovery.revision == world.discovery.events[-1].number
+    draining_events = [
+        facts for event, facts in world.log if event == "office" and facts["standing"] == "DRAINING"
+    ]
+    assert len(draining_events) == 1
 
 
-def test_a_number_that_the_board_never_tells_is_asked_for_once() -> None:
+def test_missing_revision_is_requested_once() -> None:
     world = World()
-    world.board.events.append(Notice(5, False, (row(1, DRAINING),)))
-    world.board.raw(board_codec.frame(world.board.events[-1]))
+    world.discovery.events.append(Notice(5, False, (row(1, DRAINING),)))
+    world.discovery.raw(board_codec.frame(world.discovery.events[-1]))
     world.run(1)
-    assert world.service.discovery.revision == 5 and len(world.board.asked) == 2
+    assert world.service.discovery.revision == 5 and len(world.discovery.asked) == 2
 
 
-# ---- callers that send what cannot be used ----
+# ---- callers that send invalid input ----
 
 
-def _bytes(data: bytes) -> Callable[[Caller], None]:
+def _sending(data: bytes) -> Callable[[Caller], None]:
     return lambda caller: caller.say(data)
 
 
-BAD: dict[str, Callable[[Caller], None]] = {
-    "no text": _bytes(b"\x00\xff\xfe" * 300),
-    "a web request": _bytes(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-    "wrong length": _bytes(invite(A).replace(b"Content-Length: 14", b"Content-Length: 1x")),
-    "negative length": _bytes(invite(A).replace(b"Content-Length: 14", b"Content-Length: -14")),
-    "huge length": _bytes(
+INVALID_INPUT: dict[str, Callable[[Caller], None]] = {
+    "no text": _sending(b"\x00\xff\xfe" * 300),
+    "a web request": _sending(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+    "wrong length": _sending(invite(A).replace(b"Content-Length: 14", b"Content-Length: 1x")),
+    "negative length": _sending(invite(A).replace(b"Content-Length: 14", b"Content-Length: -14")),
+    "huge length": _sending(
         invite(A).replace(b"Content-Length: 14", b"Content-Length: 62914560") + b"x" * 60000
     ),
-    "no length": _bytes(invite(A).replace(b"Content-Length: 14\r\n", b"")),
-    "two lengths": _bytes(
+    "no length": _sending(invite(A).replace(b"Content-Length: 14\r\n", b"")),
+    "two lengths": _sending(
         invite(A).replace(b"Content-Length: 14", b"Content-Length: 14\r\nContent-Length: 3")
     ),
-    "short length": _bytes(invite(A).replace(b"Content-Length: 14", b"Content-Length: 3")),
-    "long length": _bytes(invite(A).replace(b"Content-Length: 14", b"Content-Length: 999")),
-    "headers without end": _bytes(f"INVITE sip:{A}@net SIP/2.0\r\n".encode() + b"X-A: b\r\n" * 5000),
-    "unknown use case": _bytes(invite(A, use_case="unheard-of")),
-    "no number": _bytes(invite(A).replace(b"X-Deadline: 1000", b"X-Deadline: soon")),
-    "out of range": _bytes(invite(A).replace(b"dest:1", b"dest:99999999")),
-    "no id": _bytes(invite(A).replace(f"Call-ID: {A}\r\n".encode(), b"")),
-    "half a set-up": _bytes(invite(A)[:150]),
+    "short length": _sending(invite(A).replace(b"Content-Length: 14", b"Content-Length: 3")),
+    "long length": _sending(invite(A).replace(b"Content-Length: 14", b"Content-Length: 999")),
+    "headers without end": _sending(f"INVITE sip:{A}@net SIP/2.0\r\n".encode() + b"X-A: b\r\n" * 5000),
+    "unknown traffic class": _sending(invite(A, use_case="unheard-of")),
+    "no number": _sending(invite(A).replace(b"X-Deadline: 1000", b"X-Deadline: soon")),
+    "out of range": _sending(invite(A).replace(b"dest:1", b"dest:99999999")),
+    "no id": _sending(invite(A).replace(f"Call-ID: {A}\r\n".encode(), b"")),
+    "half a set-up": _sending(invite(A)[:150]),
     "nothing": lambda caller: None,
-    "body that is no text": _bytes(invite(A, body=b"\xff\xfe\xfd")),
-    "one id twice": _bytes(invite(A) + invite(A, 2)),
-    "method": _bytes(plain("REGISTER", A)),
+    "body that is no text": _sending(invite(A, body=b"\xff\xfe\xfd")),
+    "one id twice": _sending(invite(A) + invite(A, 2)),
+    "method": _sending(plain("REGISTER", A)),
 }
 
 
-@pytest.mark.parametrize("kind", BAD)
-def test_what_cannot_be_used_gets_a_refusal_or_a_close_and_reaches_no_office(kind: str) -> None:
+@pytest.mark.parametrize("kind", INVALID_INPUT)
+def test_invalid_input_is_refused_or_closed_and_reaches_no_office(kind: str) -> None:
     world = World()
-    usual = world.standing(ref(1))
+    ordinary = world.establish(call_id(1))
     for office in world.offices.values():
         office.answers = False
-    bad = world.caller("10.9.9.9")
-    BAD[kind](bad)
+    misbehaving = world.caller("10.9.9.9")
+    INVALID_INPUT[kind](misbehaving)
     world.run(3)
-    refused = [one for _, one in bad.heard if getattr(one, "status", 0) >= 400]
-    assert refused or bad.closed
-    assert not any(getattr(one, "status", 0) == 200 for _, one in bad.heard)
+    refused = [one for _, one in misbehaving.heard if getattr(one, "status", 0) >= 400]
+    assert refused or misbehaving.closed
+    assert not any(getattr(one, "status", 0) == 200 for _, one in misbehaving.heard)
     news = [line for office in world.offices.values() for line in office.said("new")][1:]
     assert not news or kind == "one id twice"
     for office in world.offices.values():
         office.answers = True
-    world.standing(ref(3), usual)
+    world.establish(call_id(3), ordinary)
     assert not world.core.pending_calls
 
 
-def test_an_open_id_with_another_description_is_refused_and_its_owner_served() -> None:
+def test_call_id_in_use_is_refused_and_its_owner_served() -> None:
     world = World()
     world.offices[1].answers = False
     caller, other = world.caller(), world.caller("10.9.9.9")
     caller.say(invite(A))
-    assert world.until(1, lambda: A in world.offices[1].by_ref)
+    assert world.run_until(1, lambda: A in world.offices[1].by_ref)
     other.say(invite(A, body=b"another\r\n"))
     world.run(0.05)
     assert other.statuses(A) == [400]
@@ -662,108 +670,110 @@
     assert caller.statuses(A) == [200]
 
 
-def test_a_caller_that_never_reads_is_let_go_and_others_are_served() -> None:
+def test_caller_that_never_reads_is_disconnected() -> None:
     world = World()
-    deaf = world.caller("10.9.9.9", reads=False)
+    not_reading = world.caller("10.9.9.9", reads=False)
     for n in range(900):
-        deaf.say(plain("OPTIONS", ref(n)))
+        not_reading.say(plain("OPTIONS", call_id(n)))
     world.run(1)
-    world.standing(A)
-    assert world.counts["door.unread"] == 1 and deaf.closed
+    world.establish(A)
+    assert world.counts["door.unread"] == 1 and not_reading.closed
 
 
-def test_hundreds_of_set_ups_at_once_are_all_answered() -> None:
+def test_hundreds_of_simultaneous_set_ups_are_all_answered() -> None:
     world = World()
-    bad = world.caller("10.9.9.9")
+    misbehaving = world.caller("10.9.9.9")
     for n in range(400):
-        bad.say(invite(ref(n)))
+        misbehaving.say(invite(call_id(n)))
     world.run(3)
-    assert all(len(bad.statuses(ref(n))) == 1 for n in range(400))
+    assert all(len(misbehaving.statuses(call_id(n))) == 1 for n in range(400))
     assert not world.core.pending_calls
 
 
-def test_hundreds_taken_back_at_once_leave_nothing() -> None:
+def test_hundreds_of_cancelled_set_ups_leave_no_state() -> None:
     world = World()
     for office in world.offices.values():
         office.answers = False
-    bad = world.caller("10.9.9.9")
+    misbehaving = world.caller("10.9.9.9")
     for n in range(300):
-        bad.say(invite(ref(n)))
+        misbehaving.say(invite(call_id(n)))
     for n in range(300):
-        bad.say(plain("CANCEL", ref(n)))
+        misbehaving.say(plain("CANCEL", call_id(n)))
     world.run(0.5)
     assert not world.core.pending_calls and not any(office.dials for office in world.core.offices.values())
 
 
-def test_silent_connections_are_let_go_and_never_pass_the_share_of_callers() -> None:
+def test_silent_connections_are_closed_and_stay_within_the_limit() -> None:
     world = World()
-    most, _, _ = descriptor_shares(256)
-    usual = world.standing(A)
+    max_callers, _, _ = descriptor_shares(256)
+    ordinary = world.establish(A)
     silent = [world.caller(f"10.9.8.{n % 250}") for n in range(400)]
     world.run(0.5)
-    assert world.service.callers.open <= most and not usual.closed
+    assert world.service.callers.open <= max_callers and not ordinary.closed
     world.run(3)
     assert all(one.closed for one in silent) and world.counts["door.full"] > 0
-    world.standing(ref(2), usual)
+    world.establish(call_id(2), ordinary)
 
 
-def test_connections_with_calls_are_the_last_to_go_for_want_of_descriptors() -> None:
-    # They went first in first out: on the day of bad clients the usual callers lost theirs, and their releases.
+def test_connections_with_calls_are_evicted_last() -> None:
+    # Guards against evicting the oldest connection first: in a run with misbehaving clients, ordinary callers lost
+    # their connections and the releases on them.
     world = World()
-    most, _, _ = descriptor_shares(256)
-    caller = world.standing(A)
-    others = [world.caller(f"10.9.8.{n % 250}") for n in range(most + 20)]
+    max_callers, _, _ = descriptor_shares(256)
+    caller = world.establish(A)
+    others = [world.caller(f"10.9.8.{n % 250}") for n in range(max_callers + 20)]
     for n, one in enumerate(others):
-        one.say(plain("OPTIONS", ref(n)))
+        one.say(plain("OPTIONS", call_id(n)))
     world.run(0.5)
-    assert not caller.closed and world.service.callers.open <= most
+    assert not caller.closed and world.service.callers.open <= max_callers
 
 
-def test_a_connection_in_use_is_not_let_go_for_want_of_descriptors() -> None:
-    # The longest open went first, by a reset: on a crowded day two callers lost the answer just written to them.
+def test_connection_in_use_is_not_evicted() -> None:
+    # Guards against resetting the connection that is open longest: in a run with many connections, two callers lost the
+    # answer just written to them.
     world = World()
-    most, _, _ = descriptor_shares(256)
+    max_callers, _, _ = descriptor_shares(256)
     first = world.caller()
-    others = [world.caller(f"10.9.8.{n % 250}") for n in range(most - 1)]
+    others = [world.caller(f"10.9.8.{n % 250}") for n in range(max_callers - 1)]
     for n, one in enumerate([first, *others]):
-        one.say(plain("OPTIONS", ref(n)))
+        one.say(plain("OPTIONS", call_id(n)))
     world.run(0.6)
-    first.say(invite(ref(999), 0))  # to the own exchange: pushed back at once
+    first.say(invite(call_id(999), 0))  # to the own exchange: rejected at once
     for n in range(20):
-        world.caller(f"10.9.7.{n}").say(plain("OPTIONS", ref(2000 + n)))
+        world.caller(f"10.9.7.{n}").say(plain("OPTIONS", call_id(2000 + n)))
     world.run(0.1)
-    assert first.statuses(ref(999)) == [503] and not first.closed
-    assert sum(one.closed for one in others) == 20 and world.service.callers.open <= most
+    assert first.statuses(call_id(999)) == [503] and not first.closed
+    assert sum(one.closed for one in others) == 20 and world.service.callers.open <= max_callers
 
 
-def test_where_all_connections_are_in_use_a_new_one_is_not_taken() -> None:
+def test_new_connection_is_not_accepted_while_all_are_in_use() -> None:
     world = World()
-    most, _, _ = descriptor_shares(256)
-    for n in range(most):
-        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", ref(n)))
+    max_callers, _, _ = descriptor_shares(256)
+    for n in range(max_callers):
+        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", call_id(n)))
     world.run(0.05)
     new = world.caller("10.9.7.1")
     world.run(0.05)
-    assert (new.end is None or new.closed) and world.service.callers.open == most
+    assert (new.end is None or new.closed) and world.service.callers.open == max_callers
 
 
-# ---- the module's life ----
+# ---- decision module and peers ----
 
 
 @pytest.mark.parametrize(
     "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.Rang, ev.Reported, ev.Listed]
 )
-def test_a_decision_that_raises_costs_one_dialogue_and_nobody_an_answer(
+def test_exception_in_a_decision_affects_one_dialogue_and_every_caller_is_answered(
     kind: type, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = World()
     real, armed = runner_module.decide, [True]
 
-    def faulty(x: Any, event: Any, now: int) -> Any:
+    def faulty(exchange: Any, event: Any, now: int) -> Any:
         if armed[0] and isinstance(event, kind):
             armed[0] = False
             raise ZeroDivisionError("broken on purpose")
-        return real(x, event, now)
+        return real(exchange, event, now)
 
     monkeypatch.setattr(runner_module, "decide", faulty)
     caller = world.caller()
@@ -776,28 +786,28 @@
         caller.say(invite(A))
     world.run(0.1)
     world.offices[2].ends[0].write(b'{"t":"gauge","ref":"0","f":{"load":"spare:9;total:50"}}\n')
-    world.board.tell(row(2, READY))
+    world.discovery.tell(row(2, READY))
     if A in world.core.calls:
         world.offices[1].down(A, 16)
     world.run(1)
     world.offices[1].answers = True
     assert len(caller.statuses(A)) == 1 and world.counts["decision_faults"] == 1
-    world.standing(ref(2), caller)
+    world.establish(call_id(2), caller)
 
 
-def test_a_word_comes_only_from_a_peer_and_within_its_length() -> None:
+def test_peer_messages_are_accepted_only_from_peers_and_up_to_the_maximum_length() -> None:
     world = World()
-    heard: list[tuple[int, bytes]] = []
-    world.core.peer_message = lambda peer, text, now: heard.append((peer, text))  # type: ignore[method-assign]
+    received: list[tuple[int, bytes]] = []
+    world.core.peer_message = lambda peer, text, now: received.append((peer, text))  # type: ignore[method-assign]
     for host, port in (("10.3.0.2", 7946), ("10.3.0.9", 7946)):
         world.net.at(host).datagrams(f"{host}:{port}", lambda data, address: None, lambda sender: None)
         world.net.datagram(f"{host}:{port}", "10.0.0.1:7946", b"hello")
     world.net.datagram("10.3.0.1:7946", "10.0.0.1:7946", b"x" * 257)
     world.run(0.1)
-    assert heard == [(1, b"hello")] and world.counts["strays.datagram"] == 2
+    assert received == [(1, b"hello")] and world.counts["strays.datagram"] == 2
 
 
-def test_a_word_goes_to_all_peers_at_once() -> None:
+def test_peer_message_is_sent_to_all_peers() -> None:
     world = World()
     got: list[bytes] = []
     world.net.at("10.3.255.1").datagrams(
@@ -812,24 +822,24 @@
 # ---- signals ----
 
 
-def test_a_stop_answers_all_that_is_taken_cuts_no_call_and_ends() -> None:
+def test_shutdown_answers_all_set_ups_and_cuts_no_call() -> None:
     world = World()
-    caller = world.standing(A)
+    caller = world.establish(A)
     world.offices[1].answers = False
-    caller.say(invite(ref(2)))
+    caller.say(invite(call_id(2)))
     world.run(0.05)
     world.service.stop()
     world.run(0.6)
-    late = world.caller()
-    late.say(invite(ref(3), 2))
+    late_caller = world.caller()
+    late_caller.say(invite(call_id(3), 2))
     world.run(0.1)
-    assert late.statuses(ref(3)) == [200]
+    assert late_caller.statuses(call_id(3)) == [200]
     world.run(3)
-    assert world.ended and len(caller.statuses(ref(2))) == 1
+    assert world.stopped and len(caller.statuses(call_id(2))) == 1
     assert not caller.byes(A) and not [line for line in world.offices[1].said("down") if line.ref == A]
 
 
-def test_a_stop_ends_by_itself_before_it_is_killed() -> None:
+def test_shutdown_ends_before_the_kill() -> None:
     world = World()
     for office in world.offices.values():
         office.answers = False
@@ -838,15 +848,15 @@
     world.run(0.5)
     caller.say(invite(A, left_ms=3000))
     world.run(3.1)
-    assert world.ended and len(caller.statuses(A)) == 1
+    assert world.stopped and len(caller.statuses(A)) == 1
 
 
-def test_a_new_board_is_followed_from_the_last_number_and_nothing_in_flight_is_touched() -> None:
+def test_new_discovery_address_is_followed_from_the_last_revision() -> None:
     world = World()
-    caller = world.standing(A)
-    world.board.tell(row(2, READY))
+    caller = world.establish(A)
+    world.discovery.tell(row(2, READY))
     world.run(0.2)
-    moved = Board(world.loop, world.net.at("10.2.0.2"), "10.2.0.2:8501", list(world.board.events))
+    moved = Board(world.loop, world.net.at("10.2.0.2"), "10.2.0.2:8501", list(world.discovery.events))
     current = world.service.configuration
     world.service.reconfigure(
         replace(current, addresses=replace(current.addresses, discovery="10.2.0.2:8501"))
@@ -858,20 +868,22 @@
     assert world.core.offices["s-00000001"].state is ev.Standing.DRAINING
     assert A in world.core.calls and not caller.byes(A)
     world.run(5)
-    assert len(moved.asked) == 1  # an old connection that ends late disturbs nothing
+    assert len(moved.asked) == 1  # the late end of the old connection has no effect
 
 
-# ---- bounds over time ----
+# ---- no state left over time ----
 
 
-def test_a_thousand_dialogues_leave_nothing_behind() -> None:
+def test_thousand_dialogues_leave_no_state() -> None:
     world = World()
     caller = world.caller()
     for n in range(1000):
-        caller.say(invite(ref(n), 1 + n % 2))
+        caller.say(invite(call_id(n), 1 + n % 2))
         world.run(0.01)
-        if ref(n) in world.core.calls:
-            world.offices[1 + n % 2].down(ref(n), 16) if ref(n) in world.offices[1 + n % 2].by_ref else None
+        if call_id(n) in world.core.calls:
+            world.offices[1 + n % 2].down(call_id(n), 16) if call_id(n) in world.offices[
+                1 + n % 2
+            ].by_ref else None
     world.run(15)
     core = world.core
     assert (
@@ -887,11 +899,13 @@
     )
 
 
-def test_replaced_offices_leave_no_links_behind() -> None:
+def test_replaced_offices_leave_no_connections() -> None:
     world = World()
     for n in range(20):
         office = 0x100 + n
-        world.board.tell(row(1, GONE, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1"))
+        world.discovery.tell(
+            row(1, GONE, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1")
+        )
         world.run(0.3)
     assert len(world.core.offices) == 3 and len(world.service.office_connections.pools) == 2
     assert len([end for end in world.offices[1].ends if not end.closed]) <= 2
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -1,4 +1,4 @@
-"""The platform's codecs: any bytes, however cut, give messages or one named error, and all lengths are bounded."""
+"""The platform's codecs: any bytes, in any chunks, give messages or one named error, and all lengths are bounded."""
 
 import json
 
@@ -13,11 +13,11 @@
 from wellhitch.sip import codec as sip
 from wellhitch.stand_ins.platform import invite, plain
 
-REF = "9b1f03aa5c7e2d41"
-USES = {"cheap": 0, "dear": 0}
+CALL_ID = "9b1f03aa5c7e2d41"
+TRAFFIC_CLASSES = {"cheap": 0, "dear": 0}
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
+def split_at(data: bytes, at: list[int]) -> list[bytes]:
     edges = sorted({0, len(data), *(one % (len(data) + 1) for one in at)})
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
@@ -25,7 +25,7 @@
 # ---- SIP ----
 
 
-def sip_fed(pieces: list[bytes]) -> tuple[list[sip.Message], str]:
+def decode_sip(pieces: list[bytes]) -> tuple[list[sip.Message], str]:
     decoder, out = sip.Decoder(), list[sip.Message]()
     for piece in pieces:
         try:
@@ -35,30 +35,30 @@
     return out, ""
 
 
-STREAM = (
-    invite(REF)
-    + plain("ACK", REF)
+SIP_MESSAGES = (
+    invite(CALL_ID)
+    + plain("ACK", CALL_ID)
     + b"\r\n\r\n"
-    + plain("BYE", REF)
+    + plain("BYE", CALL_ID)
     + sip.response(200, "Call-ID: x\r\n", b"abc")
 )
 
 
 @given(st.lists(st.integers(0, 2000), max_size=12))
-def test_sip_is_the_same_however_it_is_cut(at: list[int]) -> None:
-    got, limit = sip_fed(cut(STREAM, at))
+def test_sip_decoding_does_not_depend_on_chunk_boundaries(at: list[int]) -> None:
+    got, limit = decode_sip(split_at(SIP_MESSAGES, at))
     assert not limit and [getattr(one, "method", 200) for one in got] == ["INVITE", "ACK", "BYE", 200]
     assert got[0].body == b"caller's own\r\n" and got[-1].body == b"abc"
 
 
 @given(st.binary(max_size=600), st.lists(st.integers(0, 600), max_size=5))
-def test_any_bytes_give_sip_or_one_named_error(data: bytes, at: list[int]) -> None:
-    sip_fed(cut(data, at))
+def test_arbitrary_bytes_give_sip_messages_or_one_named_error(data: bytes, at: list[int]) -> None:
+    decode_sip(split_at(data, at))
 
 
-@given(st.integers(0, len(STREAM) - 1), st.binary(min_size=1, max_size=4))
-def test_sip_with_bytes_put_in_gives_messages_or_one_named_error(at: int, extra: bytes) -> None:
-    sip_fed([STREAM[:at] + extra + STREAM[at:]])
+@given(st.integers(0, len(SIP_MESSAGES) - 1), st.binary(min_size=1, max_size=4))
+def test_inserted_bytes_give_sip_messages_or_one_named_error(at: int, extra: bytes) -> None:
+    decode_sip([SIP_MESSAGES[:at] + extra + SIP_MESSAGES[at:]])
 
 
 @pytest.mark.parametrize(
@@ -78,50 +78,50 @@
         ("X-Free: " + "a" * 9000, "head_too_long"),
     ],
 )
-def test_a_head_outside_its_bounds_is_named(head: str, limit: str) -> None:
-    data = f"INVITE sip:{REF}@net SIP/2.0\r\n{head}\r\n\r\n".encode()
-    assert sip_fed([data]) == ([], limit)
-    assert sip_fed([data[n : n + 1] for n in range(len(data))]) == ([], limit)
+def test_head_outside_its_limits_is_a_named_error(head: str, limit: str) -> None:
+    data = f"INVITE sip:{CALL_ID}@net SIP/2.0\r\n{head}\r\n\r\n".encode()
+    assert decode_sip([data]) == ([], limit)
+    assert decode_sip([data[n : n + 1] for n in range(len(data))]) == ([], limit)
 
 
 @pytest.mark.parametrize(
     "data", [b"\x00\xff" * 400, b"GET / HTTP/1.1\r\n", b"INVITE " + b"a" * 700, b"\xc3\xa9 sip:a SIP/2.0\r\n"]
 )
-def test_noise_is_found_when_it_comes_and_not_at_its_end(data: bytes) -> None:
-    assert sip_fed([data])[1] == "start_line"
+def test_invalid_start_line_is_detected_before_the_line_ends(data: bytes) -> None:
+    assert decode_sip([data])[1] == "start_line"
 
 
-def test_a_bad_message_keeps_the_good_ones_before_it_and_what_it_can_be_answered_by() -> None:
-    bad = invite(REF).replace(b"Content-Length: 14", b"Content-Length: 999999")
+def test_error_carries_the_valid_messages_before_it_and_the_request_to_answer() -> None:
+    bad = invite(CALL_ID).replace(b"Content-Length: 14", b"Content-Length: 999999")
     with pytest.raises(sip.BadSip) as caught:
-        sip.Decoder().feed(plain("ACK", REF) + bad)
+        sip.Decoder().feed(plain("ACK", CALL_ID) + bad)
     assert [one.method for one in caught.value.before] == ["ACK"]
-    assert caught.value.request is not None and caught.value.request.headers["call-id"] == REF
+    assert caught.value.request is not None and caught.value.request.headers["call-id"] == CALL_ID
 
 
-def test_what_is_held_of_a_message_that_never_ends_is_bounded() -> None:
+def test_buffered_head_of_an_endless_message_is_bounded() -> None:
     decoder, fed = sip.Decoder(), 0
     with pytest.raises(sip.BadSip):
         for _ in range(1000):
-            decoder.feed(b"X" * 100 if fed else f"INVITE sip:{REF}@net SIP/2.0\r\n".encode())
+            decoder.feed(b"X" * 100 if fed else f"INVITE sip:{CALL_ID}@net SIP/2.0\r\n".encode())
             fed += 100
     assert fed <= sip.MAX_HEAD + 200
 
 
-# ---- the door's reading ----
+# ---- set-up requests ----
 
 
 def read(data: bytes) -> SetUp | str:
     [message] = sip.Decoder().feed(data)
     assert isinstance(message, sip.Request)
-    return read_set_up(message, USES)
+    return read_set_up(message, TRAFFIC_CLASSES)
 
 
-def test_a_set_up_is_read() -> None:
-    got = read(invite(REF, 2, "dear", 671, ";transit:1;again:1"))
+def test_set_up_is_read() -> None:
+    got = read(invite(CALL_ID, 2, "dear", 671, ";transit:1;again:1"))
     assert isinstance(got, SetUp)
     assert (got.call_id, got.called_number, got.use_case, got.time_left_us, got.destination) == (
-        REF,
+        CALL_ID,
         "7f3a9c21e0b4d655",
         "dear",
         671_000,
@@ -151,39 +151,39 @@
         ("via:-1", "via:-2", "advised"),
         ("via:-1", "via:-1;transit:7", "transit"),
         ("via:-1", "via:-1;at:elsewhere", "at"),
-        (f"Call-ID: {REF}", "Call-ID: short", "no_id"),
-        (f"Call-ID: {REF}\r\n", "", "no_id"),
+        (f"Call-ID: {CALL_ID}", "Call-ID: short", "no_id"),
+        (f"Call-ID: {CALL_ID}\r\n", "", "no_id"),
         ("sip:7f3a9c21e0b4d655@net", "sip:nobody@net", "number_called"),
         ("CSeq: 1 INVITE", "CSeq: one INVITE", "cseq"),
         ("CSeq: 1 INVITE", "CSeq: 1 BYE", "cseq"),
     ],
 )
-def test_a_set_up_outside_its_bounds_is_named(old: str, new: str, fault: str) -> None:
-    assert read(invite(REF).replace(old.encode(), new.encode())) == fault
+def test_invalid_set_up_is_a_named_error(old: str, new: str, fault: str) -> None:
+    assert read(invite(CALL_ID).replace(old.encode(), new.encode())) == fault
 
 
-def test_a_description_that_is_no_text_or_too_long_reaches_no_office() -> None:
-    assert read(invite(REF, body=b"\xff\xfe")) == "description_no_text"
-    assert read(invite(REF, body=b"a" * (MAX_DESCRIPTION_BYTES + 1))) == "description_too_long"
+def test_invalid_description_is_a_named_error() -> None:
+    assert read(invite(CALL_ID, body=b"\xff\xfe")) == "description_no_text"
+    assert read(invite(CALL_ID, body=b"a" * (MAX_DESCRIPTION_BYTES + 1))) == "description_too_long"
 
 
 @given(st.text(max_size=200).filter(lambda text: "\x00" not in text))
-def test_whatever_description_is_taken_reaches_the_office_unchanged_as_one_line(text: str) -> None:
-    line = lines.new(REF, "cheap", "7f3a9c21e0b4d655", 1000, text)
+def test_description_reaches_the_office_unchanged_as_one_line(text: str) -> None:
+    line = lines.new(CALL_ID, "cheap", "7f3a9c21e0b4d655", 1000, text)
     assert line.count(b"\n") == 1 and len(line) < lines.MAX_LINE
     assert json.loads(line)["d"] == text
     assert json.loads(line)["f"] == {"class": "cheap", "key": "7f3a9c21e0b4d655", "left": "1000"}
 
 
-# ---- lines of offices ----
+# ---- office lines ----
 
-OFFICE = (
+OFFICE_LINES = (
     b'{"t":"gauge","ref":"0000000000000000","f":{"load":"spare:79;total:79"}}\n'
     b'{"t":"up","ref":"9b1f03aa5c7e2d41","f":{},"d":"9d\\r\\n"}\n{"t":"down","ref":"9b1f03aa5c7e2d41","f":{"n":1},"c":"34"}\n'
 )
 
 
-def lines_fed(pieces: list[bytes]) -> tuple[list[lines.Line], str]:
+def decode_lines(pieces: list[bytes]) -> tuple[list[lines.Line], str]:
     decoder, out = lines.Decoder(), list[lines.Line]()
     for piece in pieces:
         try:
@@ -194,15 +194,15 @@
 
 
 @given(st.lists(st.integers(0, 400), max_size=12))
-def test_lines_are_the_same_however_they_are_cut(at: list[int]) -> None:
-    got, limit = lines_fed(cut(OFFICE, at))
+def test_line_decoding_does_not_depend_on_chunk_boundaries(at: list[int]) -> None:
+    got, limit = decode_lines(split_at(OFFICE_LINES, at))
     assert not limit and [one.t for one in got] == ["gauge", "up", "down"]
-    assert got[2].c == 34 and got[1].d == "9d\r\n"  # figures may come as strings
+    assert got[2].c == 34 and got[1].d == "9d\r\n"  # numbers may come as strings
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(0, 400), max_size=5))
-def test_any_bytes_give_lines_or_one_named_error(data: bytes, at: list[int]) -> None:
-    lines_fed(cut(data, at))
+def test_arbitrary_bytes_give_lines_or_one_named_error(data: bytes, at: list[int]) -> None:
+    decode_lines(split_at(data, at))
 
 
 @pytest.mark.parametrize(
@@ -218,11 +218,11 @@
         (b'{"t":"' + b"x" * 17000 + b'"}\n', "line_too_long"),
     ],
 )
-def test_a_line_that_is_none_is_named(data: bytes, limit: str) -> None:
-    assert lines_fed([data])[1] == limit
+def test_invalid_line_is_a_named_error(data: bytes, limit: str) -> None:
+    assert decode_lines([data])[1] == limit
 
 
-def test_a_line_that_never_ends_is_held_within_its_bound() -> None:
+def test_buffered_part_of_an_endless_line_is_bounded() -> None:
     decoder, fed = lines.Decoder(), 0
     with pytest.raises(lines.BadLine):
         for _ in range(100):
@@ -241,21 +241,25 @@
         ("", {}),
     ],
 )
-def test_a_load_report_has_the_figures_that_are_some(load: object, got: dict[str, float]) -> None:
+def test_load_report_keeps_only_the_valid_numbers(load: object, got: dict[str, float]) -> None:
     assert lines.figures(load) == got
 
 
-# ---- the board ----
+# ---- discovery ----
 
-ROWS = (
+UPDATE_ROWS = (
     board.Row("s-00c41f7a", "10.1.0.9:2905", board.READY, 2, 0),
     board.Row("s-00000001", "10.1.0.8:2905", board.GONE, 1, 5),
 )
-NOTICES = [board.Notice(2, True, ROWS), board.Notice(2, False, (), True), board.Notice(3, False, ROWS[:1])]
-FEED = b"".join(board.frame(one) for one in NOTICES)
+UPDATES = [
+    board.Notice(2, True, UPDATE_ROWS),
+    board.Notice(2, False, (), True),
+    board.Notice(3, False, UPDATE_ROWS[:1]),
+]
+UPDATE_FRAMES = b"".join(board.frame(one) for one in UPDATES)
 
 
-def board_fed(pieces: list[bytes]) -> tuple[list[board.Notice], str]:
+def decode_frames(pieces: list[bytes]) -> tuple[list[board.Notice], str]:
     decoder, out = board.Decoder(), list[board.Notice]()
     for piece in pieces:
         try:
@@ -266,13 +270,13 @@
 
 
 @given(st.lists(st.integers(0, 200), max_size=12))
-def test_frames_are_the_same_however_they_are_cut(at: list[int]) -> None:
-    assert board_fed(cut(FEED, at)) == (NOTICES, "")
+def test_frame_decoding_does_not_depend_on_chunk_boundaries(at: list[int]) -> None:
+    assert decode_frames(split_at(UPDATE_FRAMES, at)) == (UPDATES, "")
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 200), max_size=5))
-def test_any_bytes_give_frames_or_one_named_error(data: bytes, at: list[int]) -> None:
-    board_fed(cut(data, at))
+def test_arbitrary_bytes_give_frames_or_one_named_error(data: bytes, at: list[int]) -> None:
+    decode_frames(split_at(data, at))
 
 
 @pytest.mark.parametrize(
@@ -286,11 +290,11 @@
         (board.frame(board.Notice(2, False, (board.Row("s-00000001", "10.1.0.8:1", 3, 1, 0),))), "record"),
     ],
 )
-def test_a_frame_that_is_none_is_named(data: bytes, limit: str) -> None:
-    assert board_fed([data]) == ([], limit)
+def test_invalid_frame_is_a_named_error(data: bytes, limit: str) -> None:
+    assert decode_frames([data]) == ([], limit)
 
 
-def test_known_is_read_and_a_wrong_field_is_named() -> None:
+def test_known_updates_are_read_and_a_wrong_field_is_named() -> None:
     server = {
         "addr": "10.1.0.9:2905",
         "cell": "2",
@@ -300,7 +304,7 @@
         "started_ms": 0,
     }
     value = {"rev": 4, "notices": [{"rev": 4, "pool": {"version": 7, "full": True, "servers": [server]}}]}
-    assert board.read_known(value, "file") == (4, [board.Notice(4, True, ROWS[:1])])
+    assert board.read_known(value, "file") == (4, [board.Notice(4, True, UPDATE_ROWS[:1])])
     server["cell"] = "two"
     with pytest.raises(Faults, match=r"file: notices\[0\].pool.servers\[0\].cell = 'two'"):
         board.read_known(value, "file")
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -1,7 +1,7 @@
-"""Discovery that is slow, silent, unreachable or moved, and the revisions that it tells."""
+"""Discovery that is slow, silent, unreachable or at a new address, and the order of its updates."""
 
 import pytest
-from platform_world import BOARD, DRAINING, GONE, UNIX, World, row
+from platform_world import DISCOVERY, DRAINING, GONE, UNIX_START_US, World, row
 
 from wellhitch.interface import events as ev
 from wellhitch.platform.watch_policy import (
@@ -15,18 +15,18 @@
 )
 from wellhitch.stand_ins.platform import Board
 
-HERE, THERE = "10.0.0.1", "10.2.0.1"
-NEWS_LIMIT_S = 6.0
+SERVER, DISCOVERY_HOST = "10.0.0.1", "10.2.0.1"
+UPDATE_LIMIT_S = 6.0
 
 
 def drained(world: World) -> bool:
     return world.core.offices["s-00000001"].state is ev.Standing.DRAINING
 
 
-# ---- the pure part ----
+# ---- watch policy and revisions ----
 
 
-def test_waits_double_to_a_limit_and_start_anew_when_discovery_speaks() -> None:
+def test_delays_double_to_a_limit_and_reset_when_discovery_answers() -> None:
     policy = WatchPolicy()
     assert [policy.next_retry() for _ in range(6)] == [
         RETRY_S,
@@ -43,11 +43,11 @@
     assert (policy.silence_s, policy.next_retry()) == (SILENCE_S, RETRY_S)
 
 
-def test_the_longest_waits_leave_room_within_the_time_for_news() -> None:
-    assert MAX_SILENCE_S + MAX_RETRY_S + 1.0 < NEWS_LIMIT_S  # one for connecting and the answer
+def test_longest_delays_fit_into_the_time_for_an_update() -> None:
+    assert MAX_SILENCE_S + MAX_RETRY_S + 1.0 < UPDATE_LIMIT_S  # one second for connecting and the answer
 
 
-def test_a_gap_is_asked_for_once_and_then_taken() -> None:
+def test_gap_is_requested_once_and_then_accepted() -> None:
     revisions = Revisions(1)
     assert revisions.order(1, False, False) is Order.HELD_ALREADY
     assert revisions.order(2, False, False) is Order.NEXT
@@ -56,7 +56,7 @@
     assert revisions.order(5, False, False) is Order.NEXT
     revisions.accept(5)
     assert revisions.order(5, False, True) is Order.HELD_ALREADY
-    assert revisions.order(6, False, True) is Order.AFTER_GAP  # an empty update tells that one is missing
+    assert revisions.order(6, False, True) is Order.AFTER_GAP  # an empty update shows that one is missing
     assert revisions.order(6, False, True) is Order.HELD_ALREADY
 
 
@@ -64,40 +64,40 @@
 
 
 @pytest.mark.parametrize("slow_s", [0.5, 1.5, 2.5])
-def test_slow_discovery_gets_to_answer_and_is_not_asked_without_end(slow_s: float) -> None:
-    """`slow_s`: one way; an answer takes twice that."""
+def test_slow_discovery_can_answer_and_is_not_flooded_with_requests(slow_s: float) -> None:
+    """`slow_s` is the delay in one direction; an answer takes twice as long."""
     world = World()
-    world.net.spoil(HERE, THERE).late = int(slow_s * 1e6)
-    world.net.cut(HERE, THERE)
+    world.net.spoil(SERVER, DISCOVERY_HOST).late = int(slow_s * 1e6)
+    world.net.cut(SERVER, DISCOVERY_HOST)
     world.run(0.1)
-    world.board.tell(row(1, DRAINING))
-    before = len(world.board.asked)
+    world.discovery.tell(row(1, DRAINING))
+    before = len(world.discovery.asked)
     world.run(4 * slow_s + 2)
     assert drained(world)
-    assert len(world.board.asked) - before <= 6
+    assert len(world.discovery.asked) - before <= 6
 
 
 @pytest.mark.parametrize("fault", ["refused", "swallowed", "silent"])
 @pytest.mark.parametrize("down_s", [0.5, 3.0, 11.0])
-def test_a_change_at_its_return_is_followed_within_the_time_for_news(fault: str, down_s: float) -> None:
+def test_update_after_an_outage_is_received_in_time(fault: str, down_s: float) -> None:
     world = World()
-    weather = world.net.spoil(HERE, THERE)
+    weather = world.net.spoil(SERVER, DISCOVERY_HOST)
     if fault == "refused":
-        world.net.cut(HERE, THERE)
+        world.net.cut(SERVER, DISCOVERY_HOST)
         weather.broken = True
     else:
         weather.silent = True
         weather.swallowed = fault == "swallowed"
     world.run(down_s)
-    world.board.tell(row(1, DRAINING), loud=False)  # connections from before hear nothing of it
+    world.discovery.tell(row(1, DRAINING), loud=False)  # existing connections do not receive it
     weather.broken = weather.swallowed = weather.silent = False
-    assert world.until(NEWS_LIMIT_S, lambda: drained(world))
+    assert world.run_until(UPDATE_LIMIT_S, lambda: drained(world))
 
 
-def test_configurations_in_quick_succession_end_at_the_last_address() -> None:
+def test_rapid_address_changes_end_at_the_last_address() -> None:
     world = World()
-    addresses = ["10.2.0.2:8501", "10.2.0.3:8502", BOARD, "10.2.0.4:8503"]
-    last = Board(world.loop, world.net.at("10.2.0.4"), addresses[-1], list(world.board.events))
+    addresses = ["10.2.0.2:8501", "10.2.0.3:8502", DISCOVERY, "10.2.0.4:8503"]
+    last = Board(world.loop, world.net.at("10.2.0.4"), addresses[-1], list(world.discovery.events))
     for address in addresses:
         world.service.discovery.change_address(address)
         world.run(0.05)
@@ -108,12 +108,12 @@
     assert len(last.asked) == 1 and len(world.service.discovery._watches) == 1
 
 
-# Known red (KNOWN-RED.txt): the event is not taken, and the watch on discovery is lost with it.
+# Known failure (KNOWN-RED.txt): the update raises KeyError, and the watch on discovery is lost with it.
 def test_an_endpoint_that_is_gone_with_a_new_start_is_taken_in_one_event() -> None:
     world = World()
-    caller = world.standing("000000000000000a")
-    asked = len(world.board.asked)
-    world.board.tell(row(1, GONE, started_ms=UNIX // 1000 + 10_000))
+    caller = world.establish("000000000000000a")
+    asked = len(world.discovery.asked)
+    world.discovery.tell(row(1, GONE, started_ms=UNIX_START_US // 1000 + 10_000))
     world.run(1)
     assert caller.byes("000000000000000a") and not world.core.calls
-    assert len(world.board.asked) == asked
+    assert len(world.discovery.asked) == asked
--- a/tests/test_platform_eviction.py
+++ b/tests/test_platform_eviction.py
@@ -1,10 +1,10 @@
-"""Which connection is closed for want of descriptors."""
+"""Which connection is evicted when descriptors run out."""
 
 from collections import Counter
 
 import pytest
 from platform_world import World, invite
-from test_platform import A, ref
+from test_platform import A, call_id
 
 from wellhitch.platform.eviction import READ_AFTER_CLOSE_S, ConnectionTable
 from wellhitch.platform.service import descriptor_shares
@@ -14,7 +14,7 @@
 
 
 class Table:
-    """Connections by name; `heard` and `silent` say for how long."""
+    """A connection table with named connections; `ago` is how long each has been quiet."""
 
     def __init__(self) -> None:
         self.set_ups: Counter[str] = Counter()
@@ -30,7 +30,7 @@
         self.table.opened(name, NOW - ago)
 
     def order(self) -> list[str]:
-        """All, in the order in which they go."""
+        """All connections in the order of their eviction."""
         out = []
         while (gone := self.table.next_to_evict(NOW)) is not None:
             out.append(gone)
@@ -38,7 +38,7 @@
         return out
 
 
-def test_connections_go_in_the_order_of_what_their_end_costs() -> None:
+def test_connections_are_evicted_in_the_order_of_their_cost() -> None:
     table = Table()
     table.heard("quiet with a call", 0.9, calls=1)
     table.heard("quiet with a set-up", 0.8, set_ups=1)
@@ -62,7 +62,7 @@
     ]
 
 
-def test_a_new_connection_has_time_to_say_what_it_wants() -> None:
+def test_new_connection_has_time_for_its_first_message() -> None:
     table = Table()
     table.heard("with a set-up", 0.7, set_ups=1)
     table.heard("fresh", 0.3)
@@ -72,7 +72,7 @@
     assert table.order() == ["fresh", "new", "with a set-up"]
 
 
-def test_a_closed_connection_is_read_for_a_while() -> None:
+def test_closing_connection_is_read_before_it_is_reset() -> None:
     table = Table()
     table.heard("first", 0.9)
     table.heard("second", 0.9)
@@ -84,36 +84,37 @@
 
 
 @pytest.mark.parametrize("crowd", [0, 20, 200])
-def test_what_a_connection_brings_along_is_read_before_it_can_be_put_out(crowd: int) -> None:
-    # Guards against calls named into a crowd: their connection was reset unread, and their ends were told to nobody.
+def test_data_that_came_with_a_connection_is_read_before_it_can_be_evicted(crowd: int) -> None:
+    # Guards against resetting unread connections in a burst: the calls reported on them were unknown, and their callers
+    # were not told when they ended.
     world = World()
-    most, _, _ = descriptor_shares(256)
-    for n in range(most + crowd):
-        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", ref(n)))
+    max_callers, _, _ = descriptor_shares(256)
+    for n in range(max_callers + crowd):
+        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", call_id(n)))
     world.run(0.05)
     naming = [world.caller(f"10.9.7.{n}") for n in range(30)]
     for n, caller in enumerate(naming):
-        caller.say(invite(ref(5000 + n), more=";at:s-00000001"))
+        caller.say(invite(call_id(5000 + n), more=";at:s-00000001"))
     world.run(0.1)
-    assert set(world.core.calls) == {ref(5000 + n) for n in range(30)}
-    assert not any(caller.closed for caller in naming) and world.service.callers.open <= most
-    world.offices[1].down(ref(5007), 16, end=world.offices[1].ends[0])
+    assert set(world.core.calls) == {call_id(5000 + n) for n in range(30)}
+    assert not any(caller.closed for caller in naming) and world.service.callers.open <= max_callers
+    world.offices[1].down(call_id(5007), 16, end=world.offices[1].ends[0])
     world.run(0.1)
-    assert naming[7].byes(ref(5007))
+    assert naming[7].byes(call_id(5007))
 
 
-def test_a_connection_that_speaks_after_it_was_chosen_stays() -> None:
+def test_connection_that_sends_a_message_in_time_is_not_evicted() -> None:
     world = World()
-    most, _, _ = descriptor_shares(256)
+    max_callers, _, _ = descriptor_shares(256)
     first = world.caller()
-    first.say(plain("OPTIONS", ref(1)))
+    first.say(plain("OPTIONS", call_id(1)))
     world.run(0.01)
-    for n in range(most - 1):
-        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", ref(n)))
+    for n in range(max_callers - 1):
+        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", call_id(n)))
     world.run(0.6)
     new = world.caller("10.9.7.1")
-    new.say(plain("OPTIONS", ref(2)))
+    new.say(plain("OPTIONS", call_id(2)))
     first.say(invite(A, 0))
     world.run(0.1)
     assert first.statuses(A) == [503] and not first.closed and not new.closed
-    assert world.service.callers.open == most
+    assert world.service.callers.open == max_callers
--- a/tests/test_platform_log.py
+++ b/tests/test_platform_log.py
@@ -1,4 +1,4 @@
-"""The log of the platform's call server: it tells why, within a budget, and never holds up a call."""
+"""The log of the platform's call server: it gives reasons, stays within a budget and never delays a call."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 from wellhitch.stand_ins.platform import invite
 
 
-def test_a_budget_refills_with_time() -> None:
+def test_budget_refills_with_time() -> None:
     budget = LineBudget(10, 5)
     assert [budget.take(0) for _ in range(6)] == [True] * 5 + [False]
     assert budget.take(0.1) and not budget.take(0.1)
@@ -32,7 +32,7 @@
     assert line["lines_dropped"] == {"request_refused": 7} and not log.dropped
 
 
-def test_a_log_that_nobody_reads_holds_nothing_up() -> None:
+def test_log_without_a_reader_never_blocks() -> None:
     reader, writer = os.pipe()
     now = [0.0]
     log = EventLog(writer, lambda: now[0])
@@ -53,11 +53,11 @@
     world.run(0.05)
     world.offices[1].down("00000000000000aa", 41)
     world.run(1.5)
-    told = [(event, facts) for event, facts in world.log if facts.get("call") == "00000000000000aa"]
-    ended = [facts["ending"] for event, facts in told if event == "attempt_ended"]
-    assert ended[0] == "reset" and [event for event, _ in told][-1] == "set_up_refused"
-    standing = world.standing("00000000000000bb", destination=2)
+    lines = [(event, facts) for event, facts in world.log if facts.get("call") == "00000000000000aa"]
+    ended = [facts["ending"] for event, facts in lines if event == "attempt_ended"]
+    assert ended[0] == "reset" and [event for event, _ in lines][-1] == "set_up_refused"
+    establish = world.establish("00000000000000bb", destination=2)
     world.offices[2].down("00000000000000bb", 16)
     world.run(0.2)
     events = [event for event, facts in world.log if facts.get("call") == "00000000000000bb"]
-    assert events == ["call_established", "call_over"] and standing.byes("00000000000000bb")
+    assert events == ["call_established", "call_over"] and establish.byes("00000000000000bb")
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -21,11 +21,11 @@
 from wellhitch.sip import codec as sip
 from wellhitch.stand_ins.platform import invite, plain
 
-NOT_FOR_RUN = ("lark", "apsw", "matplotlib", "_jsonnet", "structlog", "prometheus_client", "hdrh", "blake3")
-PATIENCE = 60  # s; far over what anything here takes, so that a slow machine changes no verdict
+NOT_IMPORTED = ("lark", "apsw", "matplotlib", "_jsonnet", "structlog", "prometheus_client", "hdrh", "blake3")
+TIMEOUT_S = 60  # far more than any step takes, so that a slow machine fails no test
 
 
-def sheet(**over: Any) -> dict[str, Any]:
+def configuration_file(**over: Any) -> dict[str, Any]:
     """A configuration as the platform writes it."""
     row = {
         "addr": "127.0.0.1:9",
@@ -35,7 +35,7 @@
         "started_ms": 0,
         "weight": 1.0,
     }
-    made = {
+    configuration = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "seed": "8c1f30d27a5be964",
@@ -78,11 +78,11 @@
             },
         },
     }
-    made.update(over)
-    return made
+    configuration.update(over)
+    return configuration
 
 
-def put(folder: Path, value: Any) -> str:
+def write_configuration(folder: Path, value: Any) -> str:
     path = folder / "config.json"
     path.write_text(value if isinstance(value, str) else json.dumps(value))
     return str(path)
@@ -91,8 +91,8 @@
 # ---- configuration ----
 
 
-def test_a_configuration_is_read_and_figures_may_be_text(tmp_path: Path) -> None:
-    configuration = read_configuration(put(tmp_path, sheet()))
+def test_configuration_is_read_and_numbers_may_be_text(tmp_path: Path) -> None:
+    configuration = read_configuration(write_configuration(tmp_path, configuration_file()))
     assert configuration.opened.seed == 0x8C1F30D27A5BE964 and configuration.opened.place.peers == 2
     assert (
         configuration.opened.use_cases[0].agreed_time == 380_000
@@ -102,37 +102,37 @@
 
 
 def _settings(**over: Any) -> dict[str, Any]:
-    return sheet()["settings"] | over
+    return configuration_file()["settings"] | over
 
 
-WRONG: list[tuple[Any, str]] = [
+INVALID: list[tuple[Any, str]] = [
     ("", "config.json: not JSON"),
-    (json.dumps(sheet())[:200], "config.json: not JSON"),
+    (json.dumps(configuration_file())[:200], "config.json: not JSON"),
     ("[]", r"config.json: the file = \[\]"),
-    (sheet(listen=5), "listen = 5"),
-    (sheet(listen="localhost:1"), "listen = 'localhost:1'"),
-    (sheet(listen="127.0.0.1"), "listen = '127.0.0.1'"),
-    (sheet(board="board.example:8500"), "board = 'board.example:8500'"),
-    (sheet(seed="not hex"), "seed = 'not hex'"),
-    (sheet(limits={"sockets": 3}), "limits.sockets = 3"),
-    (sheet(limits={"sockets": "many"}), "limits.sockets = 'many'"),
-    (sheet(peers=["nowhere"]), r"peers\[0\] = 'nowhere'"),
-    (sheet(settings=_settings(classes=[])), "settings.classes"),
+    (configuration_file(listen=5), "listen = 5"),
+    (configuration_file(listen="localhost:1"), "listen = 'localhost:1'"),
+    (configuration_file(listen="127.0.0.1"), "listen = '127.0.0.1'"),
+    (configuration_file(board="board.example:8500"), "board = 'board.example:8500'"),
+    (configuration_file(seed="not hex"), "seed = 'not hex'"),
+    (configuration_file(limits={"sockets": 3}), "limits.sockets = 3"),
+    (configuration_file(limits={"sockets": "many"}), "limits.sockets = 'many'"),
+    (configuration_file(peers=["nowhere"]), r"peers\[0\] = 'nowhere'"),
+    (configuration_file(settings=_settings(classes=[])), "settings.classes"),
     (
-        sheet(settings=_settings(classes=[{"name": "a", "deadline_ns": "x"}])),
+        configuration_file(settings=_settings(classes=[{"name": "a", "deadline_ns": "x"}])),
         r"settings.classes\[0\].deadline_ns = 'x'",
     ),
-    (sheet(settings=_settings(rules={"cold_ns": []})), r"settings.rules.cold_ns = \[\]"),
-    (sheet(known={"rev": 1}), "notices"),
+    (configuration_file(settings=_settings(rules={"cold_ns": []})), r"settings.rules.cold_ns = \[\]"),
+    (configuration_file(known={"rev": 1}), "notices"),
 ]
 
 
-@pytest.mark.parametrize(("value", "said"), WRONG)
-def test_a_wrong_configuration_is_one_line_with_file_field_and_value(
-    tmp_path: Path, value: Any, said: str
+@pytest.mark.parametrize(("value", "message"), INVALID)
+def test_configuration_error_is_one_line_with_file_field_and_value(
+    tmp_path: Path, value: Any, message: str
 ) -> None:
-    with pytest.raises(Faults, match=said) as caught:
-        read_configuration(put(tmp_path, value))
+    with pytest.raises(Faults, match=message) as caught:
+        read_configuration(write_configuration(tmp_path, value))
     assert len(caught.value.lines) == 1 and str(tmp_path) in str(caught.value)
 
 
@@ -145,48 +145,48 @@
 
 
 @pytest.mark.parametrize("path", [None, "/nowhere/config.json"])
-def test_without_a_file_it_ends_with_two_and_one_line(path: str | None) -> None:
+def test_missing_configuration_file_exits_with_status_2_and_one_line(path: str | None) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "wellhitch", "platform"],
         env=environment(path),
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and "Traceback" not in done.stderr
 
 
-def test_run_imports_only_what_it_needs(tmp_path: Path) -> None:
+def test_platform_command_imports_only_what_it_needs(tmp_path: Path) -> None:
     code = (
         "import sys; sys.argv=['wellhitch','platform']; import wellhitch.cli.main as m; "
         "m.main.get_command(None,'platform'); import wellhitch.platform.service; "
-        f"print([n for n in {NOT_FOR_RUN!r} if n in sys.modules], "
+        f"print([n for n in {NOT_IMPORTED!r} if n in sys.modules], "
         "sorted(n for n in sys.modules if n.startswith(('wellhitch.server','wellhitch.hooks','wellhitch.ledger'))))"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=PATIENCE)
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=TIMEOUT_S)
     assert done.stdout.split() == ["[]", "[]"], done.stdout + done.stderr
 
 
 class Process:
-    """One call server on loopback, and a board that only listens."""
+    """One call server on loopback, and a discovery socket that only listens."""
 
-    def __init__(self, folder: Path, most_files: int = 256) -> None:
-        self.board = socket.create_server(("127.0.0.1", 0))
+    def __init__(self, folder: Path, max_files: int = 256) -> None:
+        self.discovery = socket.create_server(("127.0.0.1", 0))
         listen = own_address()
         self.address = split(listen)
-        self.sheet = sheet(
+        self.configuration_file = configuration_file(
             listen=listen,
-            board=f"127.0.0.1:{self.board.getsockname()[1]}",
-            limits={"cores": 1.0, "memory_mb": 64, "sockets": most_files},
+            board=f"127.0.0.1:{self.discovery.getsockname()[1]}",
+            limits={"cores": 1.0, "memory_mb": 64, "sockets": max_files},
         )
-        self.path = put(folder, self.sheet)
+        self.path = write_configuration(folder, self.configuration_file)
         self.log = folder / "log"
         with self.log.open("wb") as log:
             self.run = subprocess.Popen(
                 [sys.executable, "-m", "wellhitch", "platform"],
                 env=environment(self.path),
                 stderr=log,
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most_files, most_files)),
+                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (max_files, max_files)),
             )
         self.until("listening")
 
@@ -196,7 +196,7 @@
         ]
 
     def until(self, event: str) -> dict[str, Any]:
-        for _ in range(PATIENCE * 50):
+        for _ in range(TIMEOUT_S * 50):
             found = self.lines(event)
             if found:
                 return found[-1]
@@ -205,7 +205,7 @@
         raise AssertionError(f"no {event}: {self.log.read_text()}")
 
     def ask(self, data: bytes) -> sip.Response:
-        with socket.create_connection(self.address, timeout=PATIENCE) as link:
+        with socket.create_connection(self.address, timeout=TIMEOUT_S) as link:
             link.sendall(data)
             decoder = sip.Decoder()
             while True:
@@ -218,41 +218,43 @@
         if self.run.poll() is None:
             self.run.kill()
         self.run.wait()
-        self.board.close()
+        self.discovery.close()
 
 
-def test_the_process_serves_follows_a_hangup_and_ends_by_itself(tmp_path: Path) -> None:
+def test_process_serves_reloads_on_sighup_and_ends_on_sigterm(tmp_path: Path) -> None:
     process = Process(tmp_path)
     try:
         assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
-        assert process.until("startup_objects_frozen")["objects"] > 5_000  # no work for later collections
-        assert process.ask(invite("9b1f03aa5c7e2d41", 1)).status == 503  # nobody is there to be called
+        assert (
+            process.until("startup_objects_frozen")["objects"] > 5_000
+        )  # kept out of later garbage collections
+        assert process.ask(invite("9b1f03aa5c7e2d41", 1)).status == 503  # no office is known
         with socket.create_server(("127.0.0.1", 0)) as moved:
             address = f"127.0.0.1:{moved.getsockname()[1]}"
-            Path(process.path).write_text(json.dumps(process.sheet | {"board": address})[:100])
+            Path(process.path).write_text(json.dumps(process.configuration_file | {"board": address})[:100])
             process.run.send_signal(signal.SIGHUP)
             process.until("configuration_refused")
             assert not process.lines("discovery_moved")
-            Path(process.path).write_text(json.dumps(process.sheet | {"board": address}))
+            Path(process.path).write_text(json.dumps(process.configuration_file | {"board": address}))
             process.run.send_signal(signal.SIGHUP)
             assert process.until("discovery_moved")["address"] == address
-            moved.settimeout(PATIENCE)
+            moved.settimeout(TIMEOUT_S)
             taken, _ = moved.accept()
-            taken.settimeout(PATIENCE)
+            taken.settimeout(TIMEOUT_S)
             assert taken.recv(8) == (1).to_bytes(8, "big")
             taken.close()
         process.run.send_signal(signal.SIGTERM)
         process.until("stopping")
-        assert process.run.wait(PATIENCE) == 0
+        assert process.run.wait(TIMEOUT_S) == 0
         assert not process.lines("loop_fault")
     finally:
         process.end()
 
 
-def test_hundreds_of_connections_never_bring_it_to_its_descriptors_limit(tmp_path: Path) -> None:
+def test_hundreds_of_connections_never_exhaust_the_descriptors(tmp_path: Path) -> None:
     process = Process(tmp_path)
     try:
-        silent = [socket.create_connection(process.address, timeout=PATIENCE) for _ in range(400)]
+        silent = [socket.create_connection(process.address, timeout=TIMEOUT_S) for _ in range(400)]
         assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
         for one in silent:
             one.close()
@@ -261,34 +263,32 @@
         process.end()
 
 
-def test_an_address_in_use_ends_it_with_one_and_a_line(tmp_path: Path) -> None:
+def test_address_in_use_exits_with_status_1_and_one_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        path = put(tmp_path, sheet(listen=f"127.0.0.1:{taken.getsockname()[1]}"))
+        path = write_configuration(tmp_path, configuration_file(listen=f"127.0.0.1:{taken.getsockname()[1]}"))
         done = subprocess.run(
             [sys.executable, "-m", "wellhitch", "platform"],
             env=environment(path),
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=TIMEOUT_S,
         )
     assert done.returncode == 1 and "cannot listen" in done.stderr and "Traceback" not in done.stderr
 
 
-@pytest.mark.parametrize("most_files", [160, 256])
-def test_crowds_that_speak_once_and_stay_never_bring_it_to_its_descriptors_limit(
-    tmp_path: Path, most_files: int
-) -> None:
-    """Each connection of a crowd passes a test and stays: every one of the next crowd puts one out."""
-    process = Process(tmp_path, most_files)
+@pytest.mark.parametrize("max_files", [160, 256])
+def test_bursts_of_lasting_connections_never_exhaust_the_descriptors(tmp_path: Path, max_files: int) -> None:
+    """Each connection of a burst passes a health check and stays open, so that each of the next burst evicts one."""
+    process = Process(tmp_path, max_files)
     opened = []
     try:
         for _ in range(3):
-            crowd = [socket.create_connection(process.address, timeout=PATIENCE) for _ in range(250)]
+            crowd = [socket.create_connection(process.address, timeout=TIMEOUT_S) for _ in range(250)]
             for one in crowd:
                 with contextlib.suppress(OSError):
                     one.sendall(plain("OPTIONS", "0000000000000002"))
             opened += crowd
-            time.sleep(0.6)  # quiet for longer than a connection in use may be
+            time.sleep(0.6)  # long enough for the connections to count as unused
         assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
         assert not process.lines("loop_fault")
     finally:
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -1,28 +1,28 @@
-"""SIGTERM: what is served, what is refused, when connections close, and that all of it is over before SIGKILL."""
+"""Shutdown on SIGTERM: what is served and refused, when connections close, and that it ends before SIGKILL."""
 
 from dataclasses import replace
 
 import pytest
-from platform_world import USES, World, configuration
+from platform_world import TRAFFIC_CLASSES, World, configuration
 
 from wellhitch.net.seam import now_us
 from wellhitch.platform.shutdown import Phase, nothing_left, shutdown_schedule
 from wellhitch.stand_ins.platform import invite, plain
 
 A, B, C = "00000000000000aa", "00000000000000bb", "00000000000000cc"
-S = 1_000_000
+SECOND = 1_000_000
 
 
-def stopping(longest_s: float = 3.0) -> World:
+def world_with_deadline(longest_s: float = 3.0) -> World:
     """A call server whose longest deadline is `longest_s`."""
-    uses = tuple(replace(use, outer_limit=int(longest_s * S)) for use in USES)
+    uses = tuple(replace(use, outer_limit=int(longest_s * SECOND)) for use in TRAFFIC_CLASSES)
     return World(opened=replace(configuration().opened, use_cases=uses))
 
 
-@pytest.mark.parametrize("longest", [0, 100_000, 300_000, S, 3 * S, 9 * S])
-def test_everything_is_over_before_the_earliest_kill(longest: int) -> None:
+@pytest.mark.parametrize("longest", [0, 100_000, 300_000, SECOND, 3 * SECOND, 9 * SECOND])
+def test_schedule_ends_before_the_earliest_kill(longest: int) -> None:
     schedule = shutdown_schedule(longest)
-    kill = min(longest or 3 * S, 3 * S) + 700_000
+    kill = min(longest or 3 * SECOND, 3 * SECOND) + 700_000
     assert schedule.drain_at <= schedule.close_at < schedule.end_at < kill
     assert schedule.phase(schedule.drain_at - 1) is Phase.SERVING
     assert schedule.phase(schedule.close_at) is Phase.CLOSING
@@ -30,14 +30,14 @@
         assert schedule.phase(schedule.drain_at) is Phase.DRAINING
 
 
-def test_nothing_is_left_only_without_owed_answers_calls_and_connections() -> None:
+def test_nothing_left_requires_no_pending_set_ups_calls_and_connections() -> None:
     assert nothing_left(0, 0, 0)
     assert not nothing_left(1, 0, 0) and not nothing_left(0, 1, 0) and not nothing_left(0, 0, 1)
 
 
 @pytest.mark.parametrize("longest_s", [0.3, 1.0, 9.0])
-def test_it_ends_by_itself_before_the_earliest_kill_whatever_hangs(longest_s: float) -> None:
-    world = stopping(longest_s)
+def test_process_ends_before_the_earliest_kill_whatever_hangs(longest_s: float) -> None:
+    world = world_with_deadline(longest_s)
     for office in world.offices.values():
         office.answers = False
     callers = [world.caller() for _ in range(3)]
@@ -47,7 +47,7 @@
     world.service.stop()
     kill = min(longest_s, 3.0) + 0.7
     sent, answered = 3, 0
-    while not world.ended:
+    while not world.stopped:
         for caller in callers:
             if not caller.closed:
                 caller.say(invite(f"{sent:016x}", left_ms=int(longest_s * 1000)))
@@ -58,12 +58,12 @@
     world.run(0.1)
     answered = sum(len(caller.statuses(f"{n:016x}")) for caller in callers for n in range(sent))
     assert world.core.owed == 0
-    # What was sent on a connection that was closing at that moment crosses the close: one a connection at most.
+    # A set-up that crosses the close of its connection gets no answer: at most one for each connection.
     assert sent - len(callers) * 3 <= answered <= sent
 
 
-def test_tests_fail_from_the_signal_on_and_set_ups_are_served_for_a_while() -> None:
-    world = stopping()
+def test_health_checks_fail_from_the_signal_on_while_set_ups_are_still_served() -> None:
+    world = world_with_deadline()
     caller = world.caller()
     world.service.stop()
     caller.say(plain("OPTIONS", A))
@@ -72,9 +72,9 @@
     assert caller.statuses(A, "OPTIONS") == [503] and caller.statuses(B) == [200]
 
 
-def test_a_draining_connection_stays_for_its_calls_refuses_set_ups_and_closes_with_the_last_end() -> None:
-    world = stopping()
-    holding, idle = world.standing(A), world.caller()
+def test_draining_connection_refuses_set_ups_and_closes_with_its_last_call() -> None:
+    world = world_with_deadline()
+    holding, idle = world.establish(A), world.caller()
     idle.say(plain("OPTIONS", C))
     world.run(0.05)
     world.service.stop()
@@ -86,18 +86,18 @@
     world.offices[1].down(A, 16)
     world.run(0.1)
     assert len(holding.byes(A)) == 1 and holding.closed
-    assert not world.ended or now_us(world.loop) < 2 * S
+    assert not world.stopped or now_us(world.loop) < 2 * SECOND
 
 
-def test_it_ends_early_where_nothing_is_left() -> None:
-    world = stopping(9.0)
+def test_shutdown_ends_early_if_nothing_is_left() -> None:
+    world = world_with_deadline(9.0)
     world.service.stop()
     world.run(0.9)
-    assert world.ended
+    assert world.stopped
 
 
-def test_a_set_up_in_pieces_is_answered_before_its_connection_closes() -> None:
-    world = stopping()
+def test_partly_received_set_up_is_answered_before_its_connection_closes() -> None:
+    world = world_with_deadline()
     caller = world.caller()
     world.service.stop()
     world.run(0.69)
@@ -109,9 +109,9 @@
     assert caller.statuses(A) == [503] and caller.closed
 
 
-def test_an_end_that_crosses_the_close_of_its_connection_reaches_the_endpoint() -> None:
-    world = stopping()
-    caller = world.standing(A)
+def test_release_that_crosses_the_close_of_its_connection_reaches_the_endpoint() -> None:
+    world = world_with_deadline()
+    caller = world.establish(A)
     world.service.stop()
     world.run(3.4005)  # closing has begun; the caller has not read it yet
     caller.say(plain("BYE", A))
@@ -119,19 +119,19 @@
     assert [line.ref for line in world.offices[1].said("down")] == [A]
 
 
-def test_a_caller_that_never_closes_its_side_holds_nothing_up() -> None:
-    world = stopping()
+def test_caller_that_never_closes_its_side_does_not_delay_the_shutdown() -> None:
+    world = world_with_deadline()
     caller = world.caller(reads=False)
     caller.say(invite(A))
     world.run(0.1)
     world.service.stop()
     world.run(3.65)
-    assert world.ended
+    assert world.stopped
 
 
-def test_a_second_signal_and_a_new_configuration_while_stopping_change_nothing() -> None:
-    world = stopping()
-    world.standing(A)
+def test_second_signal_and_new_configuration_while_stopping_change_nothing() -> None:
+    world = world_with_deadline()
+    world.establish(A)
     world.service.stop()
     world.run(1)
     world.service.stop()
@@ -141,17 +141,17 @@
     )
     world.service.reconfigure(moved)
     world.run(2.7)
-    assert world.ended
+    assert world.stopped
     world.service.reconfigure(replace(moved, addresses=replace(moved.addresses, discovery="10.2.0.8:8500")))
     world.run(1)
     assert not [pipe for pipe in world.net.pipes if pipe.here == "10.0.0.1" and pipe.there == "10.2.0.8"]
 
 
 @pytest.mark.parametrize("trailing", [b"x" * 1000, plain("OPTIONS", B) * 20])
-def test_bytes_that_arrive_as_a_connection_closes_do_not_cost_the_answer(trailing: bytes) -> None:
+def test_bytes_that_arrive_as_a_connection_closes_do_not_lose_the_answer(trailing: bytes) -> None:
     world = World()
     caller = world.caller()
-    caller.say(invite(A, left_ms=0))  # refused, and the connection closed
+    caller.say(invite(A, left_ms=0))  # refused, and the connection is closed
     caller.say(trailing)
     world.run(0.01)
     caller.say(trailing)
@@ -159,19 +159,19 @@
     assert caller.statuses(A) == [400] and caller.closed
 
 
-def test_a_slow_writer_does_not_cost_the_set_up_that_it_sent_before() -> None:
+def test_slow_writer_does_not_lose_its_earlier_set_up() -> None:
     world = World()
     world.offices[1].answers = False
     caller = world.caller()
     caller.say(invite(A, left_ms=2900) + invite(B)[:50])
-    world.run(2.6)  # longer than half a message may take
+    world.run(2.6)  # longer than a partial message may take
     assert not caller.closed
     world.offices[1].up(A)
     world.run(0.5)
     assert caller.statuses(A) == [200] and caller.closed
 
 
-def test_noise_after_a_set_up_closes_the_connection_with_the_set_up_answered() -> None:
+def test_invalid_bytes_after_a_set_up_close_the_connection_with_the_set_up_answered() -> None:
     world = World()
     world.offices[1].answers = False
     caller = world.caller()
@@ -185,11 +185,11 @@
     assert caller.statuses(A) == [500] and caller.closed
 
 
-def test_a_release_that_comes_when_nobody_can_be_told_is_left_for_the_next_process() -> None:
-    world = stopping()
-    caller = world.standing(A)
+def test_release_that_cannot_be_forwarded_is_left_for_the_next_process() -> None:
+    world = world_with_deadline()
+    caller = world.establish(A)
     world.service.stop()
-    world.run(3.402)  # every caller's connection is closing
+    world.run(3.402)  # every caller connection is closing
     world.offices[1].down(A, 16)
     world.run(0.1)
     assert not caller.byes(A) and A in world.core.calls
