--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -9,7 +9,7 @@
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 from wellhitch.platform.configuration import Addresses, Configuration
 from wellhitch.platform.service import Service
 from wellhitch.stand_ins.platform import Board, Caller, PlatformOffice, invite
--- a/wellhitch/platform/records.py
+++ b/wellhitch/platform/records.py
@@ -9,7 +9,7 @@
 from enum import Enum, auto
 
 from wellhitch.interface.events import Standing
-from wellhitch.net.seam import Timer
+from wellhitch.net.transport import Timer
 from wellhitch.platform.liveness import EndpointLiveness
 
 # How long an office record remembers call IDs whose dial or call this server ended: longer than any deadline here.
--- a/wellhitch/platform/releases.py
+++ b/wellhitch/platform/releases.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
 
-from wellhitch.net.seam import Timer
+from wellhitch.net.transport import Timer
 
 # How long a release may wait for a connection: the platform's limit for telling a caller that its call has ended.
 RETENTION_US = 8_000_000
