--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -1,4 +1,4 @@
-"""Calls on endpoints that fall silent, and what confirms that an endpoint still holds them."""
+"""Calls on offices that fall silent, and what confirms that an office still holds them."""
 
 from typing import Any
 
@@ -11,190 +11,190 @@
     SAME_INCARNATION_US,
     SILENCE_LIMIT_US,
     CallsLost,
-    EndpointLiveness,
     LivenessTest,
+    OfficeLiveness,
 )
 from wellhitch.stand_ins.platform import invite, plain
 
 SECOND = 1_000_000
-ENDPOINT = "10.1.0.1"
+OFFICE_HOST = "10.1.0.1"
 SERVER = "10.0.0.1"
 A, B = "00000000000000aa", "00000000000000bb"
 
 
-def endpoint_with_a_call(tests_allowed: bool = True, greets: bool = True) -> EndpointLiveness:
-    """An endpoint with one call, established on connection 'old' at time 0."""
+def liveness_with_a_call(tests_allowed: bool = True, greets: bool = True) -> OfficeLiveness:
+    """An office with one call, established on connection 'old' at time 0."""
     opened_at = 0 if greets else -SECOND
-    endpoint = EndpointLiveness(tests_allowed, opened_at)
-    endpoint.connection_opened("old", opened_at)
-    endpoint.received("old", 0)
-    endpoint.call_established("call", "old")
-    return endpoint
+    liveness = OfficeLiveness(tests_allowed, opened_at)
+    liveness.connection_opened("old", opened_at)
+    liveness.received("old", 0)
+    liveness.call_established("call", "old")
+    return liveness
 
 
-def lost_at(endpoint: EndpointLiveness, until: int = 12 * SECOND) -> int | None:
+def lost_at(liveness: OfficeLiveness, until: int = 12 * SECOND) -> int | None:
     """When its calls count as lost if nothing more is received."""
     for now in range(0, until, SECOND // 10):
-        if any(isinstance(due, CallsLost) for due in endpoint.step(now)):
+        if any(isinstance(due, CallsLost) for due in liveness.step(now)):
             return now
     return None
 
 
-# ---- endpoint liveness ----
+# ---- office liveness ----
 
 
 def test_silence_ends_calls_in_time_to_tell_their_callers() -> None:
-    endpoint = endpoint_with_a_call()
-    assert lost_at(endpoint) == SILENCE_LIMIT_US < 8 * SECOND
+    liveness = liveness_with_a_call()
+    assert lost_at(liveness) == SILENCE_LIMIT_US < 8 * SECOND
 
 
-def test_quiet_endpoint_is_tested_and_each_answer_resets_the_timer() -> None:
-    endpoint = endpoint_with_a_call()
-    assert endpoint.step(QUIET_US - 1) == []
-    assert endpoint.step(QUIET_US) == [LivenessTest(("old",), False)]
-    endpoint.received("old", QUIET_US + 1000)
-    assert endpoint.step(QUIET_US + 2000) == []
-    assert endpoint.step(2 * QUIET_US + 1000) == [LivenessTest(("old",), False)]
+def test_quiet_office_is_tested_and_each_answer_resets_the_timer() -> None:
+    liveness = liveness_with_a_call()
+    assert liveness.step(QUIET_US - 1) == []
+    assert liveness.step(QUIET_US) == [LivenessTest(("old",), False)]
+    liveness.received("old", QUIET_US + 1000)
+    assert liveness.step(QUIET_US + 2000) == []
+    assert liveness.step(2 * QUIET_US + 1000) == [LivenessTest(("old",), False)]
 
 
 def test_unanswered_test_is_repeated_on_all_connections_and_a_new_one() -> None:
-    endpoint = endpoint_with_a_call()
-    endpoint.connection_opened("other", SECOND // 2)
-    assert endpoint.step(QUIET_US) == [LivenessTest(("other",), False)]
-    assert endpoint.step(QUIET_US + 500_000) == [LivenessTest(("old", "other"), True)]
-    endpoint.connection_opened("new", QUIET_US + 510_000)
-    assert endpoint.under_test("new")
-    endpoint.received("new", QUIET_US + 520_000)  # opened in time: it leads to the same process
-    assert lost_at(endpoint, SILENCE_LIMIT_US + SECOND) is None
+    liveness = liveness_with_a_call()
+    liveness.connection_opened("other", SECOND // 2)
+    assert liveness.step(QUIET_US) == [LivenessTest(("other",), False)]
+    assert liveness.step(QUIET_US + 500_000) == [LivenessTest(("old", "other"), True)]
+    liveness.connection_opened("new", QUIET_US + 510_000)
+    assert liveness.under_test("new")
+    liveness.received("new", QUIET_US + 520_000)  # opened in time: it leads to the same process
+    assert lost_at(liveness, SILENCE_LIMIT_US + SECOND) is None
 
 
-def test_endpoint_without_calls_is_not_tested() -> None:
-    endpoint = endpoint_with_a_call()
-    endpoint.call_ended("call")
-    assert all(endpoint.step(now) == [] for now in range(0, 20 * SECOND, SECOND))
+def test_office_without_calls_is_not_tested() -> None:
+    liveness = liveness_with_a_call()
+    liveness.call_ended("call")
+    assert all(liveness.step(now) == [] for now in range(0, 20 * SECOND, SECOND))
 
 
 def test_restarted_machine_does_not_confirm_earlier_calls() -> None:
-    endpoint = endpoint_with_a_call()
-    endpoint.connection_closed("old")
-    endpoint.connection_opened("new", SAME_INCARNATION_US + 1)
-    endpoint.received("new", 3 * SECOND)
-    endpoint.call_established("later call", "new")
+    liveness = liveness_with_a_call()
+    liveness.connection_closed("old")
+    liveness.connection_opened("new", SAME_INCARNATION_US + 1)
+    liveness.received("new", 3 * SECOND)
+    liveness.call_established("later call", "new")
     for now in range(3 * SECOND, SILENCE_LIMIT_US, SECOND // 2):
-        endpoint.received("new", now)
-        assert not any(isinstance(due, CallsLost) for due in endpoint.step(now))
-    assert endpoint.step(SILENCE_LIMIT_US) == [CallsLost(("call",), SILENCE_LIMIT_US)]
-    endpoint.call_ended("call")
-    assert lost_at(endpoint, SILENCE_LIMIT_US + SECOND // 2) is None
+        liveness.received("new", now)
+        assert not any(isinstance(due, CallsLost) for due in liveness.step(now))
+    assert liveness.step(SILENCE_LIMIT_US) == [CallsLost(("call",), SILENCE_LIMIT_US)]
+    liveness.call_ended("call")
+    assert lost_at(liveness, SILENCE_LIMIT_US + SECOND // 2) is None
 
 
 def test_connection_after_a_refusal_leads_to_a_new_incarnation() -> None:
-    endpoint = endpoint_with_a_call()
-    endpoint.connection_closed("old")
-    endpoint.connection_refused()
-    endpoint.connection_opened("new", SECOND // 2)
-    endpoint.received("new", SECOND // 2)
-    assert lost_at(endpoint) == SILENCE_LIMIT_US
+    liveness = liveness_with_a_call()
+    liveness.connection_closed("old")
+    liveness.connection_refused()
+    liveness.connection_opened("new", SECOND // 2)
+    liveness.received("new", SECOND // 2)
+    assert lost_at(liveness) == SILENCE_LIMIT_US
 
 
 @pytest.mark.parametrize("proof", ["old connection speaks", "new connection names a call"])
-def test_endpoint_that_was_only_disconnected_keeps_all_its_calls(proof: str) -> None:
-    endpoint = endpoint_with_a_call()
-    endpoint.connection_opened("new", 5 * SECOND)
-    endpoint.received("new", 5 * SECOND)
-    endpoint.call_established("later call", "new")
+def test_office_that_was_only_disconnected_keeps_all_its_calls(proof: str) -> None:
+    liveness = liveness_with_a_call()
+    liveness.connection_opened("new", 5 * SECOND)
+    liveness.received("new", 5 * SECOND)
+    liveness.call_established("later call", "new")
     if proof == "old connection speaks":
-        endpoint.received("old", 6 * SECOND)
+        liveness.received("old", 6 * SECOND)
     else:
-        endpoint.call_mentioned("call", "new", 6 * SECOND)
-    assert len(endpoint.incarnations) == 1 and endpoint.current.calls == {"call", "later call"}
+        liveness.call_mentioned("call", "new", 6 * SECOND)
+    assert len(liveness.incarnations) == 1 and liveness.current.calls == {"call", "later call"}
     for now in range(6 * SECOND, 8 * SECOND + 1, SECOND // 5):
-        assert not any(isinstance(due, CallsLost) for due in endpoint.step(now))
+        assert not any(isinstance(due, CallsLost) for due in liveness.step(now))
 
 
-def test_endpoint_is_tested_before_its_calls_are_lost_after_a_pause_of_this_process() -> None:
-    endpoint = endpoint_with_a_call()
-    assert endpoint.step(30 * SECOND) == [LivenessTest(("old",), False)]
-    assert not endpoint.unconfirmed_calls(30 * SECOND)
-    assert not any(isinstance(due, CallsLost) for due in endpoint.step(30 * SECOND + 900_000))
-    answered, silent = endpoint, endpoint_with_a_call()
+def test_office_is_tested_before_its_calls_are_lost_after_a_pause_of_this_process() -> None:
+    liveness = liveness_with_a_call()
+    assert liveness.step(30 * SECOND) == [LivenessTest(("old",), False)]
+    assert not liveness.unconfirmed_calls(30 * SECOND)
+    assert not any(isinstance(due, CallsLost) for due in liveness.step(30 * SECOND + 900_000))
+    answered, silent = liveness, liveness_with_a_call()
     answered.received("old", 31 * SECOND)
     assert not any(isinstance(due, CallsLost) for due in answered.step(31 * SECOND))
     silent.step(30 * SECOND)
     assert any(isinstance(due, CallsLost) for due in silent.step(31 * SECOND))
 
 
-def test_new_connection_confirms_the_endpoint_where_tests_are_not_allowed() -> None:
-    endpoint = endpoint_with_a_call(tests_allowed=False, greets=False)
-    assert endpoint.step(QUIET_US) == [LivenessTest((), True)]
-    endpoint.connection_opened("new", QUIET_US + 1000)
-    assert lost_at(endpoint, SILENCE_LIMIT_US + SECOND) is None
+def test_new_connection_confirms_the_office_where_tests_are_not_allowed() -> None:
+    liveness = liveness_with_a_call(tests_allowed=False, greets=False)
+    assert liveness.step(QUIET_US) == [LivenessTest((), True)]
+    liveness.connection_opened("new", QUIET_US + 1000)
+    assert lost_at(liveness, SILENCE_LIMIT_US + SECOND) is None
 
 
 def test_new_connection_confirms_nothing_after_an_unanswered_set_up() -> None:
-    endpoint = endpoint_with_a_call(tests_allowed=False, greets=False)
-    endpoint.set_up_sent(SECOND // 2)
+    liveness = liveness_with_a_call(tests_allowed=False, greets=False)
+    liveness.set_up_sent(SECOND // 2)
     for second in range(1, 7):
-        endpoint.connection_opened(second, second * SECOND)
-    assert lost_at(endpoint) == SECOND // 2 + SILENCE_LIMIT_US
+        liveness.connection_opened(second, second * SECOND)
+    assert lost_at(liveness) == SECOND // 2 + SILENCE_LIMIT_US
 
 
-def test_endpoint_that_sends_greetings_is_confirmed_only_by_a_greeting() -> None:
-    endpoint = endpoint_with_a_call(tests_allowed=False)  # the first connection was greeted
+def test_office_that_sends_greetings_is_confirmed_only_by_a_greeting() -> None:
+    liveness = liveness_with_a_call(tests_allowed=False)  # the first connection was greeted
     for second in range(1, 7):
-        assert [type(due) for due in endpoint.step(second * SECOND)] == [LivenessTest]
-        endpoint.connection_opened(second, second * SECOND + 1000)
-    assert lost_at(endpoint) == SILENCE_LIMIT_US
+        assert [type(due) for due in liveness.step(second * SECOND)] == [LivenessTest]
+        liveness.connection_opened(second, second * SECOND + 1000)
+    assert lost_at(liveness) == SILENCE_LIMIT_US
 
 
 @pytest.mark.parametrize("accepted_at", [None, 59 * SECOND])
 def test_call_reported_after_a_restart_is_given_time_for_a_test(accepted_at: int | None) -> None:
-    endpoint = EndpointLiveness(True, 0)
+    liveness = OfficeLiveness(True, 0)
     if accepted_at is not None:  # by the kernel, while the process hangs
-        endpoint.connection_opened("new", accepted_at)
-    endpoint.call_reported("call", 60 * SECOND)
-    assert [type(due) for due in endpoint.step(61 * SECOND)] == [LivenessTest]
-    assert not any(isinstance(due, CallsLost) for due in endpoint.step(62 * SECOND + SECOND // 2))
-    assert any(isinstance(due, CallsLost) for due in endpoint.step(63 * SECOND))
-    assert endpoint.unconfirmed_calls(63 * SECOND) == {"call"}
+        liveness.connection_opened("new", accepted_at)
+    liveness.call_reported("call", 60 * SECOND)
+    assert [type(due) for due in liveness.step(61 * SECOND)] == [LivenessTest]
+    assert not any(isinstance(due, CallsLost) for due in liveness.step(62 * SECOND + SECOND // 2))
+    assert any(isinstance(due, CallsLost) for due in liveness.step(63 * SECOND))
+    assert liveness.unconfirmed_calls(63 * SECOND) == {"call"}
 
 
 def test_quick_answer_on_a_new_connection_is_not_taken_for_a_greeting() -> None:
-    endpoint = endpoint_with_a_call(tests_allowed=False, greets=False)
-    endpoint.connection_opened("other", SECOND // 2)
-    endpoint.received("other", SECOND // 2 + 20_000)  # a set-up's answer
-    assert endpoint.step(2 * SECOND) == [LivenessTest((), True)]
-    endpoint.connection_opened("new", 2 * SECOND + 1000)
-    assert lost_at(endpoint, SILENCE_LIMIT_US + SECOND) is None
+    liveness = liveness_with_a_call(tests_allowed=False, greets=False)
+    liveness.connection_opened("other", SECOND // 2)
+    liveness.received("other", SECOND // 2 + 20_000)  # a set-up's answer
+    assert liveness.step(2 * SECOND) == [LivenessTest((), True)]
+    liveness.connection_opened("new", 2 * SECOND + 1000)
+    assert lost_at(liveness, SILENCE_LIMIT_US + SECOND) is None
 
 
 def test_data_on_an_old_connection_confirms_current_calls() -> None:
-    endpoint = endpoint_with_a_call()
-    endpoint.connection_opened("new", 3 * SECOND)
+    liveness = liveness_with_a_call()
+    liveness.connection_opened("new", 3 * SECOND)
     for now in range(0, SILENCE_LIMIT_US + 1, SECOND // 5):
-        endpoint.step(now)
-    endpoint.call_ended("call")  # lost
-    endpoint.received("old", 9 * SECOND)  # the process only hung
-    endpoint.call_established("later call", "old")
-    endpoint.connection_closed("new")
+        liveness.step(now)
+    liveness.call_ended("call")  # lost
+    liveness.received("old", 9 * SECOND)  # the process only hung
+    liveness.call_established("later call", "old")
+    liveness.connection_closed("new")
     for now in range(9 * SECOND, 30 * SECOND, SECOND // 5):
-        assert not any(isinstance(due, CallsLost) for due in endpoint.step(now))
-        endpoint.received("old", now)
+        assert not any(isinstance(due, CallsLost) for due in liveness.step(now))
+        liveness.received("old", now)
 
 
 @pytest.mark.parametrize("tests_allowed", [True, False])
-def test_call_reported_on_a_long_quiet_endpoint_is_kept(tests_allowed: bool) -> None:
-    endpoint = EndpointLiveness(tests_allowed, 0)
-    endpoint.connection_opened("old", 0)
-    endpoint.call_reported("call", 60 * SECOND)
+def test_call_reported_on_a_long_quiet_office_is_kept(tests_allowed: bool) -> None:
+    liveness = OfficeLiveness(tests_allowed, 0)
+    liveness.connection_opened("old", 0)
+    liveness.call_reported("call", 60 * SECOND)
     for now in range(60 * SECOND, 80 * SECOND, SECOND // 5):
-        for due in endpoint.step(now):
+        for due in liveness.step(now):
             assert isinstance(due, LivenessTest), now
             if tests_allowed:
-                endpoint.received("old", now + 1000)
+                liveness.received("old", now + 1000)
             else:  # it sends nothing on a new connection
-                endpoint.connection_opened(now, now + 1000)
-    assert endpoint.current.calls == {"call"} and len(endpoint.incarnations) == 1
+                liveness.connection_opened(now, now + 1000)
+    assert liveness.current.calls == {"call"} and len(liveness.incarnations) == 1
 
 
 # ---- the call server in virtual time ----
@@ -211,14 +211,14 @@
 
 
 def silence(world: World, swallowed: bool = True) -> None:
-    weather = world.net.spoil(SERVER, ENDPOINT)
+    weather = world.net.spoil(SERVER, OFFICE_HOST)
     weather.silent, weather.swallowed = True, swallowed
 
 
 def heal(world: World) -> None:
-    weather = world.net.spoil(SERVER, ENDPOINT)
+    weather = world.net.spoil(SERVER, OFFICE_HOST)
     weather.silent = weather.swallowed = False
-    world.net.heal(SERVER, ENDPOINT)
+    world.net.heal(SERVER, OFFICE_HOST)
 
 
 def answer_tests(world: World) -> None:
@@ -236,7 +236,7 @@
 
 @pytest.mark.parametrize("may_probe", [True, False])
 @pytest.mark.parametrize("hangs", [False, True])
-def test_callers_are_told_when_an_endpoint_falls_silent(may_probe: bool, hangs: bool) -> None:
+def test_callers_are_told_when_an_office_falls_silent(may_probe: bool, hangs: bool) -> None:
     world = make_world(may_probe)
     caller = world.establish(A)
     silence(world, swallowed=not hangs)
@@ -248,11 +248,11 @@
     assert reason == "Q.850;cause=41" and at - fell_silent < 8 * SECOND
 
 
-def test_quiet_endpoint_that_answers_tests_keeps_its_calls() -> None:
+def test_quiet_office_that_answers_tests_keeps_its_calls() -> None:
     world = make_world()
     answer_tests(world)
     world.offices[1].ends.clear()
-    world.net.cut(SERVER, ENDPOINT)  # so that all later connections answer
+    world.net.cut(SERVER, OFFICE_HOST)  # so that all later connections answer
     world.run(1)
     caller = world.establish(A)
     world.run(60)
@@ -260,7 +260,7 @@
     assert 50 <= world.counts["tests_sent"] <= 70
 
 
-def test_quiet_endpoint_without_tests_keeps_its_calls_and_few_connections() -> None:
+def test_quiet_office_without_tests_keeps_its_calls_and_few_connections() -> None:
     world = make_world(may_probe=False)
     caller = world.establish(A)
     world.run(60)
@@ -273,7 +273,7 @@
 def test_short_network_interruption_ends_no_call() -> None:
     world = make_world()
     answer_tests(world)
-    world.net.cut(SERVER, ENDPOINT)
+    world.net.cut(SERVER, OFFICE_HOST)
     world.run(1)
     caller = world.establish(A)
     silence(world)
@@ -283,7 +283,7 @@
     assert A in world.core.calls and not caller.byes(A)
 
 
-def test_endpoint_is_told_after_an_outage_that_its_call_was_ended() -> None:
+def test_office_is_told_after_an_outage_that_its_call_was_ended() -> None:
     world = make_world()
     caller = world.establish(A)
     silence(world)
@@ -300,11 +300,11 @@
     vanished = now_us(world.loop)
     silence(world)
     world.run(4)
-    world.net.reset_host(ENDPOINT)
-    weather = world.net.spoil(SERVER, ENDPOINT)
+    world.net.reset_host(OFFICE_HOST)
+    weather = world.net.spoil(SERVER, OFFICE_HOST)
     weather.silent = weather.swallowed = False
     answer_tests(world)
-    world.net.cut(SERVER, ENDPOINT)
+    world.net.cut(SERVER, OFFICE_HOST)
     world.run(0.5)
     other = world.establish(B, world.caller())
     world.run(4.5)
@@ -324,23 +324,23 @@
     assert len(caller.byes(A)) == 1 and not other.byes(B)
 
 
-def test_idle_connections_to_a_draining_endpoint_are_closed() -> None:
+def test_idle_connections_to_a_draining_office_are_closed() -> None:
     world = make_world()
     answer_tests(world)
     world.run(16)  # the time for callers to report calls is over
     world.establish(A)
     world.discovery.tell(row(1, DRAINING))
     world.run(1)
-    assert world.net.links(SERVER, ENDPOINT)
+    assert world.net.links(SERVER, OFFICE_HOST)
     world.offices[1].down(A, 16)
     world.run(0.2)
-    assert not world.net.links(SERVER, ENDPOINT)
+    assert not world.net.links(SERVER, OFFICE_HOST)
     world.discovery.tell(row(1, READY))
     world.run(0.2)
-    assert world.net.links(SERVER, ENDPOINT)
+    assert world.net.links(SERVER, OFFICE_HOST)
 
 
-def test_early_release_from_a_draining_endpoint_is_kept_after_a_restart() -> None:
+def test_early_release_from_a_draining_office_is_kept_after_a_restart() -> None:
     world = make_world()
     world.discovery.tell(row(1, DRAINING))
     world.run(0.1)
@@ -359,7 +359,7 @@
     assert [reason for _, reason in caller.byes(A)] == ["Q.850;cause=16"] and not service.core.calls
 
 
-def test_lost_connection_of_an_endpoint_with_calls_is_replaced() -> None:
+def test_lost_connection_of_an_office_with_calls_is_replaced() -> None:
     world = make_world()
     office = world.offices[1]
     office.answers = False
@@ -376,7 +376,7 @@
     office.down(A, 16)
     world.run(0.05)
     assert len(office.ends) == before + 1
-    office.down(A, 16, end=office.ends[-1])  # endpoints resend it on the next connection
+    office.down(A, 16, end=office.ends[-1])  # offices resend it on the next connection
     world.run(0.1)
     assert len(caller.byes(A)) == 1
 
@@ -388,20 +388,20 @@
     world.run(0.5)
     caller.say(plain("BYE", A))
     world.run(0.5)
-    weather = world.net.spoil(SERVER, ENDPOINT)
+    weather = world.net.spoil(SERVER, OFFICE_HOST)
     weather.silent = weather.swallowed = False
-    world.net.cut(SERVER, ENDPOINT)  # what was written while it was silent never arrives
+    world.net.cut(SERVER, OFFICE_HOST)  # what was written while it was silent never arrives
     world.run(1)
     assert [line.ref for line in world.offices[1].said("down")] == [A]
     world.run(3)
-    world.net.cut(SERVER, ENDPOINT)
+    world.net.cut(SERVER, OFFICE_HOST)
     world.run(1)
     assert [line.ref for line in world.offices[1].said("down")] == [
         A
     ]  # not again, as bytes were received since
 
 
-def test_connections_closed_by_an_idle_endpoint_are_not_all_reopened() -> None:
+def test_connections_closed_by_an_idle_office_are_not_all_reopened() -> None:
     world = make_world()
     office = world.offices[1]
     office.answers = False
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -109,7 +109,7 @@
     assert caller.statuses(A) == [503] and caller.closed
 
 
-def test_release_that_crosses_the_close_of_its_connection_reaches_the_endpoint() -> None:
+def test_release_that_crosses_the_close_of_its_connection_reaches_the_office() -> None:
     world = world_with_deadline()
     caller = world.establish(A)
     world.service.stop()
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -16,7 +16,7 @@
 from wellhitch.interface import events as ev
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.established import CAUSE_CUT, CAUSE_NORMAL, EstablishedCalls
-from wellhitch.platform.liveness import EndpointLiveness
+from wellhitch.platform.liveness import OfficeLiveness
 from wellhitch.platform.records import DialState, EstablishedCall, OfficeRecord, PendingCall, PendingDial
 from wellhitch.platform.server_io import ServerIO
 from wellhitch.platform.set_up_request import SetUp, read_call_id, read_set_up
@@ -27,7 +27,7 @@
 ANSWER_MARGIN_US = 20_000
 # A load report with four names has some sixty characters.
 MAX_LOAD_REPORT_CHARACTERS = 256
-# After the start, in which callers report their calls from before it; they do so once the front accepts this server
+# After the start, in which callers report their calls from before it; they do so once the front end uses this server
 # again.
 CALLS_REPORTED_WITHIN_US = 15_000_000
 
@@ -71,7 +71,9 @@
             io, self.offices, self.counts, self._call_ended, self._release_if_unused
         )
         self.calls, self.releases = self.established.calls, self.established.releases
-        self.stopping = False  # health checks fail, so that the callers' front stops using this call server
+        self.stopping = (
+            False  # health checks fail, so that the front end of the callers stops using this call server
+        )
         self.draining = False  # new set-ups are refused
         # Whether callers have had the time to report the calls from before the start.
         self._callers_reported_calls = False
@@ -590,7 +592,7 @@
                 row.address,
                 state,
                 started,
-                liveness=EndpointLiveness(tests_allowed, now),
+                liveness=OfficeLiveness(tests_allowed, now),
             )
             self.io.log("office", office=row.id, number=row.cell, standing=state.name, started=started)
             return
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -1,7 +1,7 @@
-"""Established calls: which endpoint holds each, what ends it, and who is told. Pure.
+"""Established calls: which office holds each, what ends it, and who is told. Pure.
 
-A call ends when its caller or its endpoint releases it, when its endpoint is gone, has restarted or refuses every
-connection, and when nothing confirms any more that the endpoint still holds it (`liveness.py`). The caller is told
+A call ends when its caller or its office releases it, when its office is gone, has restarted or refuses every
+connection, and when nothing confirms any more that the office still holds it (`liveness.py`). The caller is told
 through `releases.py`, unless it ended the call itself.
 """
 
@@ -18,12 +18,12 @@
 from wellhitch.sip import codec as sip
 
 CAUSE_NORMAL, CAUSE_CUT = 16, 41
-# `established_at` of a call from before this server started: earlier than any start of its endpoint reported later.
+# `established_at` of a call from before this server started: earlier than any start of its office reported later.
 ESTABLISHED_BEFORE_START = 0
-# An endpoint that refuses every connection for so long has died with its calls. Replacing a connection after a reset
+# An office that refuses every connection for so long has died with its calls. Replacing a connection after a reset
 # takes milliseconds.
 REFUSED_US = 1_000_000
-# From the report that an endpoint is gone until its calls are cut: releases that it sent before it ended arrive first.
+# From the report that an office is gone until its calls are cut: releases that it sent before it ended arrive first.
 GONE_US = 500_000
 # Between liveness checks; short compared with the second that is left for telling callers.
 LIVENESS_STEP_US = 200_000
--- a/wellhitch/platform/event_log.py
+++ b/wellhitch/platform/event_log.py
@@ -14,7 +14,7 @@
 import msgspec
 
 LINES_PER_S = 300  # twice the rate caused by the calls of the busiest call server on the platform
-BURST_LINES = 900  # three seconds of that, as a restart or a lost endpoint ends many calls at once
+BURST_LINES = 900  # three seconds of that, as a restart or a lost office ends many calls at once
 
 
 class LineBudget:
--- a/wellhitch/platform/liveness.py
+++ b/wellhitch/platform/liveness.py
@@ -1,11 +1,11 @@
-"""Detects whether an endpoint still holds the calls that were established on it. Pure; times in microseconds.
+"""Detects whether an office still holds the calls that were established on it. Pure; times in microseconds.
 
 When a machine vanishes, its connections stay open and discovery may report it much later. Its calls have ended all the
-same, and their callers must be told within 8 s. Silence is therefore limited here, whatever its cause: an endpoint with
+same, and their callers must be told within 8 s. Silence is therefore limited here, whatever its cause: an office with
 calls is tested when it has been quiet, and its calls count as lost when nothing confirms within `SILENCE_LIMIT_US` that
 it still holds them.
 
-Confirmations are tracked for each incarnation, that is one run of the endpoint's process. Bytes on a connection confirm
+Confirmations are tracked for each incarnation, that is one run of the office's process. Bytes on a connection confirm
 the incarnation to which the connection leads. A new connection is assigned to the current incarnation only if that was
 confirmed a short time ago; after a longer silence, or a refused connection, it may lead to another process at the same
 address, which does not know the calls.
@@ -17,19 +17,18 @@
 # The operators allow 8 s from the end of a call until its caller is told. One of them is left for telling: a release
 # that is not answered is sent four more times within it.
 SILENCE_LIMIT_US = 7_000_000
-# An endpoint's ordinary traffic confirms it more often than this; a shorter time only adds tests.
+# An office's ordinary traffic confirms it more often than this; a shorter time only adds tests.
 QUIET_US = 1_000_000
 # A test is answered in milliseconds. After this timeout the other connections are tested too, and one more is opened.
 TEST_TIMEOUT_US = 400_000
-# Calls are not lost before their endpoint was tested for so long: after a pause of this process all endpoints seem
-# silent.
+# Calls are not lost before their office was tested for so long: after a pause of this process all offices seem silent.
 TESTED_US = 1_000_000
 # A machine does not restart within this time, and a lost connection is replaced within it.
 SAME_INCARNATION_US = 2_000_000
 # Where tests are not allowed, a connection is opened instead, which may take as long as the connect timeout.
 CONNECT_TEST_INTERVAL_US = 600_000
 # A call that its caller reports after a restart of this server is kept at least so long for a test, however long the
-# endpoint was quiet.
+# office was quiet.
 REPORTED_CALL_GRACE_US = 3_000_000
 # Bytes that arrive so soon after a connection came up are a greeting.
 GREETING_US = 500_000
@@ -37,7 +36,7 @@
 
 @dataclass(slots=True, eq=False)
 class Incarnation:
-    """One run of an endpoint's process. `confirmed_at`: when it was last known to be running; `lost_at`: when its calls
+    """One run of an office's process. `confirmed_at`: when it was last known to be running; `lost_at`: when its calls
     count as lost unless it is confirmed again."""
 
     confirmed_at: int
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LivenessTest:
-    """Test the endpoint on these connections, and open one more where `open_another`."""
+    """Test the office on these connections, and open one more where `open_another`."""
 
     connections: tuple[Hashable, ...]
     open_another: bool
@@ -65,8 +64,8 @@
     silent_us: int
 
 
-class EndpointLiveness:
-    """The incarnations of one endpoint, identified by its id, with their connections and calls."""
+class OfficeLiveness:
+    """The incarnations of one office, identified by its id, with their connections and calls."""
 
     def __init__(self, tests_allowed: bool, now: int) -> None:
         self._tests_allowed = tests_allowed
@@ -218,8 +217,8 @@
         return LivenessTest(tuple(connections), incarnation is self.current and (recent or not connections))
 
     def _connecting_confirms(self) -> bool:
-        """Whether a new connection alone confirms the endpoint. Where tests are allowed it does not: the kernel accepts
-        connections for a process that hangs. Where they are not, it has to, unless the endpoint sends a greeting on
+        """Whether a new connection alone confirms the office. Where tests are allowed it does not: the kernel accepts
+        connections for a process that hangs. Where they are not, it has to, unless the office sends a greeting on
         most of its connections."""
         greets = 2 * self._greeted > self._opened
         return not (self._tests_allowed or greets)
--- a/wellhitch/platform/records.py
+++ b/wellhitch/platform/records.py
@@ -10,7 +10,7 @@
 
 from wellhitch.interface.events import Standing
 from wellhitch.net.transport import Timer
-from wellhitch.platform.liveness import EndpointLiveness
+from wellhitch.platform.liveness import OfficeLiveness
 
 # How long an office record remembers call IDs whose dial or call this server ended: longer than any deadline here.
 REMEMBERED_US = 10_000_000
@@ -40,7 +40,7 @@
     # Established calls that this server released at the office: cause and time.
     released: dict[str, tuple[int, int]] = field(default_factory=dict)
     cut_timer: Timer | None = None
-    liveness: EndpointLiveness = field(kw_only=True)
+    liveness: OfficeLiveness = field(kw_only=True)
 
     def remember_released(self, call_id: str, cause: int, now: int) -> None:
         """Remember the release of an established call, which may be lost with its connection and is then sent again."""
