--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -120,7 +120,7 @@
 def test_set_up_is_read() -> None:
     got = read(invite(CALL_ID, 2, "dear", 671, ";transit:1;again:1"))
     assert isinstance(got, SetUp)
-    assert (got.call_id, got.called_number, got.use_case, got.time_left_us, got.destination) == (
+    assert (got.call_id, got.called_number, got.traffic_class, got.time_left_us, got.destination) == (
         CALL_ID,
         "7f3a9c21e0b4d655",
         "dear",
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -78,7 +78,7 @@
         # Whether callers have had the time to report the calls from before the start.
         self._callers_reported_calls = False
         self._last_dialogue = 0
-        self._use_cases = {use_case.name: use_case for use_case in opened.use_cases}
+        self._traffic_classes = {traffic_class.name: traffic_class for traffic_class in opened.use_cases}
 
     def start(self, known_updates: Iterable[Notice], now: int) -> None:
         """Begin with the settings and the discovery updates known so far. Connections are opened after all updates are
@@ -170,7 +170,7 @@
             self.io.close_caller_connection(connection)
 
     def _handle_invite(self, connection: Hashable, message: sip.Request, now: int) -> None:
-        set_up = read_set_up(message, self._use_cases)
+        set_up = read_set_up(message, self._traffic_classes)
         if isinstance(set_up, str):
             self._reject_request(connection, message, set_up)
             return
@@ -207,7 +207,7 @@
             set_up.call_id,
             connection,
             sip.echo(message),
-            set_up.use_case,
+            set_up.traffic_class,
             set_up.called_number,
             set_up.description,
             set_up.destination,
@@ -218,12 +218,13 @@
         self.counts["taken"] += 1
         # Bounds the time left: an answer after the traffic class's deadline has no value.
         time_left_us = min(
-            set_up.time_left_us, self._use_cases[set_up.use_case].outer_limit or set_up.time_left_us
+            set_up.time_left_us,
+            self._traffic_classes[set_up.traffic_class].outer_limit or set_up.time_left_us,
         )
         self.feed(
             ev.Arrived(
                 dialogue=pending.id,
-                use_case=set_up.use_case,
+                use_case=set_up.traffic_class,
                 destination=set_up.destination,
                 called=set_up.called_number,
                 left=max(0, time_left_us - ANSWER_MARGIN_US),
@@ -356,7 +357,7 @@
         )
         line = lines.new(
             pending.call_id,
-            pending.use_case,
+            pending.traffic_class,
             pending.called_number,
             max(1, within // 1000),
             pending.description,
--- a/wellhitch/platform/records.py
+++ b/wellhitch/platform/records.py
@@ -70,7 +70,7 @@
     call_id: str
     connection: Hashable
     echo: str
-    use_case: str
+    traffic_class: str
     called_number: str
     description: str
     destination: int
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -151,7 +151,7 @@
         if self.stopping:
             return
         self.stopping = self.core.stopping = True
-        longest = max(use_case.outer_limit for use_case in self.configuration.opened.use_cases)
+        longest = max(traffic_class.outer_limit for traffic_class in self.configuration.opened.use_cases)
         self._schedule = shutdown_schedule(longest)
         self._stop_at = self.now()
         self.write_log(
--- a/wellhitch/platform/set_up_request.py
+++ b/wellhitch/platform/set_up_request.py
@@ -30,7 +30,7 @@
 
     call_id: str
     called_number: str
-    use_case: str
+    traffic_class: str
     time_left_us: int
     destination: int
     width: int
@@ -58,7 +58,7 @@
     return request.method == "INVITE" and "at" in (_attributes(request.headers.get("x-attrs", "")) or ())
 
 
-def read_set_up(request: Request, use_cases: Mapping[str, object]) -> SetUp | str:
+def read_set_up(request: Request, traffic_classes: Mapping[str, object]) -> SetUp | str:
     """The set-up, or the name of the field or limit that is wrong."""
     headers = request.headers
     call_id, address = read_call_id(request), _ADDRESS.fullmatch(request.uri)
@@ -68,8 +68,8 @@
         return "number_called"
     if not has_valid_cseq(request):
         return "cseq"
-    use_case, deadline_ms = headers.get("x-tier", ""), headers.get("x-deadline", "")
-    if use_case not in use_cases:
+    traffic_class, deadline_ms = headers.get("x-tier", ""), headers.get("x-deadline", "")
+    if traffic_class not in traffic_classes:
         return "unknown_use_case"
     if not _INTEGER.fullmatch(deadline_ms) or not 0 < int(deadline_ms) <= MAX_DEADLINE_MS:
         return "left"
@@ -100,7 +100,7 @@
     return SetUp(
         call_id,
         address[1],
-        use_case,
+        traffic_class,
         int(deadline_ms) * 1000,
         destination,
         width,
