--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -81,16 +81,16 @@
 @pytest.mark.parametrize("down_s", [0.5, 3.0, 11.0])
 def test_update_after_an_outage_is_received_in_time(fault: str, down_s: float) -> None:
     world = World()
-    weather = world.net.spoil(SERVER, DISCOVERY_HOST)
+    conditions = world.net.spoil(SERVER, DISCOVERY_HOST)
     if fault == "refused":
         world.net.cut(SERVER, DISCOVERY_HOST)
-        weather.broken = True
+        conditions.broken = True
     else:
-        weather.silent = True
-        weather.swallowed = fault == "swallowed"
+        conditions.silent = True
+        conditions.swallowed = fault == "swallowed"
     world.run(down_s)
     world.discovery.tell(row(1, DRAINING), loud=False)  # existing connections do not receive it
-    weather.broken = weather.swallowed = weather.silent = False
+    conditions.broken = conditions.swallowed = conditions.silent = False
     assert world.run_until(UPDATE_LIMIT_S, lambda: drained(world))
 
 
--- a/tests/test_platform_eviction.py
+++ b/tests/test_platform_eviction.py
@@ -21,7 +21,7 @@
         self.calls: Counter[str] = Counter()
         self.table = ConnectionTable[str](self.set_ups.__getitem__, self.calls.__getitem__)
 
-    def heard(self, name: str, ago: float, set_ups: int = 0, calls: int = 0) -> None:
+    def active(self, name: str, ago: float, set_ups: int = 0, calls: int = 0) -> None:
         self.table.opened(name, NOW - ago)
         self.table.message_received(name, NOW - ago)
         self.set_ups[name], self.calls[name] = set_ups, calls
@@ -29,7 +29,7 @@
     def silent(self, name: str, ago: float) -> None:
         self.table.opened(name, NOW - ago)
 
-    def order(self) -> list[str]:
+    def eviction_order(self) -> list[str]:
         """All connections in the order of their eviction."""
         out = []
         while (gone := self.table.next_to_evict(NOW)) is not None:
@@ -40,17 +40,17 @@
 
 def test_connections_are_evicted_in_the_order_of_their_cost() -> None:
     table = Table()
-    table.heard("quiet with a call", 0.9, calls=1)
-    table.heard("quiet with a set-up", 0.8, set_ups=1)
-    table.heard("quiet", 0.7)
-    table.heard("fresh with a call", 0.4, calls=1)
-    table.heard("fresh", 0.3)
-    table.heard("fresh with a set-up", 0.2, set_ups=1)
+    table.active("quiet with a call", 0.9, calls=1)
+    table.active("quiet with a set-up", 0.8, set_ups=1)
+    table.active("quiet", 0.7)
+    table.active("fresh with a call", 0.4, calls=1)
+    table.active("fresh", 0.3)
+    table.active("fresh with a set-up", 0.2, set_ups=1)
     table.silent("silent for long", 0.25)
     table.silent("silent", 0.1)
-    table.heard("closing", 0.9)
+    table.active("closing", 0.9)
     table.table.closing_started("closing", NOW)
-    assert table.order() == [
+    assert table.eviction_order() == [
         "silent for long",
         "quiet",
         "quiet with a call",
@@ -64,18 +64,18 @@
 
 def test_new_connection_has_time_for_its_first_message() -> None:
     table = Table()
-    table.heard("with a set-up", 0.7, set_ups=1)
-    table.heard("fresh", 0.3)
+    table.active("with a set-up", 0.7, set_ups=1)
+    table.active("fresh", 0.3)
     table.silent("new", 0.001)
-    assert table.order() == []
+    assert table.eviction_order() == []
     table.table.message_received("new", NOW)
-    assert table.order() == ["fresh", "new", "with a set-up"]
+    assert table.eviction_order() == ["fresh", "new", "with a set-up"]
 
 
 def test_closing_connection_is_read_before_it_is_reset() -> None:
     table = Table()
-    table.heard("first", 0.9)
-    table.heard("second", 0.9)
+    table.active("first", 0.9)
+    table.active("second", 0.9)
     table.table.closing_started("second", NOW - READ_AFTER_CLOSE_S)
     table.table.closing_started("first", NOW)
     assert table.table.next_to_reset(NOW) == "second"
--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -211,13 +211,13 @@
 
 
 def silence(world: World, swallowed: bool = True) -> None:
-    weather = world.net.spoil(SERVER, OFFICE_HOST)
-    weather.silent, weather.swallowed = True, swallowed
+    conditions = world.net.spoil(SERVER, OFFICE_HOST)
+    conditions.silent, conditions.swallowed = True, swallowed
 
 
 def heal(world: World) -> None:
-    weather = world.net.spoil(SERVER, OFFICE_HOST)
-    weather.silent = weather.swallowed = False
+    conditions = world.net.spoil(SERVER, OFFICE_HOST)
+    conditions.silent = conditions.swallowed = False
     world.net.heal(SERVER, OFFICE_HOST)
 
 
@@ -301,8 +301,8 @@
     silence(world)
     world.run(4)
     world.net.reset_host(OFFICE_HOST)
-    weather = world.net.spoil(SERVER, OFFICE_HOST)
-    weather.silent = weather.swallowed = False
+    conditions = world.net.spoil(SERVER, OFFICE_HOST)
+    conditions.silent = conditions.swallowed = False
     answer_tests(world)
     world.net.cut(SERVER, OFFICE_HOST)
     world.run(0.5)
@@ -388,8 +388,8 @@
     world.run(0.5)
     caller.say(plain("BYE", A))
     world.run(0.5)
-    weather = world.net.spoil(SERVER, OFFICE_HOST)
-    weather.silent = weather.swallowed = False
+    conditions = world.net.spoil(SERVER, OFFICE_HOST)
+    conditions.silent = conditions.swallowed = False
     world.net.cut(SERVER, OFFICE_HOST)  # what was written while it was silent never arrives
     world.run(1)
     assert [line.ref for line in world.offices[1].said("down")] == [A]
