--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -336,10 +336,10 @@
         line.frame
         for capture in done.captures
         if capture.party == "callers"
-        for line in capture.lines
+        for line in capture.records
         if not isinstance(line, Note) and isinstance(line.frame, frames.Final)
     ]
-    assert {final.by for final in finals} == {load_version(texts, PARSER).digest}
+    assert {final.hooks_version for final in finals} == {load_version(texts, PARSER).digest}
 
 
 def example_states() -> dict[str, HookState]:
--- a/wellhitch/hooks/check.py
+++ b/wellhitch/hooks/check.py
@@ -274,7 +274,7 @@
             case tree.RecordLiteral(position, fields):
                 names = [name for name, _ in fields]
                 for name in {name for name in names if names.count(name) > 1}:
-                    self.report(position, f"duplicate field {name}")
+                    self.report(position, f"field {name} is given twice")
                 return {name: self.expr(value) for name, value in fields}
 
     def _binary(self, binary: tree.Binary) -> Type:
--- a/wellhitch/stand_ins/office.py
+++ b/wellhitch/stand_ins/office.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wellhitch.net.seam import Listener, Network, now_us
+from wellhitch.net.transport import Listener, Network, now_us
 from wellhitch.stand_ins.processor import ColdStart, Job, Processor, Work
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
-from wellhitch.trunk.circuits import Group
-from wellhitch.trunk.port import Port
+from wellhitch.trunk.channel import Channel
+from wellhitch.trunk.circuits import TrunkGroup
 
 REORDER_S = 0.5  # an answer that comes out of order is so late: several others are said meanwhile
 TELL_EVERY_S = 0.05  # group counts to the call server at most so often
@@ -25,7 +25,7 @@
     """The exchange's end of its trunk groups, and the lines of the numbers called there."""
 
     number: int
-    groups: dict[int, Group]
+    groups: dict[int, TrunkGroup]
     lines: int
     busy_lines: Counter[str] = field(default_factory=Counter)
 
@@ -34,7 +34,7 @@
 class Leg:
     """One set-up that came in."""
 
-    port: Port
+    port: Channel
     setup: frames.Setup
     came: int
     job: Job | None = None
@@ -91,9 +91,9 @@
         )
         self.hello = frames.Hello("office", trunks.number, boot)
         self.ills = Ills()
-        self.ports: dict[Port, dict[int, Leg]] = {}
+        self.ports: dict[Channel, dict[int, Leg]] = {}
         self.transits: dict[int, Leg] = {}
-        self.passing: dict[tuple[Port, int], Job] = {}
+        self.passing: dict[tuple[Channel, int], Job] = {}
         self.counts: Counter[str] = Counter()
         self.listener: Listener | None = None
         self.address = address
@@ -116,9 +116,9 @@
         if not self.up:
             listener.close()
 
-    def _port(self) -> Port:
-        port: Port
-        port = Port(
+    def _port(self) -> Channel:
+        port: Channel
+        port = Channel(
             self.loop,
             self,
             self.hello,
@@ -129,7 +129,7 @@
         self.ports[port] = {}
         return port
 
-    def _forget_port(self, port: Port) -> None:
+    def _forget_port(self, port: Channel) -> None:
         self.ports.pop(port, None)  # also one that was lost before it said who it is
 
     def now(self) -> int:
@@ -146,39 +146,39 @@
         if self.listener:
             self.listener.close()
         for port in list(self.ports):
-            port.fail("office stopped", tell=False)
+            port.fail("office stopped", notify_peer=False)
 
     def _fell(self) -> None:
         self.counts["fell_over"] += 1
         self.recorder.note("fell_over")
         self.loop.call_soon(self.stop, "fell over")
 
-    def home(self) -> Port | None:
+    def home(self) -> Channel | None:
         """The link of the own call server."""
         for port in self.ports:
-            own = port.link.peer is not None and port.peer.number == self.trunks.number
+            own = port.connection.peer is not None and port.peer.number == self.trunks.number
             if own and port.transport and not port.transport.is_closing():
                 return port
         return None
 
     # -- Owner --
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """A call server came. An older link of the same one is half-open and goes."""
         for other in list(self.ports):
-            if other is not port and other.link.peer and other.peer.number == port.peer.number:
-                other.fail("a newer link of the same call server", tell=False)
+            if other is not port and other.connection.peer and other.peer.number == port.peer.number:
+                other.fail("a newer link of the same call server", notify_peer=False)
                 self._lost_port(other)
         if port.peer.number == self.trunks.number:
             self._untold.update(self.trunks.groups)
             self._tell_soon()
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """A call server's link is gone: what it held is freed."""
         self.recorder.down(port)
         self._lost_port(port)
 
-    def _lost_port(self, port: Port) -> None:
+    def _lost_port(self, port: Channel) -> None:
         legs = self.ports.pop(port, None)
         if legs is None:
             return  # lost before, when a newer link of the same call server came
@@ -189,52 +189,56 @@
                 self._onward(frames.Cancel(leg.onward))
             self._carried(leg, "cut")
             self._end(leg)
-        if port.link.peer and port.peer.number == self.trunks.number:
+        if port.connection.peer and port.peer.number == self.trunks.number:
             # What a call server held that is gone is held by nobody; its next one tells anew.
             for number, group in self.trunks.groups.items():
-                if group.theirs_count:
-                    group.theirs_count = 0
+                if group.remote_count:
+                    group.remote_count = 0
                     self._changed(number)
             for leg in list(self.transits.values()):
-                self._say(leg, frames.Cut(leg.setup.ref) if leg.answered else self._no(leg, "turned_back"))
+                self._say(
+                    leg, frames.Cut(leg.setup.dial_ref) if leg.answered else self._no(leg, "turned_back")
+                )
                 self._end(leg)
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """Circuits held for this link's dials."""
         return sum(leg.setup.width for leg in self.ports.get(port, {}).values())
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """A call server says something."""
         match frame:
             case frames.Setup():
                 self._setup(port, frame)
             case frames.Cancel(ref) | frames.Release(ref):
                 self._given_up(port, ref, isinstance(frame, frames.Release))
-            case frames.Pass():
+            case frames.ProcessStep():
                 self._pass(port, frame)
-            case frames.Drop(ref):
+            case frames.DropStep(ref):
                 job = self.passing.pop((port, ref), None)
                 if job and self.cancel_drops:
                     self.processor.drop(job)
             case frames.GroupState():
                 if port.peer.number == self.trunks.number and frame.number in self.trunks.groups:
-                    self.trunks.groups[frame.number].theirs_count = max(0, frame.held)
+                    self.trunks.groups[frame.number].remote_count = max(0, frame.held)
             case frames.Answer():
-                self._transit_answered(frame.ref)
-            case frames.PushBack() | frames.Cut():
+                self._transit_answered(frame.dial_ref)
+            case frames.Reject() | frames.Cut():
                 self._transit_over(frame)
             case frames.Probe():
                 self.processor.submit(
                     self.work.look, lambda: self._send(port, frames.LoadReport(self.load() or frames.Load()))
                 )
 
-    def _send(self, port: Port, frame: frames.Any) -> None:
+    def _send(self, port: Channel, frame: frames.AnyFrame) -> None:
         if self.up:
             port.send(frame)
 
     def legs_from(self, number: int) -> list[Leg]:
         """Set-ups that hold circuits of the group from another exchange."""
-        found = [legs for port, legs in self.ports.items() if port.link.peer and port.peer.number == number]
+        found = [
+            legs for port, legs in self.ports.items() if port.connection.peer and port.peer.number == number
+        ]
         return [leg for legs in found for leg in legs.values()]
 
     def cut(self, leg: Leg) -> None:
@@ -244,7 +248,7 @@
             self._onward(frames.Release(leg.onward) if leg.answered else frames.Cancel(leg.onward))
         self._carried(leg, "cut")
         self._end(leg)
-        self._say(leg, frames.Cut(leg.setup.ref))
+        self._say(leg, frames.Cut(leg.setup.dial_ref))
 
     def resize(self, number: int, size: int) -> None:
         """A group has another number of circuits."""
@@ -280,12 +284,12 @@
 
     # -- set-ups --
 
-    def _setup(self, port: Port, setup: frames.Setup) -> None:
+    def _setup(self, port: Channel, setup: frames.Setup) -> None:
         now = self.now()
         self.counts["setups"] += 1
         self.processor.pressed(1.0, now)
         legs = self.ports.get(port)
-        if legs is None or setup.ref in legs:
+        if legs is None or setup.dial_ref in legs:
             return
         leg = Leg(port, setup, now)
         group = self.trunks.groups.get(port.peer.number)
@@ -293,7 +297,7 @@
             self.counts["no_circuit"] += 1
             self._send(port, self._no(leg, "no_circuit"))
             return
-        legs[setup.ref] = leg
+        legs[setup.dial_ref] = leg
         self._changed(port.peer.number)
         if self.processor.full(now):
             self.counts["processor_full"] += 1
@@ -308,10 +312,10 @@
         else:
             leg.job = self.processor.submit(self.work.look, lambda: self._hand_over(leg))
 
-    def _no(self, leg: Leg, reason: str, wait: int = 0) -> frames.PushBack:
-        return frames.PushBack(leg.setup.ref, reason, wait, self.load())
+    def _no(self, leg: Leg, reason: str, wait: int = 0) -> frames.Reject:
+        return frames.Reject(leg.setup.dial_ref, reason, wait, self.load())
 
-    def _say(self, leg: Leg, frame: frames.Any) -> None:
+    def _say(self, leg: Leg, frame: frames.AnyFrame) -> None:
         self._send(leg.port, frame)
 
     def _turn_back(self, leg: Leg, reason: str) -> None:
@@ -346,7 +350,7 @@
             return
         if self._answer_is_lost(leg):
             return
-        said = frames.Answer(leg.setup.ref, self.load())
+        said = frames.Answer(leg.setup.dial_ref, self.load())
         if self.ills.reordered and self.chance.random() < self.ills.reordered:
             self.counts["answers_reordered"] += 1
             self.loop.call_later(REORDER_S, self._say, leg, said)
@@ -399,19 +403,19 @@
             leg.answered = True
             if self._answer_is_lost(leg):
                 return
-            self._say(leg, frames.Answer(leg.setup.ref, self.load()))
+            self._say(leg, frames.Answer(leg.setup.dial_ref, self.load()))
 
-    def _transit_over(self, frame: frames.PushBack | frames.Cut) -> None:
-        leg = self.transits.get(frame.ref)
+    def _transit_over(self, frame: frames.Reject | frames.Cut) -> None:
+        leg = self.transits.get(frame.dial_ref)
         if leg is None:
             return
         if isinstance(frame, frames.Cut):
             self._end(leg)
-            self._say(leg, frames.Cut(leg.setup.ref))
+            self._say(leg, frames.Cut(leg.setup.dial_ref))
         else:
-            self._turn_back(leg, frame.reason if frame.reason in frames.REASONS else "turned_back")
+            self._turn_back(leg, frame.reason if frame.reason in frames.REJECT_REASONS else "turned_back")
 
-    def _given_up(self, port: Port, ref: int, stood: bool) -> None:
+    def _given_up(self, port: Channel, ref: int, stood: bool) -> None:
         """The sender cancelled or released a set-up."""
         leg = self.ports.get(port, {}).get(ref)
         if leg is None:
@@ -430,7 +434,7 @@
         if stood:
             self.processor.submit(self.work.follow, lambda: None, True)
 
-    def _onward(self, frame: frames.Any) -> None:
+    def _onward(self, frame: frames.AnyFrame) -> None:
         home = self.home()
         if home:
             self._send(home, frame)
@@ -440,7 +444,7 @@
         if not leg.over and leg.answered and not leg.onward:
             setup, stood = leg.setup, self.now() - leg.stands_since
             self._onward(
-                frames.Carried(
+                frames.CarriedDialogue(
                     setup.origin,
                     setup.dialogue,
                     setup.use_case,
@@ -457,7 +461,7 @@
         if leg.over:
             return
         leg.over = True
-        self.ports.get(leg.port, {}).pop(leg.setup.ref, None)
+        self.ports.get(leg.port, {}).pop(leg.setup.dial_ref, None)
         if leg.onward:
             self.transits.pop(leg.onward, None)
         if leg.counted_line and leg.setup.called is not None:
@@ -465,20 +469,20 @@
             if not self.trunks.busy_lines[leg.setup.called]:
                 del self.trunks.busy_lines[leg.setup.called]
         group = self.trunks.groups.get(leg.port.peer.number)
-        if group and group.free_up(leg):
+        if group and group.release(leg):
             self._changed(leg.port.peer.number)
 
     # -- the own call server's --
 
-    def _pass(self, port: Port, step: frames.Pass) -> None:
+    def _pass(self, port: Channel, step: frames.ProcessStep) -> None:
         if port.peer.number != self.trunks.number:
             return
         now = self.now()
-        ref, what = step.ref, step.what
+        ref, what = step.dial_ref, step.step
         if what == "setup" and self.processor.full(now):
             self.counts["own_full"] += 1
             self.processor.submit(
-                self.work.reject, lambda: self._send(port, frames.Passed(ref, what, False)), True
+                self.work.reject, lambda: self._send(port, frames.StepProcessed(ref, what, False)), True
             )
             return
         cost = {"setup": 1.0, "look": self.work.look, "word": self.work.word}.get(what, self.work.follow)
@@ -490,9 +494,9 @@
         else:
             self.processor.submit(cost, lambda: None, ahead)
 
-    def _passed(self, port: Port, ref: int, what: str) -> None:
+    def _passed(self, port: Channel, ref: int, what: str) -> None:
         if self.passing.pop((port, ref), None):
-            self._send(port, frames.Passed(ref, what))
+            self._send(port, frames.StepProcessed(ref, what))
 
     def _changed(self, number: int) -> None:
         self._untold.add(number)
@@ -509,5 +513,5 @@
         if home and self.up:
             for number in sorted(self._untold):
                 group = self.trunks.groups[number]
-                home.send(frames.GroupState(number, group.ours_count, group.size))
+                home.send(frames.GroupState(number, group.local_count, group.size))
             self._untold.clear()
