--- a/wellhitch/hooks/containment.py
+++ b/wellhitch/hooks/containment.py
@@ -15,19 +15,15 @@
 FAILURES_TO_SUSPEND = 3
 # Keys suspended within the window that suspend the hook for all keys: then the cause is the hook, not the key.
 KEYS_TO_SUSPEND_ALL = 3
-FIRST_SUSPENSION_US = (
-    5_000_000  # doubles with each suspension that follows a failed trial, up to MAX_SUSPENSION_US
-)
-MAX_SUSPENSION_US = (
-    600_000_000  # ten minutes, so that the hook recovers by itself soon after the cause is removed
-)
+# Doubles with each suspension that follows a failed trial, up to MAX_SUSPENSION_US.
+FIRST_SUSPENSION_US = 5_000_000
+# Ten minutes, so that the hook recovers without an operator soon after the cause is removed.
+MAX_SUSPENSION_US = 600_000_000
 MAX_KEYS = 256  # of one hook; beyond it the oldest key is dropped
-STEPS_PER_S = (
-    2_000_000  # of all hooks of one call server: about a third of a core at 5 million steps a second
-)
-RESERVED_SHARE = (
-    0.5  # of the bucket: what must be left for the hook of lowest priority; the first may empty it
-)
+# Of all hooks of one call server: about a third of a core at 5 million steps a second.
+STEPS_PER_S = 2_000_000
+# The share of the bucket that must be left for the hook of lowest priority to run; the first may empty the bucket.
+RESERVED_SHARE = 0.5
 
 
 @dataclass(slots=True)
@@ -38,7 +34,7 @@
 
     failures: list[int] = field(default_factory=list)
     until: int = 0
-    span: int = FIRST_SUSPENSION_US
+    duration: int = FIRST_SUSPENSION_US
 
     def may_run(self, now: int) -> bool:
         """Whether the hook is not suspended."""
@@ -47,20 +43,20 @@
     def record_success(self) -> None:
         """Record a run that succeeded."""
         if self.until:
-            self.until, self.span = 0, FIRST_SUSPENSION_US
+            self.until, self.duration = 0, FIRST_SUSPENSION_US
             self.failures.clear()
 
     def record_failure(self, now: int) -> bool:
         """Record a run that failed. Returns whether this suspends the hook."""
         if self.until:
-            self.span = min(2 * self.span, MAX_SUSPENSION_US)
-            self.until = now + self.span
+            self.duration = min(2 * self.duration, MAX_SUSPENSION_US)
+            self.until = now + self.duration
             return True
         self.failures = [t for t in self.failures if now - t < FAILURE_WINDOW_US] + [now]
         if len(self.failures) < FAILURES_TO_SUSPEND:
             return False
         self.failures.clear()
-        self.until = now + self.span
+        self.until = now + self.duration
         return True
 
 
@@ -107,7 +103,7 @@
             return "key"
         self.suspended_at.clear()
         self.keys.clear()
-        self.all_keys.until = now + self.all_keys.span
+        self.all_keys.until = now + self.all_keys.duration
         return "all"
 
 
--- a/wellhitch/hooks/host.py
+++ b/wellhitch/hooks/host.py
@@ -24,10 +24,9 @@
 )
 from wellhitch.hooks.values import Budget, Duration, HookError, ListValue, Record, Value
 
-MAX_STEPS = (
-    5_000  # of one run: a ten-line hook takes about 60, and the worst program is stopped in about 2 ms
-)
-MAX_MEMORY_CELLS = 5_000  # cells of one run
+# Of one run: a ten-line hook takes about 60 steps, and the worst program is stopped in about 2 ms.
+MAX_STEPS = 5_000
+MAX_MEMORY_CELLS = 5_000  # of one run
 LOAD_BUDGET = 100_000  # steps, and cells, for the constants of one file and for each of its tests
 MAX_STATE_KEYS = 1_000  # that one file remembers; beyond it the key that expires first is dropped
 
@@ -40,8 +39,8 @@
 
     def apply(self, changes: Mapping[str, tuple[Value, Duration]], now: int) -> int:
         """Store what a run remembered. Returns how many keys that had not expired were dropped to make room."""
-        for key, (value, span) in changes.items():
-            self.values[key] = (value, now + int(span))
+        for key, (value, lifetime) in changes.items():
+            self.values[key] = (value, now + int(lifetime))
         excess = len(self.values) - MAX_STATE_KEYS
         if excess <= 0:
             return 0
@@ -119,18 +118,18 @@
     return diagnostics
 
 
-def to_value(given: Any, wanted: Type) -> Value:
+def to_value(fact: Any, wanted: Type) -> Value:
     """Convert a fact of the server to a value of the language, by its type at the hook point. A Record is returned
     unchanged."""
-    if isinstance(given, Record):
-        return given
+    if isinstance(fact, Record):
+        return fact
     if isinstance(wanted, dict):
-        return Record({name: to_value(given[name], inner) for name, inner in wanted.items()}, 1)
+        return Record({name: to_value(fact[name], inner) for name, inner in wanted.items()}, 1)
     if wanted == "duration":
-        return Duration(int(given))
-    if isinstance(given, (list, tuple)):
-        return ListValue(tuple(given), 1)
-    value: Value = given
+        return Duration(int(fact))
+    if isinstance(fact, (list, tuple)):
+        return ListValue(tuple(fact), 1)
+    value: Value = fact
     return value
 
 
--- a/wellhitch/hooks/state_file.py
+++ b/wellhitch/hooks/state_file.py
@@ -44,20 +44,20 @@
     return value
 
 
-def from_json(given: Any, budget: Budget) -> Value:
+def from_json(decoded: Any, budget: Budget) -> Value:
     """A value from decoded JSON. Raises HookError or ValueError if it is not a valid value."""
-    if given is None or isinstance(given, (bool, str)):
-        return given
-    if isinstance(given, (int, float)):
-        if not -MAX_NUMBER <= given <= MAX_NUMBER:
+    if decoded is None or isinstance(decoded, (bool, str)):
+        return decoded
+    if isinstance(decoded, (int, float)):
+        if not -MAX_NUMBER <= decoded <= MAX_NUMBER:
             raise ValueError("number out of range")
-        return given
-    if isinstance(given, list):
-        return make_list(tuple(from_json(item, budget) for item in given), budget)
-    if isinstance(given, dict) and len(given) == 1:
-        if type(us := given.get("d")) is int and -MAX_NUMBER <= us <= MAX_NUMBER:
+        return decoded
+    if isinstance(decoded, list):
+        return make_list(tuple(from_json(item, budget) for item in decoded), budget)
+    if isinstance(decoded, dict) and len(decoded) == 1:
+        if type(us := decoded.get("d")) is int and -MAX_NUMBER <= us <= MAX_NUMBER:
             return Duration(us)
-        if isinstance(fields := given.get("r"), dict):
+        if isinstance(fields := decoded.get("r"), dict):
             return make_record({name: from_json(item, budget) for name, item in fields.items()}, budget)
     raise ValueError("not a value")
 
@@ -95,21 +95,21 @@
     messages: list[str] = []
     for name, keys in files.items():
         state = states[name] = HookState()
-        for key, (given, left) in list(keys.items())[:MAX_STATE_KEYS]:
+        for key, (decoded, remaining) in list(keys.items())[:MAX_STATE_KEYS]:
             budget = Budget()
             try:
-                value = from_json(given, budget)
+                value = from_json(decoded, budget)
                 if (
                     len(key) > MAX_KEY_CHARS
                     or count_cells(value, budget) > MAX_STORED_CELLS
-                    or left > MAX_NUMBER
+                    or remaining > MAX_NUMBER
                 ):
                     raise ValueError("too large")
             except (HookError, ValueError, RecursionError) as error:
                 messages.append(f"{name}, key {key[:40]!r}: {error}: dropped")
                 continue
-            if left > 0:
-                state.values[key] = (value, now + left)
+            if remaining > 0:
+                state.values[key] = (value, now + remaining)
         if len(keys) > MAX_STATE_KEYS:
             messages.append(f"{name}: {len(keys)} keys, more than {MAX_STATE_KEYS}: the rest dropped")
     return states, messages
--- a/wellhitch/hooks/values.py
+++ b/wellhitch/hooks/values.py
@@ -459,16 +459,16 @@
     return 1
 
 
-def _remember(key: Value, value: Value, span: Value, budget: Budget) -> Value:
+def _remember(key: Value, value: Value, lifetime: Value, budget: Budget) -> Value:
     name = _text_argument("remember", key, budget)
-    if not isinstance(span, Duration) or span <= 0:
+    if not isinstance(lifetime, Duration) or lifetime <= 0:
         raise program_error("remember takes a key, a value and a duration greater than zero")
     if len(name) > MAX_KEY_CHARS:
         raise program_error(f"a key of {len(name)} characters is longer than {MAX_KEY_CHARS}")
     if count_cells(value, budget) > MAX_STORED_CELLS:
         raise HookError("memory", f"the value is too large to remember: more than {MAX_STORED_CELLS} cells")
     budget.allocate(8)
-    budget.store[name] = (value, span)
+    budget.store[name] = (value, lifetime)
     return value
 
 
