--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -14,8 +14,8 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.lab.fleet import HostAddresses, sheet_of
-from wellhitch.ledger.desk import Desk
 from wellhitch.ledger.entries import NumberKeys
+from wellhitch.ledger.service import Desk
 from wellhitch.server.daemon import Daemon, Doors
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -14,9 +14,9 @@
 
 from wellhitch.cli.main import main
 from wellhitch.cli.serve import read_state
-from wellhitch.ledger.book import begun
-from wellhitch.ledger.box import MOST_LOOKED_AT, FolderBox
 from wellhitch.ledger.entries import NumberKeys
+from wellhitch.ledger.journal import begun
+from wellhitch.ledger.outbox import MOST_LOOKED_AT, FolderBox
 from wellhitch.store.engine import Engine
 from wellhitch.store.files import read_file
 from wellhitch.trunk.capture import BadCapture, read, read_folder
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 
 from wellhitch.lab.explore_ledger import Bounds, explore
-from wellhitch.ledger.book import OtherDisk, Seen, Standing, begun
 from wellhitch.ledger.chain import Chain, ChainName, read_row, verify
 from wellhitch.ledger.entries import (
     Answered,
@@ -23,6 +22,7 @@
     decode,
     encode,
 )
+from wellhitch.ledger.journal import OtherDisk, Seen, Standing, begun
 from wellhitch.ledger.periods import AGAIN as AGAIN_CLOSING
 from wellhitch.ledger.periods import (
     MARGIN,
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -17,10 +17,7 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.lab import ledger_day
 from wellhitch.ledger import export
-from wellhitch.ledger.book import Seen
-from wellhitch.ledger.box import FolderBox
 from wellhitch.ledger.chain import ChainName, read_row
-from wellhitch.ledger.desk import Desk
 from wellhitch.ledger.entries import Lacking, NumberKeys, Over, Restarted, decode
 from wellhitch.ledger.export import (
     AGAIN,
@@ -35,6 +32,8 @@
     read_file,
     read_receipt,
 )
+from wellhitch.ledger.journal import Seen
+from wellhitch.ledger.outbox import FolderBox
 from wellhitch.ledger.periods import MARGIN, Prepare, end_of
 from wellhitch.ledger.rating import (
     CENT,
@@ -48,6 +47,7 @@
     to_cents,
 )
 from wellhitch.ledger.reconcile import Look, Part
+from wellhitch.ledger.service import Desk
 from wellhitch.ledger.settle import Settled
 from wellhitch.stand_ins.accounting import Accounting, Ills
 from wellhitch.store.engine import StoreFault
--- a/tests/test_ledger_tools.py
+++ b/tests/test_ledger_tools.py
@@ -8,10 +8,10 @@
 from click.testing import CliRunner, Result
 
 from wellhitch.cli.main import main
-from wellhitch.ledger.book import Seen, begun
-from wellhitch.ledger.box import FolderBox
 from wellhitch.ledger.entries import Corrected, NumberKeys
 from wellhitch.ledger.export import START, lines_of, make_file, read_receipt
+from wellhitch.ledger.journal import Seen, begun
+from wellhitch.ledger.outbox import FolderBox
 from wellhitch.ledger.periods import end_of
 from wellhitch.ledger.settle import Settled
 from wellhitch.store.engine import Engine
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,10 +17,10 @@
 from wellhitch.emulator.disk import SECTOR, Blob, EmulatedDisk, PowerCut
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.store.engine import Engine, Scrub, StoreFault
-from wellhitch.store.keeper import Keeper
+from wellhitch.store.maintenance import CHECKPOINT_AT, LONGEST_LOG, PAGES_PER_S, PIECE, Sizes, Upkeep
 from wellhitch.store.records import HEAD, SUM, Change, Damaged, Upgrades, pack, unpack
+from wellhitch.store.service import Keeper
 from wellhitch.store.system import SystemDisk
-from wellhitch.store.upkeep import CHECKPOINT_AT, LONGEST_LOG, PAGES_PER_S, PIECE, Sizes, Upkeep
 from wellhitch.store.writer import FIRST_WAIT, LINGER, LONGEST_WAIT, MOST_IN_ONE, SLOW, Writer
 
 SECOND = 1_000_000
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -19,9 +19,9 @@
 from wellhitch.cli.serve import read_export_key, read_number_keys
 from wellhitch.lab import ledger_day
 from wellhitch.lab.ledger_page import page
-from wellhitch.ledger import reading
-from wellhitch.ledger.box import put_aside, put_whole
+from wellhitch.ledger import reader
 from wellhitch.ledger.entries import Answered
+from wellhitch.ledger.outbox import put_aside, put_whole
 from wellhitch.ledger.rating import Tariff, faults_of, invoice, to_cents
 from wellhitch.net.seam import split
 from wellhitch.settings.checked import Faults
@@ -52,12 +52,12 @@
     """
 
 
-def _read(sheet: Path) -> tuple[Sheet, reading.Reading]:
+def _read(sheet: Path) -> tuple[Sheet, reader.Reading]:
     made = read_sheet(sheet)
     if made.ledger is None:
         raise Faults(str(sheet), ["ledger: this call server keeps none"])
     try:
-        return made, reading.read(sheet.parent / made.ledger.folder)
+        return made, reader.read(sheet.parent / made.ledger.folder)
     except StoreFault as fault:
         raise Faults(str(sheet), [f"ledger.folder: {fault}"]) from None
 
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -17,9 +17,9 @@
 from wellhitch.cli.errors import told_plainly
 from wellhitch.cli.logs import set_up
 from wellhitch.hooks.keeping import MAX_BYTES
-from wellhitch.ledger.box import FolderBox
-from wellhitch.ledger.desk import Desk, Door
 from wellhitch.ledger.entries import NumberKeys
+from wellhitch.ledger.outbox import FolderBox
+from wellhitch.ledger.service import Desk, Door
 from wellhitch.net.collector import freeze_startup_objects
 from wellhitch.net.seam import LoopbackNetwork, now_us
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -20,8 +20,8 @@
 from wellhitch.emulator.party import PartyLoop
 from wellhitch.interface.events import Opened
 from wellhitch.lab.loopback import own_address
-from wellhitch.ledger.desk import Desk, Door
 from wellhitch.ledger.entries import NumberKeys
+from wellhitch.ledger.service import Desk, Door
 from wellhitch.net.seam import LoopbackNetwork
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
 from wellhitch.server.switch import Outlet, Switch
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -14,10 +14,10 @@
 from wellhitch.judge.rules import Verdict, judge
 from wellhitch.lab.fleet import HostAddresses, InProcess, zone_delay
 from wellhitch.lab.play import COME_UP_S, LAST_S, VirtualWire
-from wellhitch.ledger import reading
+from wellhitch.ledger import reader
 from wellhitch.ledger.chain import ChainName, Wrong, verify
-from wellhitch.ledger.desk import STORE, Door
 from wellhitch.ledger.periods import MARGIN, end_of, next_of
+from wellhitch.ledger.service import STORE, Door
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
 from wellhitch.settings.sheet import span
@@ -294,7 +294,7 @@
     booked: dict[tuple[int, int], Booked] = {}
     faults: list[str] = []
     for path in sorted(folder.glob("ledger-*")):
-        found = reading.read(path)
+        found = reader.read(path)
         faults += found.wrong
         for one in found.settled():
             if one.state == "billed":
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -21,8 +21,8 @@
 from wellhitch.interface import events as ev
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
 from wellhitch.interface.state import Exchange
-from wellhitch.ledger.desk import Desk
 from wellhitch.ledger.entries import NumberKeys
+from wellhitch.ledger.service import Desk
 from wellhitch.net.seam import Listener, LoopbackNetwork, now_us
 from wellhitch.rules import decide
 from wellhitch.server.daemon import Daemon, Doors, Log
--- a/wellhitch/lab/measure_ledger.py
+++ b/wellhitch/lab/measure_ledger.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from wellhitch.lab.sketches import CELL, HASHES, Sketch, item_of
-from wellhitch.ledger.book import Seen, begun
 from wellhitch.ledger.chain import ChainName, verify
-from wellhitch.ledger.desk import READ_ROWS, read_digests, read_store
 from wellhitch.ledger.entries import NumberKeys
+from wellhitch.ledger.journal import Seen, begun
 from wellhitch.ledger.periods import end_of
 from wellhitch.ledger.reconcile import AGAIN, MOST_FETCHED, Collection, Fetch, Look, Pull, answer
+from wellhitch.ledger.service import READ_ROWS, read_digests, read_store
 from wellhitch.store.engine import Engine
 from wellhitch.store.records import Change
 from wellhitch.store.writer import MOST_IN_ONE
--- a/wellhitch/ledger/reading.py
+++ b/wellhitch/ledger/reader.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from wellhitch.ledger.book import CHAIN, HEARD, IDENTITY, PERIOD, Identity
 from wellhitch.ledger.chain import ChainName, Row, Wrong, read_row, verify
 from wellhitch.ledger.entries import BadEntry, Entry, Lacking, decode
+from wellhitch.ledger.journal import CHAIN, HEARD, IDENTITY, PERIOD, Identity
 from wellhitch.ledger.periods import KEPT, Kept, end_of, previous_of
 from wellhitch.ledger.settle import Name, Settled, Views, gather
 from wellhitch.store.engine import Engine, StoreFault
--- a/wellhitch/ledger/desk.py
+++ b/wellhitch/ledger/service.py
@@ -14,7 +14,9 @@
 import msgspec
 
 from wellhitch.ledger import closing, export, periods, reconcile
-from wellhitch.ledger.book import (
+from wellhitch.ledger.chain import ChainName, Row, read_row
+from wellhitch.ledger.entries import BadEntry, Corrected, NumberKeys
+from wellhitch.ledger.journal import (
     ABOUT,
     ALIVE_EVERY,
     CHAIN,
@@ -30,15 +32,13 @@
     begun,
     last_of,
 )
-from wellhitch.ledger.box import Box
-from wellhitch.ledger.chain import ChainName, Row, read_row
-from wellhitch.ledger.entries import BadEntry, Corrected, NumberKeys
+from wellhitch.ledger.outbox import Box
 from wellhitch.ledger.periods import Agreement, Kept, Outcome, end_of, next_of, period_of, previous_of
 from wellhitch.ledger.reconcile import Allowance, Collection, Pull
 from wellhitch.net.seam import now_us
 from wellhitch.store.engine import Engine
-from wellhitch.store.keeper import Disk, Keeper
 from wellhitch.store.records import Change, Damaged
+from wellhitch.store.service import Disk, Keeper
 from wellhitch.store.writer import LINGER
 
 STORE = "ledger"
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -14,7 +14,7 @@
 from wellhitch.hooks.keeping import dump, read
 from wellhitch.hooks.tree import BadHooks
 from wellhitch.interface import events as ev
-from wellhitch.ledger.desk import Desk
+from wellhitch.ledger.service import Desk
 from wellhitch.net.seam import Listener, Network, now_us
 from wellhitch.server.hooked import NO_CLOCK, Hooked, WallClock
 from wellhitch.server.metrics import exposition
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -16,7 +16,7 @@
 from wellhitch.hooks.points import Said
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
-from wellhitch.ledger.book import Seen
+from wellhitch.ledger.journal import Seen
 from wellhitch.net.seam import Timer
 from wellhitch.server.dials import (
     ENDINGS,
--- a/wellhitch/store/__init__.py
+++ b/wellhitch/store/__init__.py
@@ -3,7 +3,7 @@
 
     records.py   bytes of a record, its checksum, upgrades     pure
     writer.py    what waits for the disk, and when it goes     pure
-    upkeep.py    checkpoint, compaction, scrub, snapshot       pure: which next, within a budget of pages
+    maintenance.py checkpoint, compaction, scrub, snapshot       pure: which next, within a budget of pages
     engine.py    SQLite, through apsw                          the disk
-    keeper.py    loop, disk and the three above
+    service.py   loop, disk and the three above
 """
--- a/wellhitch/store/engine.py
+++ b/wellhitch/store/engine.py
@@ -1,7 +1,7 @@
 """The file: SQLite through apsw, one table of records. The only place where the project meets the database.
 
 Write-ahead log, a sync at each commit, the log brought in piece by piece by `upkeep`. All calls block; in service
-they run off the loop (`keeper.py`)."""
+they run off the loop (`service.py`)."""
 
 import contextlib
 from collections.abc import Iterator, Sequence
@@ -10,8 +10,8 @@
 
 import apsw
 
+from wellhitch.store.maintenance import PIECE, Sizes
 from wellhitch.store.records import Change, Damaged, pack, unpack
-from wellhitch.store.upkeep import PIECE, Sizes
 
 APPLICATION = 0x57484C53  # "WHLS", in the file's header: a file of something else is not written to
 LAYOUT = 1  # of the tables
--- a/wellhitch/store/keeper.py
+++ b/wellhitch/store/service.py
@@ -9,8 +9,8 @@
 
 from wellhitch.net.seam import now_us
 from wellhitch.store.engine import Engine, Scrub, StoreFault
+from wellhitch.store.maintenance import SCRUB_RECORDS, Upkeep
 from wellhitch.store.records import Change, Damaged
-from wellhitch.store.upkeep import SCRUB_RECORDS, Upkeep
 from wellhitch.store.writer import LINGER, MOST_WAITING, Refused, Writer
 
 UPKEEP_EVERY = (
