--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -15,7 +15,7 @@
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.lab.fleet import HostAddresses, sheet_of
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.ledger.service import Desk
+from wellhitch.ledger.service import SettlementService
 from wellhitch.server.daemon import Daemon, Doors
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
@@ -63,10 +63,12 @@
         self.daemon.start()
         self.loop.advance(0.1)
 
-    def desk(self, loop: Any, send: Any, log: Any) -> Desk:
+    def desk(self, loop: Any, send: Any, log: Any) -> SettlementService:
         keys, wall = NumberKeys({1: b"k" * 32}), 1_796_083_200_000_000
         disk = EmulatedDisk(1, loop)
-        return Desk(loop, disk, 0, (0, 1), keys, lambda now: now + wall, send, log, random.Random(1))
+        return SettlementService(
+            loop, disk, 0, (0, 1), keys, lambda now: now + wall, send, log, random.Random(1)
+        )
 
     def operator(self) -> Asking:
         asking = Asking()
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -15,8 +15,8 @@
 from wellhitch.cli.main import main
 from wellhitch.cli.serve import read_state
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.ledger.journal import begun
-from wellhitch.ledger.outbox import MOST_LOOKED_AT, FolderBox
+from wellhitch.ledger.journal import open_journal
+from wellhitch.ledger.outbox import MAX_RECEIPTS_PER_READ, FolderOutbox
 from wellhitch.store.engine import Engine
 from wellhitch.store.files import read_file
 from wellhitch.trunk.capture import BadCapture, read, read_folder
@@ -79,7 +79,7 @@
     (tmp_path / "both.key").write_text("6b" * 32)
     (tmp_path / "tariff.json").write_text(json.dumps({"currency": "BRL", "prices": []}))
     engine = Engine(str(tmp_path / "kept" / "ledger"))
-    engine.commit(begun(3, None, None, 7, NumberKeys({}))[0].alive(DECEMBER))
+    engine.commit(open_journal(3, None, None, 7, NumberKeys({}))[0].alive(DECEMBER))
     engine.close()
     return tmp_path
 
@@ -125,14 +125,14 @@
 @pytest.mark.parametrize("place", [a_pipe, a_directory, too_large], ids=lambda place: place.__name__)
 def test_what_is_no_receipt_holds_up_no_other(tmp_path: Path, place: Callable[[Path], None]) -> None:
     """A directory ended each look, a pipe the disk's thread: nothing of the ledger reached the disk any more."""
-    box, back = FolderBox(tmp_path, 3), tmp_path / "back"
+    box, back = FolderOutbox(tmp_path, 3), tmp_path / "back"
     back.mkdir()
     place(back / "3-0.wr")
-    for n in range(1, MOST_LOOKED_AT + 4):
+    for n in range(1, MAX_RECEIPTS_PER_READ + 4):
         (back / f"3-{n}.wr").write_bytes(b"r%d" % n)
     with pytest.raises(OSError, match="3-0.wr"):
         box.receipts()
-    assert len(box.receipts()) == MOST_LOOKED_AT and len(box.receipts()) == 3 and box.receipts() == []
+    assert len(box.receipts()) == MAX_RECEIPTS_PER_READ and len(box.receipts()) == 3 and box.receipts() == []
 
 
 HEAD = b'{"capture":1,"party":"office","name":"x"}'
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -22,7 +22,7 @@
     decode,
     encode,
 )
-from wellhitch.ledger.journal import OtherDisk, Seen, Standing, begun
+from wellhitch.ledger.journal import DialogueFacts, EstablishedDialogue, WrongDiskError, open_journal
 from wellhitch.ledger.periods import AGAIN as AGAIN_CLOSING
 from wellhitch.ledger.periods import (
     MARGIN,
@@ -168,24 +168,24 @@
     return [decode(read_row(one.body).entry) for one in changes if one.shelf == "chain" and one.body]
 
 
-SEEN = Seen("origin", 3, 9, "card-lock", 5, "0800123", 1, "north", ("a",), "v1")
+SEEN = DialogueFacts("origin", 3, 9, "card-lock", 5, "0800123", 1, "north", ("a",), "v1")
 
 
 def test_a_dialogue_is_two_entries_and_its_span_is_by_the_loops_clock() -> None:
-    book, new = begun(3, None, None, 77, NumberKeys({1: b"k" * 32}))
+    book, new = open_journal(3, None, None, 77, NumberKeys({1: b"k" * 32}))
     assert new
     first = book.answered(SEEN, "stands", DECEMBER, 1000)
     # The wall clock went back an hour in between: the span is what the loop's clock says.
-    then = book.over("origin", 3, 9, "released", DECEMBER - 3600 * SECOND, 1000 + 7 * SECOND)
+    then = book.ended("origin", 3, 9, "released", DECEMBER - 3600 * SECOND, 1000 + 7 * SECOND)
     said = rows_of(first + then)
     assert isinstance(said[0], Answered) and said[0].tenant == "north" and said[0].tags == ("a",)
     assert isinstance(said[1], Over) and said[1].stood == 7 * SECOND
-    assert book.over("origin", 3, 9, "released", DECEMBER, 0) == []  # twice: nothing more
+    assert book.ended("origin", 3, 9, "released", DECEMBER, 0) == []  # twice: nothing more
     assert not book.standing
 
 
 def test_a_clock_set_back_at_a_periods_end_makes_late_rows_not_changed_periods() -> None:
-    book, _ = begun(3, None, None, 77, NumberKeys({}))
+    book, _ = open_journal(3, None, None, 77, NumberKeys({}))
     end = end_of("2026-12")
     book.answered(SEEN, "pushed_back", end - SECOND, 0)
     told = book.statement("2026-12")
@@ -196,19 +196,21 @@
 
 
 def test_after_a_crash_what_stood_is_cut_as_of_the_last_moment_of_life() -> None:
-    book, _ = begun(3, None, None, 77, NumberKeys({}))
+    book, _ = open_journal(3, None, None, 77, NumberKeys({}))
     book.answered(SEEN, "stands", DECEMBER, 0)
     identity = book.alive(DECEMBER + 5 * SECOND)[0].body
-    again, new = begun(3, identity, (book.chain.seq, book.chain.last), 99, NumberKeys({}))
+    again, new = open_journal(3, identity, (book.chain.seq, book.chain.last), 99, NumberKeys({}))
     # A chain of its own, bound to the end of the one before: on an old disk the numbers that follow may be used up.
     assert not new and again.chain.name == ChainName(3, 99) and again.identity.marks == [77, 99]
-    said = rows_of(again.begins([Standing("origin", 3, 9, DECEMBER)], 20_000, DECEMBER + 60 * SECOND))
+    said = rows_of(
+        again.begins([EstablishedDialogue("origin", 3, 9, DECEMBER)], 20_000, DECEMBER + 60 * SECOND)
+    )
     assert said == [
         Restarted(DECEMBER + 60 * SECOND, DECEMBER + 5 * SECOND, 20_000, 77, 1, book.chain.last),
         Over("origin", 3, 9, "restart", DECEMBER + 5 * SECOND, 5 * SECOND),
     ]
-    with pytest.raises(OtherDisk, match="that of call server 3, not 4"):
-        begun(4, identity, None, 1, NumberKeys({}))
+    with pytest.raises(WrongDiskError, match="that of call server 3, not 4"):
+        open_journal(4, identity, None, 1, NumberKeys({}))
 
 
 # ---- settling ----
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -32,8 +32,8 @@
     read_file,
     read_receipt,
 )
-from wellhitch.ledger.journal import Seen
-from wellhitch.ledger.outbox import FolderBox
+from wellhitch.ledger.journal import DialogueFacts
+from wellhitch.ledger.outbox import FolderOutbox
 from wellhitch.ledger.periods import MARGIN, Prepare, end_of
 from wellhitch.ledger.rating import (
     CENT,
@@ -47,7 +47,7 @@
     to_cents,
 )
 from wellhitch.ledger.reconcile import Look, Part
-from wellhitch.ledger.service import Desk
+from wellhitch.ledger.service import SettlementService
 from wellhitch.ledger.settle import Settled
 from wellhitch.stand_ins.accounting import Accounting, Ills
 from wellhitch.store.engine import StoreFault
@@ -142,7 +142,7 @@
         self.disk.loop = self.loop
         self.words: list[str] = []
         self.ahead = 0
-        self.desk = Desk(
+        self.desk = SettlementService(
             self.loop,
             self.disk,
             number,
@@ -157,7 +157,7 @@
         self.loop.advance(0.1)
 
     def stands(self, dialogue: int) -> None:
-        self.desk.answered(Seen("origin", 3, dialogue, "card-lock", 5, "0800"), "stands")
+        self.desk.answered(DialogueFacts("origin", 3, dialogue, "card-lock", 5, "0800"), "stands")
 
     def entries(self) -> list[Any]:
         engine = self.disk.after_kill().open("ledger")
@@ -174,7 +174,7 @@
     one.disk.full = True
     for n in range(2, 60):
         one.stands(n)
-    one.desk.over("origin", 3, 1, "released")
+    one.desk.ended("origin", 3, 1, "released")
     one.loop.advance(3)
     one.disk.full = False
     one.loop.advance(8)
@@ -196,7 +196,7 @@
 
 def test_the_same_call_server_started_twice_on_one_disk_keeps_one_chain() -> None:
     first = OneDesk()
-    second = Desk(
+    second = SettlementService(
         first.loop, first.disk, 3, (3,), NumberKeys({}), lambda now: DECEMBER + now, lambda to, data: False,
         lambda event, **facts: first.words.append(event), random.Random(2),
     )  # fmt: skip
@@ -224,7 +224,7 @@
             one.stands(n)
             one.loop.advance(0.3)
             if n > 1:
-                one.desk.over("origin", 3, n - 2, "released")
+                one.desk.ended("origin", 3, n - 2, "released")
         return disk, disk.ops
 
     _, ops = lived(None)
@@ -253,12 +253,12 @@
     assert "the open one is 2026-12" in _refused(one, "close 2030-01")
     assert "a name in the ledger's folder" in _refused(one, "snapshot ../x")
     assert "close PERIOD" in _refused(one, "open")
-    assert "corrected by -5 us" in one.desk.asked("correct 3/1 -5 ana 'wrong number'")
+    assert "corrected by -5 us" in one.desk.run_command("correct 3/1 -5 ana 'wrong number'")
 
 
 def _refused(one: OneDesk, what: str) -> str:
     with pytest.raises(ValueError) as fault:
-        one.desk.asked(what)
+        one.desk.run_command(what)
     return str(fault.value)
 
 
@@ -449,11 +449,11 @@
     """An agreement was kept, and its words sent again every 5 s, for each month that anybody named."""
     one = OneDesk(number=3, roster=(3, 4))
     for year in range(2027, 2060):
-        one.desk.heard_from(9, msgspec.msgpack.encode(Prepare(f"{year}-01", (1, 9))))
-    one.desk.heard_from(9, msgspec.msgpack.encode(Look("all/2026-12", (Part(b"", b"", 0, b""),))))
+        one.desk.receive(9, msgspec.msgpack.encode(Prepare(f"{year}-01", (1, 9))))
+    one.desk.receive(9, msgspec.msgpack.encode(Look("all/2026-12", (Part(b"", b"", 0, b""),))))
     assert not one.desk.agreements and one.desk.counts["ledger_strange_message"] == 34
     assert not one.desk.counts["ledger_bytes_sent"]
-    one.desk.heard_from(4, msgspec.msgpack.encode(Prepare("2027-01", (1, 4))))
+    one.desk.receive(4, msgspec.msgpack.encode(Prepare("2027-01", (1, 4))))
     assert list(one.desk.agreements) == ["2027-01"]
 
 
@@ -498,7 +498,7 @@
     that it writes without care: nothing is taken for whole that is not, and one more try ends it."""
     data = a_file(lines=1)
     receipt = make_receipt(KEY, read_file(KEY, data))
-    box, out = FolderBox(tmp_path, 3), tmp_path / "out"
+    box, out = FolderOutbox(tmp_path, 3), tmp_path / "out"
     (tmp_path / "back").mkdir()
 
     class Dies(BaseException):
--- a/tests/test_ledger_tools.py
+++ b/tests/test_ledger_tools.py
@@ -10,8 +10,8 @@
 from wellhitch.cli.main import main
 from wellhitch.ledger.entries import Corrected, NumberKeys
 from wellhitch.ledger.export import START, lines_of, make_file, read_receipt
-from wellhitch.ledger.journal import Seen, begun
-from wellhitch.ledger.outbox import FolderBox
+from wellhitch.ledger.journal import DialogueFacts, open_journal
+from wellhitch.ledger.outbox import FolderOutbox
 from wellhitch.ledger.periods import end_of
 from wellhitch.ledger.settle import Settled
 from wellhitch.store.engine import Engine
@@ -40,12 +40,12 @@
     (tmp_path / "tariff.jsonnet").write_text(TARIFF)
     (tmp_path / "keys.json").write_text(json.dumps({"1": "6b" * 32}))
     (tmp_path / "kept").mkdir()
-    book, _ = begun(3, None, None, 7, NumberKeys({1: KEY}))
+    book, _ = open_journal(3, None, None, 7, NumberKeys({1: KEY}))
     changes = book.begins([], 0, DECEMBER) + book.alive(DECEMBER)
     for n, stood in ((1, 10), (2, 20), (3, 30)):
-        seen = Seen("origin", 3, n, "card-lock", 5, f"080{n}", 1, "north" if n < 3 else "south")
+        seen = DialogueFacts("origin", 3, n, "card-lock", 5, f"080{n}", 1, "north" if n < 3 else "south")
         changes += book.answered(seen, "stands", DECEMBER, 0)
-        changes += book.over("origin", 3, n, "released", DECEMBER + stood * SECOND, stood * SECOND)
+        changes += book.ended("origin", 3, n, "released", DECEMBER + stood * SECOND, stood * SECOND)
     late = DECEMBER + 5 * 86_400 * SECOND
     changes += book.add(Corrected(3, 2, -15 * SECOND, "ana", "line was dead", late), late)
     engine = Engine(str(tmp_path / "kept" / "ledger"))
@@ -148,7 +148,7 @@
 def test_files_go_through_folders_and_the_stand_in_books_each_once(tmp_path: Path) -> None:
     key = tmp_path / "key"
     key.write_text(KEY.hex())
-    box = FolderBox(tmp_path / "way", 3)
+    box = FolderOutbox(tmp_path / "way", 3)
     made = lines_of("2026-12", [Settled((3, n), "billed", SECOND, ended=DECEMBER) for n in range(4)], {})
     data = make_file(KEY, 3, 1, "2026-12", made, START)
     for _ in range(2):
@@ -164,7 +164,7 @@
 def test_what_is_no_file_of_ours_holds_up_no_other_in_the_accounting_folder(tmp_path: Path) -> None:
     key = tmp_path / "key"
     key.write_text(KEY.hex())
-    box = FolderBox(tmp_path / "way", 3)
+    box = FolderOutbox(tmp_path / "way", 3)
     made = lines_of("2026-12", [Settled((3, 1), "billed", SECOND, ended=DECEMBER)], {})
     box.put(1, make_file(KEY, 3, 1, "2026-12", made, START))
     (tmp_path / "way" / "out" / "\u00b2-1.wh").write_bytes(b"x")
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -296,7 +296,7 @@
     def answered(self, *what: Any) -> None:
         raise OSError("broken on purpose")
 
-    over = witnessed = answered
+    ended = local_dialogue_ended = answered
 
 
 FAULTS: dict[str, Callable[[Struck], None]] = {
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -461,10 +461,10 @@
     def answered(self, seen: Any, answer: str) -> None:
         raise OverflowError("int too big to convert")
 
-    def over(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
         raise OverflowError("int too big to convert")
 
-    def witnessed(self, seen: Any, how: str, stood: int) -> None:
+    def local_dialogue_ended(self, seen: Any, how: str, stood: int) -> None:
         raise OverflowError("int too big to convert")
 
 
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -21,7 +21,7 @@
 from wellhitch.lab.ledger_page import page
 from wellhitch.ledger import reader
 from wellhitch.ledger.entries import Answered
-from wellhitch.ledger.outbox import put_aside, put_whole
+from wellhitch.ledger.outbox import quarantine, write_atomically
 from wellhitch.ledger.rating import Tariff, faults_of, invoice, to_cents
 from wellhitch.net.seam import split
 from wellhitch.settings.checked import Faults
@@ -334,13 +334,13 @@
                 data = read_file(path)
             except OSError as fault:
                 click.echo(f"{path}: put aside: {fault.strerror or fault}", err=True)
-                put_aside(path)
+                quarantine(path)
                 continue
             instance = int(number[1])
             side.keys[instance] = both
             for said in side.hand_over(instance, data):
                 count += 1
-                put_whole(folder / "back" / f"{instance}-{time.time_ns()}-{count:04}.wr", said)
+                write_atomically(folder / "back" / f"{instance}-{time.time_ns()}-{count:04}.wr", said)
             path.unlink()
         if once:
             break
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -18,8 +18,8 @@
 from wellhitch.cli.logs import set_up
 from wellhitch.hooks.keeping import MAX_BYTES
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.ledger.outbox import FolderBox
-from wellhitch.ledger.service import Desk, Door
+from wellhitch.ledger.outbox import FolderOutbox
+from wellhitch.ledger.service import AccountingChannel, SettlementService
 from wellhitch.net.collector import freeze_startup_objects
 from wellhitch.net.seam import LoopbackNetwork, now_us
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
@@ -50,8 +50,8 @@
     """
     with told_plainly():
         sheet = read_sheet(file)
-        keys, door = read_number_keys(sheet, file), read_door(sheet, file)
-    sys.exit(asyncio.run(_serve(sheet, file, log_level, keys, door)))
+        keys, accounting = read_number_keys(sheet, file), read_accounting_channel(sheet, file)
+    sys.exit(asyncio.run(_serve(sheet, file, log_level, keys, accounting)))
 
 
 def read_number_keys(sheet: Sheet, file: Path) -> NumberKeys:
@@ -77,26 +77,32 @@
     return key
 
 
-def read_door(sheet: Sheet, file: Path) -> Door | None:
+def read_accounting_channel(sheet: Sheet, file: Path) -> AccountingChannel | None:
     """The way to the accounting side that a sheet names. Raises Faults."""
     if not sheet.ledger or not sheet.ledger.export:
         return None
     key = read_export_key(file.parent / sheet.ledger.export_key)
-    return Door(key, FolderBox(file.parent / sheet.ledger.export, sheet.number))
+    return AccountingChannel(key, FolderOutbox(file.parent / sheet.ledger.export, sheet.number))
 
 
-def _ledger(sheet: Sheet, disk: SystemDisk, keys: NumberKeys, epoch: float, door: Door | None) -> MakeDesk:
+def _ledger(
+    sheet: Sheet, disk: SystemDisk, keys: NumberKeys, epoch: float, accounting: AccountingChannel | None
+) -> MakeDesk:
     """The desk of a sheet's ledger. `epoch`: the wall clock's seconds when the loop's were nought."""
     line = sheet.ledger
     assert line
 
-    def make(loop: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log) -> Desk:
+    def make(
+        loop: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log
+    ) -> SettlementService:
         def wall(now: int) -> int:
             return now + round(epoch * 1e6)
 
         # The mark of a new disk must differ from that of any disk of this instance before.
         chance = random.Random(f"{sheet.seed} {os.getpid()} {epoch}")
-        return Desk(loop, disk, sheet.number, line.roster, keys, wall, send, log, chance, door=door)
+        return SettlementService(
+            loop, disk, sheet.number, line.roster, keys, wall, send, log, chance, accounting=accounting
+        )
 
     return make
 
@@ -143,7 +149,9 @@
         log("hooks_state_not_kept", why=f"{state}: {fault}")
 
 
-async def _serve(sheet: Sheet, file: Path, log_level: str, keys: NumberKeys, door: Door | None) -> int:
+async def _serve(
+    sheet: Sheet, file: Path, log_level: str, keys: NumberKeys, accounting: AccountingChannel | None
+) -> int:
     loop = asyncio.get_running_loop()
     logger = set_up(log_level)
     over: asyncio.Future[int] = loop.create_future()
@@ -163,7 +171,7 @@
     boot = (now_us(loop) << 16 | os.getpid() & 0xFFFF) & ((1 << 62) - 1)
     doors = Doors(d.callers, d.peers, d.operators, d.register, d.centre)
     disk = SystemDisk(loop, file.parent / sheet.ledger.folder) if sheet.ledger else None
-    make_desk = _ledger(sheet, disk, keys, time.time() - now_us(loop) / 1e6, door) if disk else None
+    make_desk = _ledger(sheet, disk, keys, time.time() - now_us(loop) / 1e6, accounting) if disk else None
     daemon = Daemon(
         loop,
         LoopbackNetwork(loop),
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -21,7 +21,7 @@
 from wellhitch.interface.events import Opened
 from wellhitch.lab.loopback import own_address
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.ledger.service import Desk, Door
+from wellhitch.ledger.service import AccountingChannel, SettlementService
 from wellhitch.net.seam import LoopbackNetwork
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
 from wellhitch.server.switch import Outlet, Switch
@@ -124,7 +124,9 @@
     make_switch: Callable[[Opened, int, Outlet], Switch] = Switch
     clocks: dict[int, float] = field(default_factory=dict)  # seconds that a call server's clock is ahead
     disks: dict[int, EmulatedDisk] = field(default_factory=dict)
-    doors: dict[int, Door] = field(default_factory=dict)  # to the accounting side, by call server
+    accounting_channels: dict[int, AccountingChannel] = field(
+        default_factory=dict
+    )  # to the accounting side, by call server
     power_cut: Callable[[int], float | None] = lambda number: (
         None
     )  # for one that is killed: the share of what was not
@@ -163,13 +165,15 @@
         keys = NumberKeys({1: bytes([number % 256]) * 32})
         life = self.boots[number]
 
-        def make(loop: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log) -> Desk:
+        def make(
+            loop: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log
+        ) -> SettlementService:
             disk = self.disks.get(number)
             if disk is None:
                 disk = self.disks[number] = EmulatedDisk(number)
             disk.loop = loop
             chance = random.Random(f"{self.day.seed} {number} {life}")
-            return Desk(
+            return SettlementService(
                 loop,
                 disk,
                 number,
@@ -179,7 +183,7 @@
                 send,
                 log,
                 chance,
-                door=self.doors.get(number),
+                accounting=self.accounting_channels.get(number),
             )
 
         return make
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -17,7 +17,7 @@
 from wellhitch.ledger import reader
 from wellhitch.ledger.chain import ChainName, Wrong, verify
 from wellhitch.ledger.periods import MARGIN, end_of, next_of
-from wellhitch.ledger.service import STORE, Door
+from wellhitch.ledger.service import STORE, AccountingChannel
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
 from wellhitch.settings.sheet import span
@@ -96,7 +96,9 @@
         accounting_disk = EmulatedDisk(seed)
         keys = {one.number: bytes([one.number % 256, 7]) * 16 for one in day.exchanges}
         accounting = Accounting(accounting_disk.open("books"), keys, ills, chance)
-        fleet.doors = {number: Door(key, _Box(accounting, number)) for number, key in keys.items()}
+        fleet.accounting_channels = {
+            number: AccountingChannel(key, _Box(accounting, number)) for number, key in keys.items()
+        }
         town = Town(loop, day, net.at, addresses, fleet, VirtualWire(net), None)
         for one in day.exchanges:
             fleet.start(one.number)
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -22,7 +22,7 @@
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
 from wellhitch.interface.state import Exchange
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.ledger.service import Desk
+from wellhitch.ledger.service import SettlementService
 from wellhitch.net.seam import Listener, LoopbackNetwork, now_us
 from wellhitch.rules import decide
 from wellhitch.server.daemon import Daemon, Doors, Log
@@ -159,10 +159,14 @@
 
         doors = Doors("127.0.0.1:0", "", "", register[0], "")
 
-        def desk(on: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log) -> Desk:
+        def desk(
+            on: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log
+        ) -> SettlementService:
             disk = SystemDisk(on, Path(ledger))
             keys = NumberKeys({1: b"k" * 32})
-            return Desk(on, disk, 0, (0,), keys, lambda now: EPOCH + now, send, log, random.Random(1))
+            return SettlementService(
+                on, disk, 0, (0,), keys, lambda now: EPOCH + now, send, log, random.Random(1)
+            )
 
         daemon = Daemon(
             loop,
--- a/wellhitch/lab/measure_ledger.py
+++ b/wellhitch/lab/measure_ledger.py
@@ -13,7 +13,7 @@
 from wellhitch.lab.sketches import CELL, HASHES, Sketch, item_of
 from wellhitch.ledger.chain import ChainName, verify
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.ledger.journal import Seen, begun
+from wellhitch.ledger.journal import DialogueFacts, open_journal
 from wellhitch.ledger.periods import end_of
 from wellhitch.ledger.reconcile import AGAIN, MOST_FETCHED, Collection, Fetch, Look, Pull, answer
 from wellhitch.ledger.service import READ_ROWS, read_digests, read_store
@@ -27,10 +27,10 @@
 
 def _dialogues(count: int) -> Iterator[list[Change]]:
     """Changes of dialogues as one origin sees them, two rows each."""
-    book, _ = begun(3, None, None, 7, NumberKeys({1: b"k" * 32}))
+    book, _ = open_journal(3, None, None, 7, NumberKeys({1: b"k" * 32}))
     for n in range(count):
-        seen = Seen("origin", 3, n, "card-lock", n % 60, f"{n:010}", 1, f"tenant-{n % 20}")
-        yield book.answered(seen, "stands", START + n * 2000, n * 2000) + book.over(
+        seen = DialogueFacts("origin", 3, n, "card-lock", n % 60, f"{n:010}", 1, f"tenant-{n % 20}")
+        yield book.answered(seen, "stands", START + n * 2000, n * 2000) + book.ended(
             "origin", 3, n, "released", START + n * 2000 + 1000, n * 2000 + 1000
         )
 
@@ -78,7 +78,7 @@
     out.append(
         f"  the disk has {sum(one.stat().st_size for one in folder.glob('ledger*')) / entries:.0f} bytes an entry"
     )
-    book, _ = begun(3, None, None, 7, NumberKeys({}))
+    book, _ = open_journal(3, None, None, 7, NumberKeys({}))
     engine.commit(book.alive(START))
     # As after a kill: the log is not brought in, nothing is closed.
     shutil.copytree(folder, folder / "killed", ignore=shutil.ignore_patterns("raw*", "killed"))
--- a/wellhitch/ledger/journal.py
+++ b/wellhitch/ledger/journal.py
@@ -36,7 +36,7 @@
     alive: int = 0
 
 
-class Standing(msgspec.Struct, frozen=True, array_like=True):
+class EstablishedDialogue(msgspec.Struct, frozen=True, array_like=True):
     """A dialogue that stands."""
 
     side: str
@@ -46,12 +46,12 @@
     dial: int = -1
 
 
-class OtherDisk(Exception):
+class WrongDiskError(Exception):
     """The disk belongs to another instance."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class DialogueFacts:
     """A dialogue as the server tells it."""
 
     side: str
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Book:
+class Journal:
     """One instance's own entries."""
 
     identity: Identity
@@ -88,7 +88,7 @@
     keys: NumberKeys
     end_before: tuple[int, int, bytes] = (0, 0, b"")  # mark, row and hash where the chain before ended
     stated: set[str] = field(default_factory=set)
-    standing: dict[bytes, tuple[Standing, int]] = field(default_factory=dict)
+    standing: dict[bytes, tuple[EstablishedDialogue, int]] = field(default_factory=dict)
     fresh: list[Fresh] = field(default_factory=list)  # rows added since this was last emptied
     _month: tuple[int, int, str] = (0, 0, "")
 
@@ -112,7 +112,7 @@
             out.append(Change(ABOUT, about.to_bytes(4, "big") + key, body))
         return out
 
-    def _answered(self, seen: Seen, answer: str, at: int) -> Answered:
+    def _answered(self, seen: DialogueFacts, answer: str, at: int) -> Answered:
         number, number_key = self.keys.hashed(seen.called)
         return Answered(
             seen.side,
@@ -133,18 +133,18 @@
             seen.via,
         )
 
-    def answered(self, seen: Seen, answer: str, wall: int, now: int) -> list[Change]:
+    def answered(self, seen: DialogueFacts, answer: str, wall: int, now: int) -> list[Change]:
         """A dialogue got its answer here."""
         entry = self._answered(seen, answer, wall)
         out = self._row(entry, wall, seen.origin)
         if answer == "stands":
             key = standing_key(seen.side, seen.origin, seen.dialogue, seen.dial)
-            held = Standing(seen.side, seen.origin, seen.dialogue, wall, seen.dial)
+            held = EstablishedDialogue(seen.side, seen.origin, seen.dialogue, wall, seen.dial)
             self.standing[key] = held, now
             out.append(Change(STANDING, key, msgspec.msgpack.encode(held)))
         return out
 
-    def over(
+    def ended(
         self, side: str, origin: int, dialogue: int, how: str, wall: int, now: int, dial: int = -1
     ) -> list[Change]:
         """A dialogue that stood is over. How long it stood is by the loop's clock, which nobody sets back."""
@@ -155,11 +155,11 @@
         entry = Over(side, origin, dialogue, how, wall, max(0, now - held[1]), dial)
         return [*self._row(entry, wall, origin), Change(STANDING, key, None)]
 
-    def witnessed(self, seen: Seen, how: str, stood: int, wall: int) -> list[Change]:
+    def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int, wall: int) -> list[Change]:
         """The own office told of a dialogue that ended in this exchange and is over: both entries at once."""
         answer = self._answered(seen, "stands", wall - stood)
-        over = Over(seen.side, seen.origin, seen.dialogue, how, wall, stood, seen.dial)
-        return self._row(answer, wall, seen.origin) + self._row(over, wall, seen.origin)
+        ended = Over(seen.side, seen.origin, seen.dialogue, how, wall, stood, seen.dial)
+        return self._row(answer, wall, seen.origin) + self._row(ended, wall, seen.origin)
 
     def add(self, entry: Entry, wall: int) -> list[Change]:
         """An entry of staff's, or of the ledger itself."""
@@ -181,7 +181,7 @@
         self.stated.add(period)
         return Statement(self.identity.number, self.chain.name.mark, self.chain.seq, self.chain.last)
 
-    def begins(self, standing: Iterable[Standing], unsafe: int, wall: int) -> list[Change]:
+    def begins(self, standing: Iterable[EstablishedDialogue], unsafe: int, wall: int) -> list[Change]:
         """What a process says first: where the chain before ended, and that what stood is cut as of the last moment
         that the one before surely lived."""
         alive = self.identity.alive
@@ -189,30 +189,30 @@
         out = self._row(Restarted(wall, alive, unsafe, *end), wall)
         for held in standing:
             # A clock set back between the two lives must not make a span under nought.
-            over = Over(
+            ended = Over(
                 held.side, held.origin, held.dialogue, "restart", alive, max(0, alive - held.at), held.dial
             )
-            out += self._row(over, wall, held.origin)
+            out += self._row(ended, wall, held.origin)
             out.append(Change(STANDING, standing_key(held.side, held.origin, held.dialogue, held.dial), None))
         return out
 
 
-def begun(
+def open_journal(
     number: int, found: bytes | None, last: tuple[int, bytes] | None, mark: int, keys: NumberKeys
-) -> tuple[Book, bool]:
+) -> tuple[Journal, bool]:
     """The book of an instance, from its identity record and the last row of its latest chain (its place and hash); and
     whether the disk is new. Each process begins a chain of its own, named by `mark`: on an old disk the numbers of the
     rows that follow may be used up. Raises OtherDisk where it is another instance's."""
     if found is None:
-        return Book(Identity(number, [mark]), Chain(ChainName(number, mark)), keys), True
+        return Journal(Identity(number, [mark]), Chain(ChainName(number, mark)), keys), True
     identity = msgspec.msgpack.decode(found, type=Identity)
     if identity.number != number:
-        raise OtherDisk(f"this disk is that of call server {identity.number}, not {number}")
+        raise WrongDiskError(f"this disk is that of call server {identity.number}, not {number}")
     end = (identity.marks[-1], *(last or (0, START)))
     while mark in identity.marks:  # drawn again by chance: its rows would take the place of the old ones
         mark += 1
     identity.marks.append(mark)
-    return Book(identity, Chain(ChainName(number, mark)), keys, end), False
+    return Journal(identity, Chain(ChainName(number, mark)), keys, end), False
 
 
 def last_of(name: ChainName, row: Row | None) -> tuple[int, bytes]:
--- a/wellhitch/ledger/outbox.py
+++ b/wellhitch/ledger/outbox.py
@@ -8,12 +8,14 @@
 
 from wellhitch.store.files import read_file
 
-MOST_BACK = 16 << 20  # bytes of what comes back: a receipt has some 80, a file that is given back some 2 MB
+MAX_RETURNED_FILE_BYTES = (
+    16 << 20
+)  # bytes of what comes back: a receipt has some 80, a file that is given back some 2 MB
 
-MOST_LOOKED_AT = 32  # receipts of one look: more wait for the next, or a full folder would fill memory
+MAX_RECEIPTS_PER_READ = 32  # bounds memory when the folder is full; more wait for the next read
 
 
-class Box(Protocol):
+class Outbox(Protocol):
     """The way to the accounting side. Calls may block."""
 
     def put(self, sequence: int, data: bytes) -> None:
@@ -23,7 +25,7 @@
         """Receipts that lie there, and files given back, in order; and take them away. Raises OSError."""
 
 
-class FolderBox:
+class FolderOutbox:
     """`out/INSTANCE-SEQUENCE.wh` to the accounting side, `back/INSTANCE-*.wr` from it, in a folder that both reach."""
 
     def __init__(self, folder: Path, instance: int) -> None:
@@ -33,18 +35,18 @@
         """As `Box`."""
         out = self._folder / "out"
         out.mkdir(parents=True, exist_ok=True)
-        put_whole(out / f"{self._instance}-{sequence:08}.wh", data)
+        write_atomically(out / f"{self._instance}-{sequence:08}.wh", data)
 
     def receipts(self) -> list[bytes]:
         """As `Box`."""
         found = list[bytes]()
-        for path in sorted((self._folder / "back").glob(f"{self._instance}-*.wr"))[:MOST_LOOKED_AT]:
+        for path in sorted((self._folder / "back").glob(f"{self._instance}-*.wr"))[:MAX_RECEIPTS_PER_READ]:
             try:
-                data = read_file(path, MOST_BACK)
+                data = read_file(path, MAX_RETURNED_FILE_BYTES)
             except OSError:
                 # Guards the others, and the disk's thread, against a directory, a pipe or a file without end: it is
                 # put aside under another name, told once, and what lies behind it is read at the next look.
-                put_aside(path)
+                quarantine(path)
                 if found:
                     return found
                 raise
@@ -53,12 +55,12 @@
         return found
 
 
-def put_aside(path: Path) -> None:
+def quarantine(path: Path) -> None:
     """Out of the way of the others, under a name that nobody looks for."""
     path.rename(path.with_name(f"{path.name}.bad"))
 
 
-def put_whole(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Write a file so that whoever looks sees all of it or none."""
     beside = path.with_name(f".{path.name}.part")
     try:
--- a/wellhitch/ledger/service.py
+++ b/wellhitch/ledger/service.py
@@ -24,15 +24,15 @@
     IDENTITY,
     PERIOD,
     STANDING,
-    Book,
+    DialogueFacts,
+    EstablishedDialogue,
     Identity,
-    OtherDisk,
-    Seen,
-    Standing,
-    begun,
+    Journal,
+    WrongDiskError,
     last_of,
+    open_journal,
 )
-from wellhitch.ledger.outbox import Box
+from wellhitch.ledger.outbox import Outbox
 from wellhitch.ledger.periods import Agreement, Kept, Outcome, end_of, next_of, period_of, previous_of
 from wellhitch.ledger.reconcile import Allowance, Collection, Pull
 from wellhitch.net.seam import now_us
@@ -67,7 +67,7 @@
 
     identity: bytes | None = None
     last: tuple[int, bytes] | None = None
-    standing: list[Standing] = field(default_factory=list)
+    standing: list[EstablishedDialogue] = field(default_factory=list)
     periods: dict[str, Kept] = field(default_factory=dict)
     about_from: str = ""  # the first period of which they are read; earlier ones are read when asked for
     sent: export.Sent = field(default_factory=export.Sent)
@@ -89,7 +89,7 @@
                 break
             out.damaged += 1
     for one in _sound(engine, STANDING, out):
-        out.standing.append(msgspec.msgpack.decode(one[2], type=Standing))
+        out.standing.append(msgspec.msgpack.decode(one[2], type=EstablishedDialogue))
     for one in _sound(engine, PERIOD, out):
         kept = periods.KEPT.decode(one[2])
         out.periods[kept.period] = kept
@@ -133,11 +133,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Door:
+class AccountingChannel:
     """The way to the accounting side, and the key that only the two sides have."""
 
     key: bytes
-    box: Box
+    outbox: Outbox
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,7 +180,7 @@
     return Change(FIGURE, _figure(line, "").key, None)
 
 
-class Desk:
+class SettlementService:
     """One instance's ledger. `send` carries bytes to another instance and tells whether a link was there; `wall` turns
     the loop's time into the wall's, both in us."""
 
@@ -196,14 +196,14 @@
         log: Callable[..., None],
         chance: random.Random,
         linger: int = LINGER,
-        door: Door | None = None,
+        accounting: AccountingChannel | None = None,
     ) -> None:
         self.loop, self.number, self.wall_at, self.send_bytes, self.write_log = loop, number, wall, send, log
         self.roster = tuple(sorted({number, *roster}))
         self.keys, self.chance = keys, chance
         self.keeper = Keeper(loop, disk, STORE, log, linger)
         self.counts: Counter[str] = Counter()
-        self.book: Book | None = None
+        self.book: Journal | None = None
         self.agreements: dict[str, Agreement] = {}
         self.period = ""  # the one that is open
         self.about: dict[tuple[int, str], Collection] = {}  # own rows, by origin and period
@@ -219,7 +219,7 @@
         self.pulled: dict[tuple[int, str], int] = {}
         self.level: set[tuple[int, str]] = set()  # pulled to the end after the other end's statement
         self.allowance = Allowance()
-        self.door = door
+        self.accounting = accounting
         self.sent = export.Sent()
         self.sender: export.Sender | None = None
         self._reckoning = self._handing = False
@@ -247,10 +247,10 @@
 
     def _ready(self, found: Found) -> None:
         try:
-            self.book, new = begun(
+            self.book, new = open_journal(
                 self.number, found.identity, found.last, self.chance.getrandbits(62), self.keys
             )
-        except OtherDisk as fault:
+        except WrongDiskError as fault:
             # Nothing is written to another's disk; calls go on, and the ledger says what it is.
             self.refused_disk = str(fault)
             self.counts["ledger_other_disk"] += 1
@@ -266,8 +266,8 @@
                 book.stated.add(kept.period)
         self.about_from, self.kept_to = found.about_from, found.sent.done
         self.sent = found.sent
-        if self.door:
-            self.sender = export.Sender(self.door.key, self.number, found.sent, found.files)
+        if self.accounting:
+            self.sender = export.Sender(self.accounting.key, self.number, found.sent, found.files)
         stated = max(book.stated, default="")
         # On an old disk the period in which it last lived, not the present one: else a process that was away while a
         # period ended would never state that, and all others would wait for it.
@@ -327,7 +327,7 @@
         else:
             self.counts["ledger_missed"] += 1
 
-    def answered(self, seen: Seen, answer: str) -> None:
+    def answered(self, seen: DialogueFacts, answer: str) -> None:
         """A dialogue got its answer."""
         wall, now = self.wall(), self._now()
 
@@ -338,7 +338,7 @@
 
         self._event(work)
 
-    def over(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
         """A dialogue that stood is over."""
         what = (side, origin, dialogue, how, self.wall(), self._now(), dial)
 
@@ -353,16 +353,16 @@
     def _say_overs(self) -> None:
         book = self._book()
         while self._unsaid and self.keeper.room(ROOM):
-            self._put(book.over(*self._unsaid.popleft()))
+            self._put(book.ended(*self._unsaid.popleft()))
 
-    def witnessed(self, seen: Seen, how: str, stood: int) -> None:
+    def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int) -> None:
         """The own office told of a dialogue that ended in this exchange."""
         wall = self.wall()
 
         def work() -> None:
             book = self._book()
             if self._room():
-                self._put(book.witnessed(seen, how, stood, wall))
+                self._put(book.local_dialogue_ended(seen, how, stood, wall))
 
         self._event(work)
 
@@ -377,7 +377,7 @@
         self._put(self.book.add(Corrected(origin, dialogue, change, who, why, self.wall()), self.wall()))
         return ""
 
-    def _book(self) -> Book:
+    def _book(self) -> Journal:
         assert self.book is not None
         return self.book
 
@@ -465,7 +465,7 @@
         self.counts["ledger_bytes_sent"] += len(data)
         return self.send_bytes(to, data)
 
-    def heard_from(self, sender: int, data: bytes) -> None:
+    def receive(self, sender: int, data: bytes) -> None:
         """Bytes of another instance's. What is no message, or of one that keeps no ledger with this one, is skipped and
         counted: whoever reaches the door may call himself a call server."""
         if self.book is None:
@@ -714,11 +714,11 @@
         self.keeper.aside(lambda engine: reckon(engine, self.number, period), done)
 
     def _make_file(self, period: str, found: Reckoned) -> None:
-        door, sender = self.door, self.sender
-        assert door and sender
+        accounting, sender = self.accounting, self.sender
+        assert accounting and sender
         sequence = self.sent.sequence + 1
-        data = export.make_file(door.key, self.number, sequence, period, found.lines, self.sent.mac)
-        mac = export.read_file(door.key, data).mac
+        data = export.make_file(accounting.key, self.number, sequence, period, found.lines, self.sent.mac)
+        mac = export.read_file(accounting.key, data).mac
         before = msgspec.structs.replace(self.sent)
         self.sent.sequence, self.sent.mac = sequence, mac
         if not found.more:
@@ -747,8 +747,8 @@
             self._reckoning = False
 
     def _hand_over(self, now: int) -> None:
-        door, sender = self.door, self.sender
-        if door is None or sender is None or self._handing or not sender.files:
+        accounting, sender = self.accounting, self.sender
+        if accounting is None or sender is None or self._handing or not sender.files:
             return
         data, sequence = sender.next(now), min(sender.files)
         self._handing = True
@@ -756,8 +756,8 @@
         def work() -> Any:
             try:
                 if data is not None:
-                    door.box.put(sequence, data)
-                return door.box.receipts()
+                    accounting.outbox.put(sequence, data)
+                return accounting.outbox.receipts()
             except OSError as fault:
                 return fault
 
@@ -831,7 +831,7 @@
             "counts": dict(sorted((self.counts + self.keeper.counts).items())),
         }
 
-    def asked(self, what: str) -> str:
+    def run_command(self, what: str) -> str:
         """An operator's word: see `Daemon.ledger_asked`. Raises ValueError."""
         words = shlex.split(what)
         if not words:
@@ -869,7 +869,7 @@
         """End what stands, for its links go with the process, write what waits and close the store."""
         if self.book is not None:
             for held, _ in list(self.book.standing.values()):
-                self.over(held.side, held.origin, held.dialogue, "cut", held.dial)
+                self.ended(held.side, held.origin, held.dialogue, "cut", held.dial)
             self._put(self.book.alive(self.wall()))
         self._halt()
         self.keeper.close(closed)
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -14,7 +14,7 @@
 from wellhitch.hooks.keeping import dump, read
 from wellhitch.hooks.tree import BadHooks
 from wellhitch.interface import events as ev
-from wellhitch.ledger.service import Desk
+from wellhitch.ledger.service import SettlementService
 from wellhitch.net.seam import Listener, Network, now_us
 from wellhitch.server.hooked import NO_CLOCK, Hooked, WallClock
 from wellhitch.server.metrics import exposition
@@ -40,7 +40,7 @@
     def __call__(self, event: str, **facts: Any) -> None: ...
 
 
-MakeDesk = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], Desk]
+MakeDesk = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], SettlementService]
 
 
 @dataclass(frozen=True, slots=True)
@@ -296,7 +296,7 @@
         if self.desk is None:
             return "no ledger: the sheet names none"
         try:
-            return self.desk.asked(what)
+            return self.desk.run_command(what)
         except ValueError as fault:
             return f"not done: {fault}"
 
@@ -445,7 +445,7 @@
         if isinstance(frame, frames.Word):
             self.daemon.switch.word(port.peer.number, frame.text, self.daemon.now())
         elif isinstance(frame, frames.Ledger) and self.daemon.desk:
-            self.daemon.desk.heard_from(port.peer.number, frame.text)
+            self.daemon.desk.receive(port.peer.number, frame.text)
 
     def link_up(self, port: Port) -> None:
         """A peer is there: either end may have opened the link."""
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -16,7 +16,7 @@
 from wellhitch.hooks.points import Said
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
-from wellhitch.ledger.journal import Seen
+from wellhitch.ledger.journal import DialogueFacts
 from wellhitch.net.seam import Timer
 from wellhitch.server.dials import (
     ENDINGS,
@@ -84,13 +84,13 @@
 class Witness(Protocol):
     """What a ledger is told; nothing comes back, and nothing waits for it."""
 
-    def answered(self, seen: Seen, answer: str) -> None:
+    def answered(self, seen: DialogueFacts, answer: str) -> None:
         """A dialogue got its answer."""
 
-    def over(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
         """A dialogue that stood is over, `released` or `cut`; `dial` as it was asked for here."""
 
-    def witnessed(self, seen: Seen, how: str, stood: int) -> None:
+    def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int) -> None:
         """The own office told of one that ended in this exchange."""
 
 
@@ -333,7 +333,7 @@
             out = taken.active if answer == "stands" else None
             onward = out.number if out else -1
             via = out.office.number if out and out.office.number != taken.destination else -1
-            seen = Seen(
+            seen = DialogueFacts(
                 _side(taken),
                 taken.origin,
                 taken.origin_id,
@@ -353,14 +353,14 @@
     def _told_over(self, taken: Taken, how: str) -> None:
         if self.witness:
             side, dial = _side(taken), taken.asked_dial
-            self._witness(self.witness.over, side, taken.origin, taken.origin_id, how, dial)
+            self._witness(self.witness.ended, side, taken.origin, taken.origin_id, how, dial)
 
     def carried(self, office: str, frame: frames.Carried) -> None:
         """The own office tells of a dialogue that stood in this exchange and is over."""
         if self.offices[office].number != self.number or frame.how not in ("released", "cut"):
             self.counts["strays.Carried"] += 1
         elif self.witness and 0 <= frame.origin < frames.NUMBERS and 0 <= frame.stood < 1 << 53:
-            seen = Seen(
+            seen = DialogueFacts(
                 "destination",
                 frame.origin,
                 frame.dialogue,
@@ -370,7 +370,7 @@
                 frame.width,
                 dial=frame.dial,
             )
-            self._witness(self.witness.witnessed, seen, frame.how, frame.stood)
+            self._witness(self.witness.local_dialogue_ended, seen, frame.how, frame.stood)
 
     def _forget(self, taken: Taken) -> None:
         self.taken.pop(taken.id, None)
