--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -79,7 +79,7 @@
     (tmp_path / "both.key").write_text("6b" * 32)
     (tmp_path / "tariff.json").write_text(json.dumps({"currency": "BRL", "prices": []}))
     engine = Engine(str(tmp_path / "kept" / "ledger"))
-    engine.commit(open_journal(3, None, None, 7, NumberKeys({}))[0].alive(DECEMBER))
+    engine.commit(open_journal(3, None, None, 7, NumberKeys({}))[0].heartbeat(DECEMBER))
     engine.close()
     return tmp_path
 
@@ -131,8 +131,12 @@
     for n in range(1, MAX_RECEIPTS_PER_READ + 4):
         (back / f"3-{n}.wr").write_bytes(b"r%d" % n)
     with pytest.raises(OSError, match="3-0.wr"):
-        box.receipts()
-    assert len(box.receipts()) == MAX_RECEIPTS_PER_READ and len(box.receipts()) == 3 and box.receipts() == []
+        box.take_receipts()
+    assert (
+        len(box.take_receipts()) == MAX_RECEIPTS_PER_READ
+        and len(box.take_receipts()) == 3
+        and box.take_receipts() == []
+    )
 
 
 HEAD = b'{"capture":1,"party":"office","name":"x"}'
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -9,57 +9,57 @@
 from hypothesis import strategies as st
 
 from wellhitch.lab.explore_ledger import Bounds, explore
-from wellhitch.ledger.chain import Chain, ChainName, read_row, verify
+from wellhitch.ledger.chain import Chain, ChainId, decode_row, verify
 from wellhitch.ledger.entries import (
     Answered,
-    BadEntry,
     Corrected,
+    Ended,
+    EntriesLost,
     Entry,
-    Lacking,
+    InvalidEntryError,
     NumberKeys,
-    Over,
     Restarted,
     decode,
     encode,
 )
 from wellhitch.ledger.journal import DialogueFacts, EstablishedDialogue, WrongDiskError, open_journal
-from wellhitch.ledger.periods import AGAIN as AGAIN_CLOSING
 from wellhitch.ledger.periods import (
-    MARGIN,
-    PATIENCE,
+    ABSENCE_TIMEOUT_US,
+    CLOCK_MARGIN_US,
     Agreement,
-    Kept,
+    PeriodRecord,
     Statement,
-    end_of,
-    next_of,
-    period_of,
-    previous_of,
+    next_period,
+    period_at,
+    period_end,
+    previous_period,
 )
+from wellhitch.ledger.periods import RETRY_INTERVAL_US as CLOSING_RETRY_US
 from wellhitch.ledger.reconcile import (
-    AGAIN,
-    Allowance,
+    RETRY_INTERVAL_US,
     Collection,
-    Differ,
+    CompareRanges,
     Fetch,
-    Look,
-    Part,
     Pull,
-    answer,
+    RangeDifferences,
+    RangeSummary,
+    TokenBucket,
+    compare_ranges,
 )
-from wellhitch.ledger.settle import SLACK, Views, gather
+from wellhitch.ledger.settle import DISPUTE_THRESHOLD_US, DialogueEvidence, group_by_dialogue
 from wellhitch.store.records import Change
 
 SECOND = 1_000_000
-DECEMBER = end_of("2026-11")
-NAME = ChainName(3, 77)
+DECEMBER = period_end("2026-11")
+NAME = ChainId(3, 77)
 
 
 def answered(side: str = "origin", answer: str = "stands", at: int = DECEMBER, **more: object) -> Answered:
     return Answered(side, 3, 9, "card-lock", 5, answer, at, **more)  # type: ignore[arg-type]
 
 
-def over(side: str = "origin", stood: int = 5 * SECOND, how: str = "released") -> Over:
-    return Over(side, 3, 9, how, DECEMBER + stood, stood)
+def over(side: str = "origin", stood: int = 5 * SECOND, how: str = "released") -> Ended:
+    return Ended(side, 3, 9, how, DECEMBER + stood, stood)
 
 
 # ---- entries ----
@@ -69,7 +69,7 @@
 def test_any_bytes_are_an_entry_or_a_named_error(data: bytes) -> None:
     try:
         entry = decode(data)
-    except BadEntry:
+    except InvalidEntryError:
         return
     assert decode(encode(entry)) == entry
 
@@ -90,13 +90,15 @@
 
 def a_chain(rows: int = 12) -> list[tuple[int, bytes | None]]:
     chain = Chain(NAME)
-    return [(n, msgspec.msgpack.encode(chain.add(Lacking(n, 0, 0), "2026-12"))) for n in range(1, rows + 1)]
+    return [
+        (n, msgspec.msgpack.encode(chain.append(EntriesLost(n, 0, 0), "2026-12"))) for n in range(1, rows + 1)
+    ]
 
 
 def head(rows: list[tuple[int, bytes | None]]) -> tuple[int, bytes]:
     seq, data = rows[-1]
     assert data
-    return seq, read_row(data).hash(NAME)
+    return seq, decode_row(data).hash(NAME)
 
 
 def test_a_whole_chain_verifies() -> None:
@@ -125,8 +127,11 @@
     elif what == "altered":
         data = rows[4][1]
         assert data
-        row = read_row(data)
-        rows[4] = (5, msgspec.msgpack.encode(msgspec.structs.replace(row, entry=encode(Lacking(99, 0, 0)))))
+        row = decode_row(data)
+        rows[4] = (
+            5,
+            msgspec.msgpack.encode(msgspec.structs.replace(row, entry=encode(EntriesLost(99, 0, 0)))),
+        )
     elif what == "damaged":
         rows[4] = (5, None)
     elif what == "garbage":
@@ -136,15 +141,17 @@
     elif what == "rewritten":
         chain = Chain(NAME)
         rows = [
-            (n, msgspec.msgpack.encode(chain.add(Lacking(n + (n > 6), 0, 0), "2026-12")))
+            (n, msgspec.msgpack.encode(chain.append(EntriesLost(n + (n > 6), 0, 0), "2026-12")))
             for n in range(1, 13)
         ]
     elif what == "twice":
         rows[4] = (5, rows[3][1])
     else:
         # Rows of another chain under this one's keys: their hashes do not fit this chain's name.
-        other = Chain(ChainName(3, 78))
-        rows = [(n, msgspec.msgpack.encode(other.add(Lacking(n, 0, 0), "2026-12"))) for n in range(1, 13)]
+        other = Chain(ChainId(3, 78))
+        rows = [
+            (n, msgspec.msgpack.encode(other.append(EntriesLost(n, 0, 0), "2026-12"))) for n in range(1, 13)
+        ]
         seq, why = 2, "does not follow row 1"
     found = list(verify(NAME, rows, known))
     assert (seq, True) in [(one.seq, why in one.why) for one in found], [str(one) for one in found]
@@ -165,7 +172,7 @@
 
 
 def rows_of(changes: list[Change]) -> list[Entry]:
-    return [decode(read_row(one.body).entry) for one in changes if one.shelf == "chain" and one.body]
+    return [decode(decode_row(one.body).entry) for one in changes if one.shelf == "chain" and one.body]
 
 
 SEEN = DialogueFacts("origin", 3, 9, "card-lock", 5, "0800123", 1, "north", ("a",), "v1")
@@ -179,35 +186,35 @@
     then = book.ended("origin", 3, 9, "released", DECEMBER - 3600 * SECOND, 1000 + 7 * SECOND)
     said = rows_of(first + then)
     assert isinstance(said[0], Answered) and said[0].tenant == "north" and said[0].tags == ("a",)
-    assert isinstance(said[1], Over) and said[1].stood == 7 * SECOND
+    assert isinstance(said[1], Ended) and said[1].stood == 7 * SECOND
     assert book.ended("origin", 3, 9, "released", DECEMBER, 0) == []  # twice: nothing more
-    assert not book.standing
+    assert not book.established
 
 
 def test_a_clock_set_back_at_a_periods_end_makes_late_rows_not_changed_periods() -> None:
     book, _ = open_journal(3, None, None, 77, NumberKeys({}))
-    end = end_of("2026-12")
+    end = period_end("2026-12")
     book.answered(SEEN, "pushed_back", end - SECOND, 0)
     told = book.statement("2026-12")
-    assert (told.seq, told.hash) == (1, book.chain.last)
+    assert (told.seq, told.hash) == (1, book.chain.last_hash)
     late = book.answered(SEEN, "pushed_back", end - 1800 * SECOND, 0)
-    row = read_row(late[0].body or b"")
+    row = decode_row(late[0].body or b"")
     assert (row.period, row.late_for) == ("2027-01", "2026-12")
 
 
 def test_after_a_crash_what_stood_is_cut_as_of_the_last_moment_of_life() -> None:
     book, _ = open_journal(3, None, None, 77, NumberKeys({}))
     book.answered(SEEN, "stands", DECEMBER, 0)
-    identity = book.alive(DECEMBER + 5 * SECOND)[0].body
-    again, new = open_journal(3, identity, (book.chain.seq, book.chain.last), 99, NumberKeys({}))
+    identity = book.heartbeat(DECEMBER + 5 * SECOND)[0].body
+    again, new = open_journal(3, identity, (book.chain.seq, book.chain.last_hash), 99, NumberKeys({}))
     # A chain of its own, bound to the end of the one before: on an old disk the numbers that follow may be used up.
-    assert not new and again.chain.name == ChainName(3, 99) and again.identity.marks == [77, 99]
+    assert not new and again.chain.name == ChainId(3, 99) and again.identity.marks == [77, 99]
     said = rows_of(
-        again.begins([EstablishedDialogue("origin", 3, 9, DECEMBER)], 20_000, DECEMBER + 60 * SECOND)
+        again.resume([EstablishedDialogue("origin", 3, 9, DECEMBER)], 20_000, DECEMBER + 60 * SECOND)
     )
     assert said == [
-        Restarted(DECEMBER + 60 * SECOND, DECEMBER + 5 * SECOND, 20_000, 77, 1, book.chain.last),
-        Over("origin", 3, 9, "restart", DECEMBER + 5 * SECOND, 5 * SECOND),
+        Restarted(DECEMBER + 60 * SECOND, DECEMBER + 5 * SECOND, 20_000, 77, 1, book.chain.last_hash),
+        Ended("origin", 3, 9, "restart", DECEMBER + 5 * SECOND, 5 * SECOND),
     ]
     with pytest.raises(WrongDiskError, match="that of call server 3, not 4"):
         open_journal(4, identity, None, 1, NumberKeys({}))
@@ -237,14 +244,14 @@
 def test_every_end_settles_alike_whatever_the_order_and_however_often(
     entries: list[Entry], chance: random.Random, cut: int
 ) -> None:
-    one = gather(entries).get((3, 9), Views((3, 9))).settled()
+    one = group_by_dialogue(entries).get((3, 9), DialogueEvidence((3, 9))).settled()
     mixed = [*entries, *entries[:cut]]
     chance.shuffle(mixed)
-    assert gather(mixed).get((3, 9), Views((3, 9))).settled() == one
+    assert group_by_dialogue(mixed).get((3, 9), DialogueEvidence((3, 9))).settled() == one
     # Two ends that each know a part and then all: the same again.
-    left, right = gather(entries[:cut]), gather(entries[cut:])
-    joined = left.get((3, 9), Views((3, 9)))
-    joined.join(right.get((3, 9), Views((3, 9))))
+    left, right = group_by_dialogue(entries[:cut]), group_by_dialogue(entries[cut:])
+    joined = left.get((3, 9), DialogueEvidence((3, 9)))
+    joined.join(right.get((3, 9), DialogueEvidence((3, 9))))
     assert joined.settled() == one and one.billed >= 0
 
 
@@ -259,14 +266,15 @@
          "origin forfeited"),
         # A tandem that turned the first dial back, or lost its answer, says nothing of the second that stood.
         ([answered(onward=1), over(), answered("tandem", "pushed_back", dial=0)], "billed", 5 * SECOND, ""),
-        ([answered(onward=1), over(), answered("destination", dial=0), Over("destination", 3, 9, "cut", 0, SECOND, 0),
-          answered("destination", dial=1), Over("destination", 3, 9, "cut", 0, 4 * SECOND, 1)],
+        ([answered(onward=1), over(), answered("destination", dial=0), Ended("destination", 3, 9, "cut", 0, SECOND, 0),
+          answered("destination", dial=1), Ended("destination", 3, 9, "cut", 0, 4 * SECOND, 1)],
          "billed", 4 * SECOND, ""),
         # By a tandem: its onward dial is the one that the destination knows.
         ([answered(onward=2, via=7), over(), answered("tandem", dial=2, onward=5), answered("destination", dial=5),
-          Over("tandem", 3, 9, "released", 0, 4 * SECOND, 2), Over("destination", 3, 9, "released", 0, 0, 2),
-          Over("destination", 3, 9, "released", 0, 3 * SECOND, 5)], "billed", 3 * SECOND, ""),
-        ([answered(onward=2, via=7), over(), Over("destination", 3, 9, "cut", 0, SECOND, 2)], "billed", 5 * SECOND, ""),
+          Ended("tandem", 3, 9, "released", 0, 4 * SECOND, 2), Ended("destination", 3, 9, "released", 0, 0, 2),
+          Ended("destination", 3, 9, "released", 0, 3 * SECOND, 5)], "billed", 3 * SECOND, ""),
+        ([answered(onward=2, via=7), over(), Ended("destination", 3, 9, "cut", 0, SECOND, 2)], "billed", 5 * SECOND,
+         ""),
         ([answered(onward=2, via=7), over(), answered("tandem", "pushed_back", dial=2)], "billed", 0,
          "origin 5000000, tandem 0"),
         ([answered("destination"), over("destination")], "orphan", 0, ""),
@@ -280,21 +288,24 @@
 )  # fmt: skip
 def test_what_the_rule_says(entries: list[Entry], state: str, billed: int, dispute: str) -> None:
     for order in permutations(entries):
-        found = gather(order)[3, 9].settled()
+        found = group_by_dialogue(order)[3, 9].settled()
         assert (found.state, found.billed) == (state, billed) and found.dispute.startswith(dispute)
         assert bool(found.dispute) == bool(dispute)
-    assert SLACK > SECOND
+    assert DISPUTE_THRESHOLD_US > SECOND
 
 
 # ---- periods ----
 
 
 def test_periods_have_names_and_ends() -> None:
-    assert previous_of("2027-01") == "2026-12" and previous_of("2027-03") == "2027-02"
-    assert period_of(DECEMBER) == "2026-12" and period_of(DECEMBER - 1) == "2026-11"
-    assert next_of("2026-12") == "2027-01" and end_of("2026-12") - end_of("2026-11") == 31 * 86_400 * SECOND
+    assert previous_period("2027-01") == "2026-12" and previous_period("2027-03") == "2027-02"
+    assert period_at(DECEMBER) == "2026-12" and period_at(DECEMBER - 1) == "2026-11"
+    assert (
+        next_period("2026-12") == "2027-01"
+        and period_end("2026-12") - period_end("2026-11") == 31 * 86_400 * SECOND
+    )
     with pytest.raises(ValueError):
-        end_of("2026-13")
+        period_end("2026-13")
 
 
 def said(number: int) -> Statement:
@@ -307,7 +318,7 @@
     def __init__(self, count: int, chance: random.Random, loss: float) -> None:
         self.chance, self.loss = chance, loss
         roster = tuple(range(count))
-        self.all = [Agreement(me, roster, Kept("2026-12")) for me in roster]
+        self.all = [Agreement(me, roster, PeriodRecord("2026-12")) for me in roster]
         self.sent: list[tuple[int, int, object]] = []
         self.away: set[int] = set()
 
@@ -320,13 +331,13 @@
         for turn in range(turns):
             for one in self.all:
                 if one.me not in self.away:
-                    self.do(one.me, one.again(wall + turn * AGAIN_CLOSING))
+                    self.do(one.me, one.retry(wall + turn * CLOSING_RETRY_US))
             for _ in range(3 * len(self.sent)):
                 if not self.sent:
                     break
                 sender, to, message = self.sent.pop(self.chance.randrange(len(self.sent)))
                 if self.chance.random() >= self.loss and to not in self.away and sender not in self.away:
-                    self.do(to, self.all[to].heard(sender, message))  # type: ignore[arg-type]
+                    self.do(to, self.all[to].receive(sender, message))  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 7])
@@ -334,9 +345,9 @@
     for seed in range(15):
         town = Town(count, random.Random(seed), 0.3)
         for one in town.all:
-            town.do(one.me, one.state_mine(said(one.me)))
-        town.run(60 * count, end_of("2026-12") + MARGIN + 60 * SECOND)
-        assert {one.kept.closed for one in town.all} == {tuple(said(n) for n in range(count))}
+            town.do(one.me, one.record_own_statement(said(one.me)))
+        town.run(60 * count, period_end("2026-12") + CLOCK_MARGIN_US + 60 * SECOND)
+        assert {one.record.closed for one in town.all} == {tuple(said(n) for n in range(count))}
         assert {one.state for one in town.all} == {"closed"}
 
 
@@ -344,24 +355,24 @@
     town = Town(3, random.Random(1), 0.2)
     town.away = {1}
     for me in (0, 2):
-        town.do(me, town.all[me].state_mine(said(me)))
-    end = end_of("2026-12")
-    town.run(100, end + PATIENCE - 1000 * SECOND)
+        town.do(me, town.all[me].record_own_statement(said(me)))
+    end = period_end("2026-12")
+    town.run(100, end + ABSENCE_TIMEOUT_US - 1000 * SECOND)
     assert [one.state for one in town.all] == ["closing", "open", "closing"]
-    town.run(100, end + PATIENCE + 60 * SECOND)
-    assert town.all[0].kept.closed == (said(0), said(2)) == town.all[2].kept.closed
+    town.run(100, end + ABSENCE_TIMEOUT_US + 60 * SECOND)
+    assert town.all[0].record.closed == (said(0), said(2)) == town.all[2].record.closed
     # It comes back, says its own, and hears what was closed without it.
     town.away = set()
-    town.do(1, town.all[1].state_mine(said(1)))
-    town.run(20, end + 2 * PATIENCE)
-    assert town.all[1].kept.closed == (said(0), said(2))
+    town.do(1, town.all[1].record_own_statement(said(1)))
+    town.run(20, end + 2 * ABSENCE_TIMEOUT_US)
+    assert town.all[1].record.closed == (said(0), said(2))
 
 
 def test_without_a_majority_nothing_closes() -> None:
     town = Town(3, random.Random(1), 0.0)
     town.away = {1, 2}
-    town.all[0].state_mine(said(0))
-    town.run(100, end_of("2026-12") + 2 * PATIENCE)
+    town.all[0].record_own_statement(said(0))
+    town.run(100, period_end("2026-12") + 2 * ABSENCE_TIMEOUT_US)
     assert town.all[0].state == "closing"
 
 
@@ -404,12 +415,12 @@
     while not pull.done:
         steps += 1
         assert steps < 2000
-        for message in pull.next(now):
+        for message in pull.next_requests(now):
             size += len(msgspec.msgpack.encode(message))
             if chance.random() < loss:
                 continue
-            if isinstance(message, Look):
-                late.append(answer(theirs, message))
+            if isinstance(message, CompareRanges):
+                late.append(compare_ranges(theirs, message))
             elif isinstance(message, Fetch):
                 late += [[(key, theirs.get(key) or b"") for key in message.keys]]
         chance.shuffle(late)
@@ -419,12 +430,12 @@
             for _ in range(chance.choice([1, 1, 2])):
                 if chance.random() < loss:
                     continue
-                if isinstance(back, Differ):
-                    pull.heard(back)
+                if isinstance(back, RangeDifferences):
+                    pull.apply_differences(back)
                 else:
                     for key, digest in back:  # type: ignore[attr-defined]
-                        pull.took(key, digest)
-        now += AGAIN
+                        pull.accept_row(key, digest)
+        now += RETRY_INTERVAL_US
     return pull, size, pull.rounds
 
 
@@ -447,8 +458,8 @@
     pull, _, _ = level(a, b, random.Random(seed), loss)
     assert a.keys == [all_items[n][0] for n in sorted(mine | theirs)]
     # What is only here may have been looked at or not; it is never called altered, and never what is there.
-    assert set(pull.strange) <= {all_items[n][0] for n in mine - theirs}
-    assert set(pull.strange.values()) <= {"only here"}
+    assert set(pull.conflicts) <= {all_items[n][0] for n in mine - theirs}
+    assert set(pull.conflicts.values()) <= {"only here"}
 
 
 def test_bytes_grow_with_the_differences_and_not_with_the_items() -> None:
@@ -471,21 +482,21 @@
     b.extend(items(50))
     b.add(items(50)[7][0], b"x" * 16)
     pull, _, _ = level(a, b, random.Random(1), 0.0)
-    assert pull.strange == {items(50)[7][0]: "differs"} and a.get(items(50)[7][0]) == items(50)[7][1]
-    assert not pull.took(b"k", b"d")  # a row that nobody asked for
+    assert pull.conflicts == {items(50)[7][0]: "differs"} and a.get(items(50)[7][0]) == items(50)[7][1]
+    assert not pull.accept_row(b"k", b"d")  # a row that nobody asked for
 
 
 def test_two_items_that_trade_their_digests_are_seen() -> None:
     a, b = Collection(), Collection()
     a.extend([(b"a", b"1"), (b"b", b"2")])
     b.extend([(b"a", b"2"), (b"b", b"1")])
-    assert a.part(b"", b"").sum != b.part(b"", b"").sum
+    assert a.summarize(b"", b"").sum != b.summarize(b"", b"").sum
 
 
 def test_an_allowance_bounds_the_bytes_of_a_second() -> None:
-    allowance, sent = Allowance(rate=1000, left=0), 0
+    bucket, sent = TokenBucket(rate=1000, tokens=0), 0
     for now in range(0, 10 * SECOND, SECOND // 100):
-        sent += 300 if allowance.may(300, now) else 0
+        sent += 300 if bucket.take(300, now) else 0
     assert 9_000 <= sent <= 10_000
 
 
@@ -494,6 +505,6 @@
     """Ends that are swapped raised in the middle of an answer, and cost the link to the peer."""
     mine = Collection()
     mine.extend((bytes((n, n)), bytes((n,)) * 16) for n in range(count))
-    mine_part = mine.part(low, high)
+    mine_part = mine.summarize(low, high)
     assert mine_part.count >= 0
-    answer(mine, Look("x", (Part(low, high, 7, b"other"),)))
+    compare_ranges(mine, CompareRanges("x", (RangeSummary(low, high, 7, b"other"),)))
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -17,16 +17,16 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.lab import ledger_day
 from wellhitch.ledger import export
-from wellhitch.ledger.chain import ChainName, read_row
-from wellhitch.ledger.entries import Lacking, NumberKeys, Over, Restarted, decode
+from wellhitch.ledger.chain import ChainId, decode_row
+from wellhitch.ledger.entries import Ended, EntriesLost, NumberKeys, Restarted, decode
 from wellhitch.ledger.export import (
-    AGAIN,
-    START,
-    BadFile,
-    Line,
+    INITIAL_MAC,
+    RETRY_INTERVAL_US,
+    ExportLine,
+    ExportProgress,
+    InvalidFileError,
     Sender,
-    Sent,
-    lines_of,
+    export_lines,
     make_file,
     make_receipt,
     read_file,
@@ -34,26 +34,26 @@
 )
 from wellhitch.ledger.journal import DialogueFacts
 from wellhitch.ledger.outbox import FolderOutbox
-from wellhitch.ledger.periods import MARGIN, Prepare, end_of
+from wellhitch.ledger.periods import CLOCK_MARGIN_US, Prepare, period_end
 from wellhitch.ledger.rating import (
     CENT,
-    NoPrice,
+    MissingPriceError,
     Price,
     Tariff,
-    faults_of,
+    dialogue_cost,
+    find_price,
     invoice,
-    price_of,
-    rated,
+    tariff_errors,
     to_cents,
 )
-from wellhitch.ledger.reconcile import Look, Part
+from wellhitch.ledger.reconcile import CompareRanges, RangeSummary
 from wellhitch.ledger.service import SettlementService
 from wellhitch.ledger.settle import Settled
 from wellhitch.stand_ins.accounting import Accounting, Ills
-from wellhitch.store.engine import StoreFault
+from wellhitch.store.engine import StoreError
 
 SECOND = 1_000_000
-DECEMBER = end_of("2026-11")
+DECEMBER = period_end("2026-11")
 KEY = b"k" * 32
 
 # ---- whole days: totals are what stood by the captures ----
@@ -161,14 +161,14 @@
 
     def entries(self) -> list[Any]:
         engine = self.disk.after_kill().open("ledger")
-        out = [decode(read_row(one[2]).entry) for one in engine.scan("chain") if isinstance(one, tuple)]
+        out = [decode(decode_row(one[2]).entry) for one in engine.scan("chain") if isinstance(one, tuple)]
         engine.close()
         return out
 
 
 def test_a_full_disk_makes_a_gap_that_is_said_and_ends_are_never_refused() -> None:
     one = OneDesk()
-    one.desk.keeper.writer.most_waiting = 60
+    one.desk.keeper.writer.max_waiting = 60
     one.stands(1)
     one.loop.advance(0.5)
     one.disk.full = True
@@ -179,9 +179,9 @@
     one.disk.full = False
     one.loop.advance(8)
     said = one.entries()
-    gaps = [entry for entry in said if isinstance(entry, Lacking)]
+    gaps = [entry for entry in said if isinstance(entry, EntriesLost)]
     assert len(gaps) == 1 and gaps[0].count > 10 and one.desk.status()["state"] == "well"
-    assert [entry for entry in said if isinstance(entry, Over)][0].stood == 500_000
+    assert [entry for entry in said if isinstance(entry, Ended)][0].stood == 500_000
 
 
 def test_another_instances_disk_is_refused_and_calls_go_on() -> None:
@@ -210,7 +210,7 @@
     first.stands(1)
     first.loop.advance(2)
     again = OneDesk(first.disk.after_kill())
-    again.ahead = end_of("2026-12") - DECEMBER + MARGIN
+    again.ahead = period_end("2026-12") - DECEMBER + CLOCK_MARGIN_US
     again.loop.advance(12)
     assert again.desk.agreements["2026-12"].state == "closed"  # alone on the roster, it is a majority
 
@@ -237,7 +237,7 @@
         assert ledger_day.verified(next_life) == []
         said = one.entries()
         # Whatever stood and is not over was ended by the restart, and nothing was ended twice.
-        overs = Counter(entry.dialogue for entry in said if isinstance(entry, Over))
+        overs = Counter(entry.dialogue for entry in said if isinstance(entry, Ended))
         stood = {entry.dialogue for entry in said if getattr(entry, "answer", "") == "stands"}
         assert set(overs) == stood and set(overs.values()) <= {1}
 
@@ -266,12 +266,12 @@
 
 
 def settled(dialogue: int, billed: int = 5 * SECOND, state: str = "billed", **more: Any) -> Settled:
-    plain = {"tenant": "north", "use_case": "card-lock", "destination": 5, "ended": DECEMBER}
+    plain = {"tenant": "north", "traffic_class": "card-lock", "destination": 5, "ended": DECEMBER}
     return Settled((3, dialogue), state, billed, **{**plain, **more})
 
 
-def a_file(sequence: int = 1, before: bytes = START, lines: int = 3) -> bytes:
-    made = lines_of("2026-12", [settled(sequence * 100 + n) for n in range(lines)], {})
+def a_file(sequence: int = 1, before: bytes = INITIAL_MAC, lines: int = 3) -> bytes:
+    made = export_lines("2026-12", [settled(sequence * 100 + n) for n in range(lines)], {})
     return make_file(KEY, 3, sequence, "2026-12", made, before)
 
 
@@ -283,7 +283,7 @@
     side, data = accounting(EmulatedDisk(1)), a_file()
     for cut in range(len(data)):
         assert side.hand_over(3, data[:cut]) == []
-        with pytest.raises(BadFile):
+        with pytest.raises(InvalidFileError):
             read_file(KEY, data[:cut])
     first = side.hand_over(3, data)
     assert side.hand_over(3, data) == first  # again: the same receipt, not booked again
@@ -293,22 +293,22 @@
 def test_a_receipt_cut_at_each_byte_or_of_another_file_ends_nothing() -> None:
     data = a_file()
     receipt = make_receipt(KEY, read_file(KEY, data))
-    sender = Sender(KEY, 3, Sent(1), {1: data})
-    other = make_file(KEY, 3, 1, "2026-12", [], START)
+    sender = Sender(KEY, 3, ExportProgress(1), {1: data})
+    other = make_file(KEY, 3, 1, "2026-12", [], INITIAL_MAC)
     for wrong in (
         *(receipt[:cut] for cut in range(len(receipt))),
         make_receipt(b"x" * 32, read_file(KEY, data)),
         make_receipt(KEY, read_file(KEY, other)),
         make_receipt(KEY, read_file(KEY, a_file(2))),
     ):
-        assert sender.heard(wrong) is None and sender.files and sender.wrong
-    assert sender.heard(receipt) == 1 and not sender.files and sender.heard(receipt) is None
+        assert sender.accept_receipt(wrong) is None and sender.files and sender.last_error
+    assert sender.accept_receipt(receipt) == 1 and not sender.files and sender.accept_receipt(receipt) is None
 
 
 @given(st.binary(max_size=100))
 def test_any_bytes_are_a_file_a_receipt_or_a_named_error(data: bytes) -> None:
     for read in (read_file, read_receipt):
-        with pytest.raises(BadFile):
+        with pytest.raises(InvalidFileError):
             read(KEY, data)
 
 
@@ -318,15 +318,15 @@
     begins again from what it kept."""
     chance = random.Random(seed)
     disk = EmulatedDisk(seed)
-    files, before = {}, START
+    files, before = {}, INITIAL_MAC
     for sequence in range(1, 6):
         files[sequence] = a_file(sequence, before)
         before = read_file(KEY, files[sequence]).mac
-    sender, now = Sender(KEY, 3, Sent(5), dict(files)), 0
+    sender, now = Sender(KEY, 3, ExportProgress(5), dict(files)), 0
     side = accounting(disk, ALL_ILLS, seed)
     deaths = 0
     while sender.files:
-        now += AGAIN
+        now += RETRY_INTERVAL_US
         data = sender.next(now)
         if data is None:
             continue
@@ -335,7 +335,7 @@
         back: list[bytes] = []
         try:
             back = side.hand_over(3, data)
-        except (PowerCut, StoreFault):
+        except (PowerCut, StoreError):
             assert disk.dead
         if disk.dead:
             deaths += 1
@@ -343,13 +343,13 @@
             side = accounting(disk, ALL_ILLS, chance.randrange(1000))
             back = []
         for receipt in back:
-            sender.heard(receipt)
+            sender.accept_receipt(receipt)
         if chance.random() < 0.3:
             # The sender dies: the receipt it had heard may not be on its disk.
             left = {
                 n: one for n, one in files.items() if n >= min(sender.files, default=6) - chance.randrange(2)
             }
-            sender = Sender(KEY, 3, Sent(5), left)
+            sender = Sender(KEY, 3, ExportProgress(5), left)
     assert deaths and all(one.lines == 1 and one.billed == 5 * SECOND for one in side.booked().values())
     assert len(side.booked()) == 15
 
@@ -366,28 +366,31 @@
     second = a_file(2, read_file(KEY, first).mac)
     side.hand_over(3, first)
     side.hand_over(3, second)
-    other = make_file(KEY, 3, 1, "2026-12", lines_of("2026-12", [settled(900)], {}), START)
+    other = make_file(KEY, 3, 1, "2026-12", export_lines("2026-12", [settled(900)], {}), INITIAL_MAC)
     assert side.hand_over(3, other) == [first, second] and len(side.booked()) == 6
     # The sender takes them as its own, one after the other, and what it made in their place is void.
-    sent = Sent(1, read_file(KEY, other).mac)
+    sent = ExportProgress(1, read_file(KEY, other).mac)
     sender = Sender(KEY, 3, sent, {1: other})
-    assert sender.given_back(second) is None and sender.given_back(first[:-1]) is None
-    back = sender.given_back(first)
+    assert sender.adopt_returned_file(second) is None and sender.adopt_returned_file(first[:-1]) is None
+    back = sender.adopt_returned_file(first)
     assert back and back[1] == [read_file(KEY, other)] and (sent.sequence, sent.receipted) == (1, 1)
-    assert sender.given_back(first) is None and not sender.files
+    assert sender.adopt_returned_file(first) is None and not sender.files
 
 
 def test_late_evidence_is_a_correction_in_the_next_file_and_never_a_silent_change() -> None:
-    before = {(3, 1): export.Exported(5 * SECOND, "2026-12"), (3, 2): export.Exported(SECOND, "2026-12")}
-    lines = lines_of(
+    before = {
+        (3, 1): export.ExportedFigure(5 * SECOND, "2026-12"),
+        (3, 2): export.ExportedFigure(SECOND, "2026-12"),
+    }
+    lines = export_lines(
         "2027-01", [settled(1, 3 * SECOND), settled(2, SECOND), settled(3), settled(4, state="open")], before
     )
     assert [(one.dialogue, one.billed, one.change, one.corrects) for one in lines] == [
         (1, 3 * SECOND, -2 * SECOND, "2026-12"),
         (3, 5 * SECOND, 5 * SECOND, ""),
     ]
-    assert lines_of("2027-01", [settled(1, 0, state="not_billed")], before)[0].change == -5 * SECOND
-    assert isinstance(lines[0], Line)
+    assert export_lines("2027-01", [settled(1, 0, state="not_billed")], before)[0].change == -5 * SECOND
+    assert isinstance(lines[0], ExportLine)
 
 
 # ---- rating ----
@@ -404,17 +407,17 @@
 
 def test_a_price_is_the_latest_begun_and_a_tenants_own_goes_before() -> None:
     south = settled(1, 7 * SECOND, tenant="south")
-    assert rated(TARIFF, south) == 100_000 + 12_000  # two steps of six seconds at a thousand a second
+    assert dialogue_cost(TARIFF, south) == 100_000 + 12_000  # two steps of six seconds at a thousand a second
     assert (
-        rated(TARIFF, settled(1, 7 * SECOND, tenant="south", ended=DECEMBER + 10 * 86_400 * SECOND))
+        dialogue_cost(TARIFF, settled(1, 7 * SECOND, tenant="south", ended=DECEMBER + 10 * 86_400 * SECOND))
         == 207_000
     )
-    assert rated(TARIFF, settled(1, 7 * SECOND, tenant="south", width=3)) == 3 * 112_000
-    assert rated(TARIFF, settled(1, SECOND)) == 1  # a part of a micro is rounded up, once a dialogue
-    assert rated(TARIFF, settled(1, 0, tenant="south")) == 0
-    assert price_of(TARIFF, settled(1, ended=DECEMBER + 20 * 86_400 * SECOND)).tenant == "north"
-    with pytest.raises(NoPrice, match="no price for other on 2026-12-01"):
-        rated(TARIFF, settled(1, use_case="other"))
+    assert dialogue_cost(TARIFF, settled(1, 7 * SECOND, tenant="south", width=3)) == 3 * 112_000
+    assert dialogue_cost(TARIFF, settled(1, SECOND)) == 1  # a part of a micro is rounded up, once a dialogue
+    assert dialogue_cost(TARIFF, settled(1, 0, tenant="south")) == 0
+    assert find_price(TARIFF, settled(1, ended=DECEMBER + 20 * 86_400 * SECOND)).tenant == "north"
+    with pytest.raises(MissingPriceError, match="no price for other on 2026-12-01"):
+        dialogue_cost(TARIFF, settled(1, traffic_class="other"))
 
 
 @settings(max_examples=300)
@@ -431,7 +434,8 @@
 
 def test_an_invoice_names_what_it_could_not_rate() -> None:
     lines, unrated = invoice(
-        TARIFF, [settled(1), settled(2, tenant="south"), settled(3, use_case="x"), settled(4, state="open")]
+        TARIFF,
+        [settled(1), settled(2, tenant="south"), settled(3, traffic_class="x"), settled(4, state="open")],
     )
     assert [(one.tenant, one.dialogues) for one in lines] == [("north", 1), ("south", 1)]
     assert unrated == ["dialogue 3/3: no price for x on 2026-12-01"]
@@ -439,10 +443,10 @@
 
 def test_what_is_wrong_with_a_tariff_is_told() -> None:
     wrong = Tariff("BRL", [Price("a", "soon", -1, 0, 7), Price("a", "2026-01-01"), Price("a", "2026-01-01")])
-    told = " ".join(faults_of(wrong))
+    told = " ".join(tariff_errors(wrong))
     for what in ("prices[0].from_day = 'soon'", "set_up = -1", "step_s = 7", "prices[2]: a from"):
         assert what in told
-    assert faults_of(TARIFF) == [] and ChainName(1, 2) < ChainName(1, 3)
+    assert tariff_errors(TARIFF) == [] and ChainId(1, 2) < ChainId(1, 3)
 
 
 def test_what_a_stranger_says_is_neither_answered_nor_kept() -> None:
@@ -450,7 +454,9 @@
     one = OneDesk(number=3, roster=(3, 4))
     for year in range(2027, 2060):
         one.desk.receive(9, msgspec.msgpack.encode(Prepare(f"{year}-01", (1, 9))))
-    one.desk.receive(9, msgspec.msgpack.encode(Look("all/2026-12", (Part(b"", b"", 0, b""),))))
+    one.desk.receive(
+        9, msgspec.msgpack.encode(CompareRanges("all/2026-12", (RangeSummary(b"", b"", 0, b""),)))
+    )
     assert not one.desk.agreements and one.desk.counts["ledger_strange_message"] == 34
     assert not one.desk.counts["ledger_bytes_sent"]
     one.desk.receive(4, msgspec.msgpack.encode(Prepare("2027-01", (1, 4))))
@@ -460,7 +466,7 @@
 @pytest.mark.parametrize("day", ["20261201", "2026-W49-2", "2026-12-1", "soon", ""])
 def test_a_day_of_a_price_is_written_in_one_way(day: str) -> None:
     """Days are compared as text: 20261201 was taken for a day, and its price never began."""
-    assert any("from_day" in line for line in faults_of(Tariff("BRL", [Price("a", day, 1)])))
+    assert any("from_day" in line for line in tariff_errors(Tariff("BRL", [Price("a", day, 1)])))
 
 
 def test_records_found_damaged_at_the_start_are_said() -> None:
@@ -526,13 +532,17 @@
         assert not list(out.glob("*-*.wh"))
     box.put(1, data)
     assert [path.read_bytes() for path in out.glob("*-*.wh")] == [data] and len(list(out.iterdir())) == 1
-    sender = Sender(KEY, 3, Sent(1), {1: data})
+    sender = Sender(KEY, 3, ExportProgress(1), {1: data})
     for cut in range(len(receipt)):
         (tmp_path / "back" / "3-1.wr").write_bytes(receipt[:cut])
-        [found] = box.receipts()
-        assert sender.heard(found) is None and sender.given_back(found) is None and box.receipts() == []
+        [found] = box.take_receipts()
+        assert (
+            sender.accept_receipt(found) is None
+            and sender.adopt_returned_file(found) is None
+            and box.take_receipts() == []
+        )
     (tmp_path / "back" / "3-1.wr").write_bytes(receipt)
-    assert [sender.heard(found) for found in box.receipts()] == [1] and not sender.files
+    assert [sender.accept_receipt(found) for found in box.take_receipts()] == [1] and not sender.files
 
 
 def _written(path: Path, some: bytes) -> int:
--- a/tests/test_ledger_tools.py
+++ b/tests/test_ledger_tools.py
@@ -9,15 +9,15 @@
 
 from wellhitch.cli.main import main
 from wellhitch.ledger.entries import Corrected, NumberKeys
-from wellhitch.ledger.export import START, lines_of, make_file, read_receipt
+from wellhitch.ledger.export import INITIAL_MAC, export_lines, make_file, read_receipt
 from wellhitch.ledger.journal import DialogueFacts, open_journal
 from wellhitch.ledger.outbox import FolderOutbox
-from wellhitch.ledger.periods import end_of
+from wellhitch.ledger.periods import period_end
 from wellhitch.ledger.settle import Settled
 from wellhitch.store.engine import Engine
 
 SECOND = 1_000_000
-DECEMBER = end_of("2026-11")
+DECEMBER = period_end("2026-11")
 KEY = b"k" * 32
 
 SHEET = """{
@@ -41,13 +41,13 @@
     (tmp_path / "keys.json").write_text(json.dumps({"1": "6b" * 32}))
     (tmp_path / "kept").mkdir()
     book, _ = open_journal(3, None, None, 7, NumberKeys({1: KEY}))
-    changes = book.begins([], 0, DECEMBER) + book.alive(DECEMBER)
+    changes = book.resume([], 0, DECEMBER) + book.heartbeat(DECEMBER)
     for n, stood in ((1, 10), (2, 20), (3, 30)):
         seen = DialogueFacts("origin", 3, n, "card-lock", 5, f"080{n}", 1, "north" if n < 3 else "south")
         changes += book.answered(seen, "stands", DECEMBER, 0)
         changes += book.ended("origin", 3, n, "released", DECEMBER + stood * SECOND, stood * SECOND)
     late = DECEMBER + 5 * 86_400 * SECOND
-    changes += book.add(Corrected(3, 2, -15 * SECOND, "ana", "line was dead", late), late)
+    changes += book.append(Corrected(3, 2, -15 * SECOND, "ana", "line was dead", late), late)
     engine = Engine(str(tmp_path / "kept" / "ledger"))
     engine.commit(changes)
     engine.close()
@@ -149,13 +149,15 @@
     key = tmp_path / "key"
     key.write_text(KEY.hex())
     box = FolderOutbox(tmp_path / "way", 3)
-    made = lines_of("2026-12", [Settled((3, n), "billed", SECOND, ended=DECEMBER) for n in range(4)], {})
-    data = make_file(KEY, 3, 1, "2026-12", made, START)
+    made = export_lines("2026-12", [Settled((3, n), "billed", SECOND, ended=DECEMBER) for n in range(4)], {})
+    data = make_file(KEY, 3, 1, "2026-12", made, INITIAL_MAC)
     for _ in range(2):
         box.put(1, data)
         said = told("accounting", tmp_path / "way", "--key", key, "--once")
         assert "4 dialogues, 4.000 s in all" in said.output
-        assert [read_receipt(KEY, one).sequence for one in box.receipts()] == [1] and box.receipts() == []
+        assert [read_receipt(KEY, one).sequence for one in box.take_receipts()] == [
+            1
+        ] and box.take_receipts() == []
     assert "1 files booked" not in said.output  # the second time it was only answered again
     key.write_text("short")
     assert "ledger.export_key" in told("accounting", tmp_path / "way", "--key", key, "--once").output
@@ -165,8 +167,8 @@
     key = tmp_path / "key"
     key.write_text(KEY.hex())
     box = FolderOutbox(tmp_path / "way", 3)
-    made = lines_of("2026-12", [Settled((3, 1), "billed", SECOND, ended=DECEMBER)], {})
-    box.put(1, make_file(KEY, 3, 1, "2026-12", made, START))
+    made = export_lines("2026-12", [Settled((3, 1), "billed", SECOND, ended=DECEMBER)], {})
+    box.put(1, make_file(KEY, 3, 1, "2026-12", made, INITIAL_MAC))
     (tmp_path / "way" / "out" / "\u00b2-1.wh").write_bytes(b"x")
     (tmp_path / "way" / "out" / "1-1.wh").mkdir()
     os.mkfifo(tmp_path / "way" / "out" / "2-1.wh")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,12 +16,34 @@
 
 from wellhitch.emulator.disk import SECTOR, Blob, EmulatedDisk, PowerCut
 from wellhitch.emulator.loop import VirtualLoop
-from wellhitch.store.engine import Engine, Scrub, StoreFault
-from wellhitch.store.maintenance import CHECKPOINT_AT, LONGEST_LOG, PAGES_PER_S, PIECE, Sizes, Upkeep
-from wellhitch.store.records import HEAD, SUM, Change, Damaged, Upgrades, pack, unpack
-from wellhitch.store.service import Keeper
+from wellhitch.store.engine import Engine, ScrubProgress, StoreError
+from wellhitch.store.maintenance import (
+    CHECKPOINT_THRESHOLD_PAGES,
+    MAX_LOG_PAGES,
+    PAGES_PER_S,
+    STEP_PAGES,
+    Maintenance,
+    Sizes,
+)
+from wellhitch.store.records import (
+    CHECKSUM_BYTES,
+    HEADER_BYTES,
+    Change,
+    DamagedRecord,
+    Upgrades,
+    pack,
+    unpack,
+)
+from wellhitch.store.service import StoreService
 from wellhitch.store.system import SystemDisk
-from wellhitch.store.writer import FIRST_WAIT, LINGER, LONGEST_WAIT, MOST_IN_ONE, SLOW, Writer
+from wellhitch.store.writer import (
+    INITIAL_RETRY_WAIT_US,
+    LINGER_US,
+    MAX_CHANGES_PER_COMMIT,
+    MAX_RETRY_WAIT_US,
+    SLOW_COMMIT_US,
+    Writer,
+)
 
 SECOND = 1_000_000
 
@@ -37,7 +59,7 @@
 def test_any_bytes_are_a_record_or_damage(data: bytes) -> None:
     try:
         version, body = unpack("a", b"k", data)
-    except Damaged:
+    except DamagedRecord:
         return
     assert pack(Change("a", b"k", body, version)) == data
 
@@ -47,17 +69,17 @@
     packed = bytearray(pack(Change("a", b"k", body)))
     assert unpack("a", b"k", bytes(packed)) == (1, body)
     for shelf, key in (("b", b"k"), ("a", b"l"), ("ak", b"")):
-        with pytest.raises(Damaged):
+        with pytest.raises(DamagedRecord):
             unpack(shelf, key, bytes(packed))
     packed[data.draw(st.integers(0, len(packed) - 1))] ^= 1 << data.draw(st.integers(0, 7))
-    with pytest.raises(Damaged):
+    with pytest.raises(DamagedRecord):
         unpack("a", b"k", bytes(packed))
 
 
 def test_old_versions_are_upgraded_and_newer_ones_left_alone() -> None:
     steps = Upgrades(3, {1: lambda body: body + b"2", 2: lambda body: body + b"3"})
     assert steps.body("a", b"", 1, b"x") == b"x23" and steps.body("a", b"", 3, b"x") == b"x"
-    with pytest.raises(Damaged, match="version 4"):
+    with pytest.raises(DamagedRecord, match="version 4"):
         steps.body("a", b"", 4, b"x")
     with pytest.raises(ValueError, match="no step from version 2"):
         Upgrades(3, {1: bytes})
@@ -70,12 +92,15 @@
     writer = Writer()
     for n in range(5):
         assert writer.put([change(n)], n * 1000)
-    assert writer.due(4000) == LINGER - 4000 and writer.at_risk(4000) == (5, 4000)
-    assert writer.begin(LINGER) == [change(n) for n in range(5)]
-    writer.put([change(9)], LINGER)
-    assert writer.due(LINGER) is None and writer.at_risk(LINGER) == (6, LINGER)
-    assert writer.condition(LINGER + SLOW) == "well" and writer.condition(LINGER + SLOW + 1) == "slow"
-    assert writer.committed(LINGER + 300) == 5 and writer.at_risk(LINGER + 300) == (1, 300)
+    assert writer.due(4000) == LINGER_US - 4000 and writer.at_risk(4000) == (5, 4000)
+    assert writer.begin(LINGER_US) == [change(n) for n in range(5)]
+    writer.put([change(9)], LINGER_US)
+    assert writer.due(LINGER_US) is None and writer.at_risk(LINGER_US) == (6, LINGER_US)
+    assert (
+        writer.condition(LINGER_US + SLOW_COMMIT_US) == "well"
+        and writer.condition(LINGER_US + SLOW_COMMIT_US + 1) == "slow"
+    )
+    assert writer.committed(LINGER_US + 300) == 5 and writer.at_risk(LINGER_US + 300) == (1, 300)
 
 
 def test_a_failed_batch_comes_again_as_it_was_after_doubling_waits() -> None:
@@ -88,7 +113,7 @@
         assert writer.condition(now) == "full"
         waits.append(writer.due(now) or 0)
         now += waits[-1]
-    assert waits == [min(FIRST_WAIT << n, LONGEST_WAIT) for n in range(8)]
+    assert waits == [min(INITIAL_RETRY_WAIT_US << n, MAX_RETRY_WAIT_US) for n in range(8)]
     writer.begin(now)
     writer.committed(now)
     assert writer.condition(now) == "well" and len(writer.begin(now)) == 8
@@ -96,7 +121,7 @@
 
 
 def test_what_finds_no_room_is_refused_counted_and_told_once_there_is_room() -> None:
-    writer = Writer(most_waiting=3)
+    writer = Writer(max_waiting=3)
     assert [writer.put([change(n)], n) for n in range(6)] == [True] * 3 + [False] * 3
     assert writer.take_refused().count == 0  # no room to say so yet
     writer.begin(10)
@@ -107,31 +132,31 @@
 
 def test_a_commit_holds_no_more_than_its_bound() -> None:
     writer = Writer()
-    for n in range(MOST_IN_ONE + 5):
+    for n in range(MAX_CHANGES_PER_COMMIT + 5):
         writer.put([change(n)], 0)
-    assert writer.due(0) == 0 and len(writer.begin(0)) == MOST_IN_ONE
+    assert writer.due(0) == 0 and len(writer.begin(0)) == MAX_CHANGES_PER_COMMIT
 
 
 def test_groups_are_never_parted_between_two_commits() -> None:
     writer = Writer()
-    writer.put([change(n) for n in range(MOST_IN_ONE - 1)], 0)
-    writer.put([change(n) for n in range(MOST_IN_ONE + 7)], 0)
+    writer.put([change(n) for n in range(MAX_CHANGES_PER_COMMIT - 1)], 0)
+    writer.put([change(n) for n in range(MAX_CHANGES_PER_COMMIT + 7)], 0)
     writer.put([change(1)], 0)
-    assert len(writer.begin(0)) == 2 * MOST_IN_ONE + 6
+    assert len(writer.begin(0)) == 2 * MAX_CHANGES_PER_COMMIT + 6
     writer.failed("full", 0)
-    assert len(writer.begin(0)) == 2 * MOST_IN_ONE + 6
+    assert len(writer.begin(0)) == 2 * MAX_CHANGES_PER_COMMIT + 6
     writer.committed(1)
     assert writer.held == 1
 
 
 def test_upkeep_keeps_to_its_budget_and_a_full_log_goes_first() -> None:
-    upkeep, now, pages = Upkeep(scrubbing=False), 0, 0
+    upkeep, now, pages = Maintenance(scrubbing=False), 0, 0
     for _ in range(100):
         now += SECOND // 10
-        pages += PIECE if upkeep.next(Sizes(CHECKPOINT_AT, 0), False, now) else 0
+        pages += STEP_PAGES if upkeep.next(Sizes(CHECKPOINT_THRESHOLD_PAGES, 0), False, now) else 0
     assert pages <= 10 * PAGES_PER_S + PAGES_PER_S and pages > 9 * PAGES_PER_S
-    assert upkeep.next(Sizes(CHECKPOINT_AT, 0), True, now + SECOND) == ""
-    assert upkeep.next(Sizes(LONGEST_LOG, 0), True, now + SECOND) == "checkpoint"
+    assert upkeep.next(Sizes(CHECKPOINT_THRESHOLD_PAGES, 0), True, now + SECOND) == ""
+    assert upkeep.next(Sizes(MAX_LOG_PAGES, 0), True, now + SECOND) == "checkpoint"
 
 
 # ---- power cuts ----
@@ -142,7 +167,7 @@
     """What fails once the power is gone is of no matter."""
     try:
         yield
-    except (PowerCut, StoreFault):
+    except (PowerCut, StoreError):
         assert disk.dead
 
 
@@ -182,7 +207,7 @@
     with opened(disk) as engine:
         assert engine.db.pragma("integrity_check") == "ok"
         for one in engine.scan("a"):
-            assert not isinstance(one, Damaged), one
+            assert not isinstance(one, DamagedRecord), one
             out[one[0]] = one[2]
     return out
 
@@ -221,7 +246,7 @@
         for life in range(4):
             disk.cut_at = chance.randrange(400)
             with until_the_cut(disk), opened(disk) as engine:
-                there = {one[0]: one[2] for one in engine.scan("a") if not isinstance(one, Damaged)}
+                there = {one[0]: one[2] for one in engine.scan("a") if not isinstance(one, DamagedRecord)}
                 assert safe.items() <= there.items() <= (safe | maybe).items()
                 safe, maybe = there, {}
                 for n in range(200):
@@ -259,7 +284,7 @@
                 expected(done, False),
                 expected(done + 1, False),
             )
-        except (StoreFault, AssertionError, apsw.Error):
+        except (StoreError, AssertionError, apsw.Error):
             lost += 1
     assert lost > 50
 
@@ -295,12 +320,12 @@
             hits = 0
             try:
                 for one in hurt.open("s").scan("a"):
-                    if isinstance(one, Damaged):
+                    if isinstance(one, DamagedRecord):
                         hits += 1
                     else:
                         read[one[0]] = one[2]
-            except StoreFault as fault:
-                assert fault.trouble in ("damaged", "foreign", "failing"), fault
+            except StoreError as fault:
+                assert fault.kind in ("damaged", "foreign", "failing"), fault
                 hits += 1
             # Never another body under a key: what is read is what was written.
             assert read.items() <= good.items(), at
@@ -313,7 +338,7 @@
     engine.commit([change(n) for n in range(50)])
     engine.db.execute("update record set data = zeroblob(30) where key = ?", (change(7).key,))
     engine.db.execute("update record set key = ? where key = ?", (b"\xff", change(9).key))
-    state, seen = Scrub(), []
+    state, seen = ScrubProgress(), []
     while (some := engine.scrub(state, 8)) is not None:
         seen += some
     assert [(one.shelf, one.key) for one in seen] == [("a", change(7).key), ("a", b"\xff")]
@@ -327,22 +352,22 @@
     engine.db.execute("update record set data = cast(x'ff41ff' as text) where key = ?", (change(1).key,))
     engine.db.execute("update record set data = 5 where key = ?", (change(2).key,))
     found = list(engine.scan("a"))
-    assert [isinstance(one, Damaged) for one in found] == [False, True, True, False]
-    with pytest.raises(Damaged):
+    assert [isinstance(one, DamagedRecord) for one in found] == [False, True, True, False]
+    with pytest.raises(DamagedRecord):
         engine.get("a", change(1).key)
-    assert len(engine.scrub(Scrub(), 10) or []) == 2
+    assert len(engine.scrub(ScrubProgress(), 10) or []) == 2
 
 
 def test_a_file_of_something_else_is_not_written_to(tmp_path: Path) -> None:
     (tmp_path / "s").write_bytes(b"no database at all" * 400)
-    with pytest.raises(StoreFault) as fault:
+    with pytest.raises(StoreError) as fault:
         Engine(str(tmp_path / "s"))
-    assert fault.value.trouble == "damaged"
+    assert fault.value.kind == "damaged"
 
     with apsw.Connection(str(tmp_path / "t")) as other:
         other.execute("create table x(y)")
     other.close()
-    with pytest.raises(StoreFault, match="something else"):
+    with pytest.raises(StoreError, match="something else"):
         Engine(str(tmp_path / "t"))
 
 
@@ -355,7 +380,7 @@
         self.disk = EmulatedDisk(1, self.loop)
         self.words: list[tuple[str, dict[str, Any]]] = []
         self.safe: list[int] = []
-        self.keeper = Keeper(
+        self.keeper = StoreService(
             self.loop, self.disk, "s", lambda event, **facts: self.words.append((event, facts)), **more
         )
         self.keeper.open(lambda engine: None, lambda found: None)
@@ -374,13 +399,13 @@
         world.put(n)
         world.loop.advance(0.001)
     risk = world.keeper.condition()
-    assert risk.changes_at_risk <= 21 and risk.us_at_risk <= LINGER + 1000
+    assert risk.changes_at_risk <= 21 and risk.us_at_risk <= LINGER_US + 1000
     there = found(world.disk.after_power_cut(1, 0.0))
     assert set(there) >= {change(n).key for n in world.safe} and len(there) >= 79
 
 
 def test_a_full_disk_keeps_what_waits_then_refuses_and_goes_on_when_there_is_room() -> None:
-    world = World(most_waiting=50)
+    world = World(max_waiting=50)
     world.loop.advance(1)
     world.disk.full = True
     took = [world.put(n) for n in range(80)]
@@ -413,7 +438,7 @@
 def test_a_store_that_cannot_be_opened_is_tried_again_and_what_came_meanwhile_is_kept() -> None:
     world = World()
     world.disk.locked.add("s")
-    world.keeper = Keeper(
+    world.keeper = StoreService(
         world.loop, world.disk, "s", lambda event, **facts: world.words.append((event, facts))
     )
     world.keeper.open(lambda engine: None, lambda found: None)
@@ -464,11 +489,11 @@
     engine.commit([change(1)])
     text = (
         "import sys, asyncio, pathlib; from wellhitch.store.system import SystemDisk\n"
-        "from wellhitch.store.engine import Engine, StoreFault\n"
+        "from wellhitch.store.engine import Engine, StoreError\n"
         "folder = pathlib.Path(sys.argv[1])\n"
         "print(len(list(Engine(str(folder / 's'), read_only=True).scan('a'))))\n"
         "try: SystemDisk(asyncio.new_event_loop(), folder).open('s')\n"
-        "except StoreFault as fault: print(fault.trouble)\n"
+        "except StoreError as error: print(error.kind)\n"
     )
     told = subprocess.run([sys.executable, "-c", text, str(tmp_path)], capture_output=True, text=True)
     engine.close()
@@ -497,16 +522,16 @@
         child.stdout.close()
         engine = Engine(str(path))
         a, b = (len(list(engine.scan(shelf))) for shelf in "ab")
-        assert a == b and a > last and not any(isinstance(one, Damaged) for one in engine.scan("a"))
+        assert a == b and a > last and not any(isinstance(one, DamagedRecord) for one in engine.scan("a"))
         engine.close()
-    assert HEAD + SUM == 19
+    assert HEADER_BYTES + CHECKSUM_BYTES == 19
 
 
 # ---- faults that the engine has no name for ----
 
 
 @pytest.mark.parametrize(
-    "fault", [OverflowError("int too big"), apsw.IOError("disk I/O error"), Damaged("a", b"k", "why")]
+    "fault", [OverflowError("int too big"), apsw.IOError("disk I/O error"), DamagedRecord("a", b"k", "why")]
 )
 def test_work_on_a_disk_that_raises_anything_is_told(tmp_path: Path, fault: Exception) -> None:
     """Else nobody was told, and whoever waited for the disk waited for ever."""
@@ -525,14 +550,14 @@
     told: list[Any] = []
     EmulatedDisk().run(work, told.append)
     for found in (asyncio.run(tried()), *told):
-        assert isinstance(found, StoreFault) and str(fault) in str(found)
-        assert found.trouble == ("damaged" if isinstance(fault, Damaged) else "failing")
+        assert isinstance(found, StoreError) and str(fault) in str(found)
+        assert found.kind == ("damaged" if isinstance(fault, DamagedRecord) else "failing")
 
 
 def test_upkeep_goes_on_after_an_error_of_the_disk() -> None:
     """An error while sizes were asked for left it busy for good: the log grew without bound."""
     loop, log = VirtualLoop(), list[str]()
-    keeper = Keeper(loop, EmulatedDisk(1, loop), "s", lambda event, **facts: log.append(event))
+    keeper = StoreService(loop, EmulatedDisk(1, loop), "s", lambda event, **facts: log.append(event))
     keeper.open(lambda engine: None, lambda found: None)
     loop.advance(0.1)
     engine = keeper.engine
@@ -548,17 +573,19 @@
 def test_a_store_whose_first_reading_fails_is_said_and_closed() -> None:
     loop, log = VirtualLoop(), list[str]()
     disk = EmulatedDisk(1, loop)
-    keeper = Keeper(loop, disk, "s", lambda event, **facts: log.append(f"{event} {facts.get('trouble')}"))
+    keeper = StoreService(
+        loop, disk, "s", lambda event, **facts: log.append(f"{event} {facts.get('trouble')}")
+    )
     opened: list[Engine] = []
 
     def read(engine: Engine) -> None:
         opened.append(engine)
-        raise Damaged("identity", b"", "its checksum does not fit")
+        raise DamagedRecord("identity", b"", "its checksum does not fit")
 
     keeper.open(read, lambda found: None)
     loop.advance(1.0)
     assert log[0] == "store_not_opened damaged" and keeper.condition().state == "damaged"
-    with pytest.raises((StoreFault, apsw.Error)):
+    with pytest.raises((StoreError, apsw.Error)):
         opened[0].get("a", b"")  # closed, so that the next try finds it free
 
 
@@ -574,12 +601,12 @@
     path.write_bytes(data)
     try:
         engine = Engine(str(path))
-        rows, state, damaged = list(engine.scan("a")), Scrub(), 0
+        rows, state, damaged = list(engine.scan("a")), ScrubProgress(), 0
         while (found := engine.scrub(state, 1000)) is not None:
             damaged += len(found)
         damaged += len(engine.check())
         engine.close()
-    except StoreFault:
+    except StoreError:
         return 0
     return 0 if damaged else 2000 - len(rows)
 
@@ -592,7 +619,7 @@
 
 def test_a_pass_over_all_records_ends_with_the_databases_own_check() -> None:
     loop, log = VirtualLoop(), list[tuple[str, Any]]()
-    keeper = Keeper(
+    keeper = StoreService(
         loop, EmulatedDisk(1, loop), "s", lambda event, **facts: log.append((event, facts.get("why")))
     )
     keeper.open(lambda engine: None, lambda found: None)
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -22,14 +22,14 @@
 from wellhitch.ledger import reader
 from wellhitch.ledger.entries import Answered
 from wellhitch.ledger.outbox import quarantine, write_atomically
-from wellhitch.ledger.rating import Tariff, faults_of, invoice, to_cents
+from wellhitch.ledger.rating import Tariff, invoice, tariff_errors, to_cents
 from wellhitch.net.seam import split
 from wellhitch.settings.checked import Faults
 from wellhitch.settings.checked import read as read_settings
 from wellhitch.settings.sheet import Sheet
 from wellhitch.settings.template import evaluate
 from wellhitch.stand_ins.accounting import Accounting, Ills
-from wellhitch.store.engine import Engine, StoreFault
+from wellhitch.store.engine import Engine, StoreError
 from wellhitch.store.files import read_file
 from wellhitch.trunk.capture import BadCapture
 
@@ -52,13 +52,13 @@
     """
 
 
-def _read(sheet: Path) -> tuple[Sheet, reader.Reading]:
+def _read(sheet: Path) -> tuple[Sheet, reader.LedgerContents]:
     made = read_sheet(sheet)
     if made.ledger is None:
         raise Faults(str(sheet), ["ledger: this call server keeps none"])
     try:
         return made, reader.read(sheet.parent / made.ledger.folder)
-    except StoreFault as fault:
+    except StoreError as fault:
         raise Faults(str(sheet), [f"ledger.folder: {fault}"]) from None
 
 
@@ -120,13 +120,13 @@
             for _, _, entry in found.rows
             if isinstance(entry, Answered) and keys.matches(called, entry.number, entry.number_key)
         }
-        settled = [one for one in settled if one.name in names]
+        settled = [one for one in settled if one.dialogue_id in names]
     rows = [
         {
-            "dialogue": f"{one.name[0]}/{one.name[1]}",
+            "dialogue": f"{one.dialogue_id[0]}/{one.dialogue_id[1]}",
             "state": one.state,
             "tenant": one.tenant,
-            "use_case": one.use_case,
+            "use_case": one.traffic_class,
             "to": one.destination,
             "ended": _at(one.ended),
             "billed_us": one.billed,
@@ -139,7 +139,7 @@
     ]
     click.echo(_shown(rows, form))
     if form == "table":
-        for chain, lack in found.lacking():
+        for chain, lack in found.lost_entries():
             click.echo(
                 f"lacking: {lack.count} entries of chain {chain}, {_at(lack.first)} to {_at(lack.last)}"
             )
@@ -154,16 +154,16 @@
     """Read every record and hold each chain together; exit 1 and each fault named where it is not whole."""
     with told_plainly():
         _, found = _read(sheet)
-    for wrong in found.wrong:
+    for wrong in found.faults:
         click.echo(wrong)
     chains = {name for name, _, _ in found.rows if name.number == found.number}
-    click.echo(f"{len(found.rows)} rows, {len(chains)} chains of its own, {len(found.wrong)} faults")
-    sys.exit(1 if found.wrong else 0)
+    click.echo(f"{len(found.rows)} rows, {len(chains)} chains of its own, {len(found.faults)} faults")
+    sys.exit(1 if found.faults else 0)
 
 
 def _tariff(path: Path) -> Tariff:
     tariff = read_settings(evaluate(path), Tariff, str(path))
-    if faults := faults_of(tariff):
+    if faults := tariff_errors(tariff):
         raise Faults(str(path), faults)
     return tariff
 
@@ -189,14 +189,14 @@
         except ValueError as fault:
             raise Faults("--period", [str(fault)]) from None
     lines, unrated = invoice(prices, settled)
-    cents = to_cents({f"{one.tenant}\0{one.use_case}": one.micros for one in lines})
+    cents = to_cents({f"{one.tenant}\0{one.traffic_class}": one.micros for one in lines})
     rows = [
         {
             "tenant": one.tenant,
-            "use_case": one.use_case,
+            "use_case": one.traffic_class,
             "dialogues": one.dialogues,
             "seconds": f"{one.span / 1e6:.3f}",
-            prices.currency: _money(cents[f"{one.tenant}\0{one.use_case}"]),
+            prices.currency: _money(cents[f"{one.tenant}\0{one.traffic_class}"]),
         }
         for one in lines
     ]
@@ -294,7 +294,7 @@
     with told_plainly():
         try:
             found = ledger_day.audit(folder)
-        except (BadCapture, StoreFault) as fault:
+        except (BadCapture, StoreError) as fault:
             raise Faults(str(folder), [str(fault)]) from None
     for word in [*found.faults, *found.wrong, *found.lost][:MOST_UNRATED]:
         click.echo(word)
@@ -320,7 +320,7 @@
         try:
             folder.mkdir(parents=True, exist_ok=True)
             engine = Engine(str(folder / "books"))
-        except (StoreFault, OSError) as fault:
+        except (StoreError, OSError) as fault:
             raise Faults(str(folder), [str(fault)]) from None
     (folder / "back").mkdir(exist_ok=True)
     side = Accounting(engine, {}, Ills(loses, 0.0, 0.0, halves), random.Random(1))
--- a/wellhitch/emulator/disk.py
+++ b/wellhitch/emulator/disk.py
@@ -10,7 +10,7 @@
 
 import apsw
 
-from wellhitch.store.engine import Engine, StoreFault, told_as
+from wellhitch.store.engine import Engine, StoreError, as_store_error
 
 SECTOR = 512  # bytes that a disk writes at once, at best: the least that can be torn off
 
@@ -96,8 +96,8 @@
     def open(self, name: str) -> Engine:
         """As `Disk`."""
         if name in self.locked:
-            raise StoreFault("in_use", f"{name}: another process has it")
-        engine = Engine(name, self._vfs.vfs_name, alone=True)
+            raise StoreError("in_use", f"{name}: another process has it")
+        engine = Engine(name, self._vfs.vfs_name, exclusive=True)
         self.locked.add(name)
         return engine
 
@@ -111,7 +111,7 @@
         except PowerCut:
             return  # nobody is left to be told
         except Exception as fault:
-            found = told_as(fault)
+            found = as_store_error(fault)
         if self.dead:
             return  # the power went where the database looks past a failure
         if self.loop is None:
@@ -121,7 +121,9 @@
         self._free_at = max(self._free_at, now) + self.took_us
         self.loop.call_later((self._free_at - now) / 1e6, done, found)
 
-    def aside(self, engine: Engine, work: Callable[[Engine], Any], done: Callable[[Any], None]) -> None:
+    def read_concurrently(
+        self, engine: Engine, work: Callable[[Engine], Any], done: Callable[[Any], None]
+    ) -> None:
         """As `Disk`."""
         self.run(lambda: work(engine), done)
 
--- a/wellhitch/lab/explore_ledger.py
+++ b/wellhitch/lab/explore_ledger.py
@@ -7,12 +7,12 @@
 
 from wellhitch.lab.explore import ENCODER, Found, Search, Sent, Step, World
 from wellhitch.ledger.periods import (
-    MESSAGES,
+    MESSAGE_DECODER,
     Agreement,
     Ballot,
     Content,
-    Kept,
     Outcome,
+    PeriodRecord,
     Promise,
     Proposal,
     Statement,
@@ -20,7 +20,7 @@
 
 PERIOD = "2026-12"
 Tried = tuple[Ballot, Content, list[tuple[int, Promise]], list[int], Content | None]
-NODE = msgspec.msgpack.Decoder(tuple[Kept, list[tuple[int, Statement]], Tried | None])
+NODE = msgspec.msgpack.Decoder(tuple[PeriodRecord, list[tuple[int, Statement]], Tried | None])
 
 
 def statement(number: int) -> Statement:
@@ -39,18 +39,18 @@
 
 
 def explore(
-    bounds: Bounds, most: int, make: Callable[[int, tuple[int, ...], Kept], Agreement] = Agreement
+    bounds: Bounds, most: int, make: Callable[[int, tuple[int, ...], PeriodRecord], Agreement] = Agreement
 ) -> Found:
     """Explore; `make` may be a broken agreement, to see that it is caught."""
     roster = tuple(range(bounds.instances))
 
     def load(me: int, data: bytes) -> Agreement:
-        kept, said, tried = NODE.decode(data)
-        made = make(me, roster, kept)
-        made.said = dict(said)
+        record, statements, tried = NODE.decode(data)
+        made = make(me, roster, record)
+        made.statements = dict(statements)
         if tried:
-            ballot, content, promises, accepts, asked = tried
-            made.proposal = Proposal(ballot, content, dict(promises), set(accepts), asked)
+            ballot, content, promises, accepts, accepting = tried
+            made.proposal = Proposal(ballot, content, dict(promises), set(accepts), accepting)
         return made
 
     def dump(one: Agreement) -> bytes:
@@ -58,8 +58,8 @@
         tried: Tried | None = None
         if mine:
             promises = sorted(mine.promises.items())
-            tried = (mine.ballot, mine.content, promises, sorted(mine.accepts), mine.asked)
-        return ENCODER.encode((one.kept, sorted(one.said.items()), tried))
+            tried = (mine.ballot, mine.content, promises, sorted(mine.accepts), mine.accepting)
+        return ENCODER.encode((one.record, sorted(one.statements.items()), tried))
 
     def after(world: World, me: int, one: Agreement, out: Outcome, used: tuple[int, ...]) -> World:
         nodes = (*world.nodes[:me], dump(one), *world.nodes[me + 1 :])
@@ -70,31 +70,31 @@
         found: list[Step] = []
         for sender, to, data in sorted(world.sent):
             one = load(to, world.nodes[to])
-            message = MESSAGES.decode(data)
-            out = one.heard(sender, message)
+            message = MESSAGE_DECODER.decode(data)
+            out = one.receive(sender, message)
             reached = after(world, to, one, out, world.used)
             if reached != world:
                 found.append((f"{to} hears {type(message).__name__} of {sender}", reached))
         for me in roster[: bounds.proposers]:
             if world.used[me] < bounds.proposals:
                 one = load(me, world.nodes[me])
-                if one.kept.closed is None:
-                    out = one.propose(one.kept.rounds + 1)
+                if one.record.closed is None:
+                    out = one.propose(one.record.rounds + 1)
                     used = (*world.used[:me], world.used[me] + 1, *world.used[me + 1 :])
                     found.append((f"{me} proposes", after(world, me, one, out, used)))
         if world.used[-1] < bounds.crashes:
             for me in roster:
                 one = load(me, world.nodes[me])
-                if one.proposal or len(one.said) > 1:
-                    one.said, one.proposal = {}, None
-                    if one.kept.statement:
-                        one.said[me] = one.kept.statement
+                if one.proposal or len(one.statements) > 1:
+                    one.statements, one.proposal = {}, None
+                    if one.record.statement:
+                        one.statements[me] = one.record.statement
                     used = (*world.used[:-1], world.used[-1] + 1)
                     found.append((f"{me} crashes", after(world, me, one, Outcome(), used)))
         return found
 
     def wrong(world: World) -> str:
-        closed = {load(me, data).kept.closed for me, data in enumerate(world.nodes)} - {None}
+        closed = {load(me, data).record.closed for me, data in enumerate(world.nodes)} - {None}
         if len(closed) > 1:
             return "a period closed in two ways"
         for content in closed:
@@ -104,8 +104,8 @@
 
     nodes, sent = [], set[Sent]()
     for me in roster:
-        one = make(me, roster, Kept(PERIOD))
-        out = one.state_mine(statement(me))
+        one = make(me, roster, PeriodRecord(PERIOD))
+        out = one.record_own_statement(statement(me))
         sent |= {(me, to, ENCODER.encode(message)) for to, message in out.send}
         nodes.append(dump(one))
     start = World(tuple(nodes), frozenset(sent), (0,) * (bounds.instances + 1))
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -15,8 +15,8 @@
 from wellhitch.lab.fleet import HostAddresses, InProcess, zone_delay
 from wellhitch.lab.play import COME_UP_S, LAST_S, VirtualWire
 from wellhitch.ledger import reader
-from wellhitch.ledger.chain import ChainName, Wrong, verify
-from wellhitch.ledger.periods import MARGIN, end_of, next_of
+from wellhitch.ledger.chain import ChainFault, ChainId, verify
+from wellhitch.ledger.periods import CLOCK_MARGIN_US, next_period, period_end
 from wellhitch.ledger.service import STORE, AccountingChannel
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
@@ -24,7 +24,7 @@
 from wellhitch.stand_ins.accounting import Accounting, Booked, Ills
 from wellhitch.stand_ins.town import Town
 from wellhitch.stand_ins.troubles import schedule
-from wellhitch.store.records import Damaged
+from wellhitch.store.records import DamagedRecord
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Capture, Note, read, read_folder
 
@@ -42,7 +42,7 @@
         """As `Box`."""
         self.back += self.accounting.hand_over(self.instance, data)
 
-    def receipts(self) -> list[bytes]:
+    def take_receipts(self) -> list[bytes]:
         """As `Box`."""
         out, self.back = self.back, []
         return out
@@ -55,7 +55,7 @@
     verdict: Verdict
     stood: "dict[tuple[int, int], Stood]"
     booked: dict[tuple[int, int], Booked]
-    wrong: list[Wrong]
+    wrong: list[ChainFault]
     accounting: Counter[str]
     exported: dict[int, str]
     counts: Counter[str]
@@ -91,7 +91,7 @@
         addresses = HostAddresses()
         fleet = InProcess(loop, day, addresses, net, log)
         fleet.clocks = clocks or {}
-        fleet.wall_at_start = end_of(PERIOD) - 6_000_000 - round(COME_UP_S * 1e6)
+        fleet.wall_at_start = period_end(PERIOD) - 6_000_000 - round(COME_UP_S * 1e6)
         fleet.power_cut = lambda number: chance.random() if power_cuts(number) else None
         accounting_disk = EmulatedDisk(seed)
         keys = {one.number: bytes([one.number % 256, 7]) * 16 for one in day.exchanges}
@@ -118,7 +118,7 @@
             callers.hang_up()
         loop.advance(LAST_S)
         # The day's links are of no use to the books; the ledgers' own go on.
-        left = (end_of(PERIOD) + MARGIN - fleet.wall_at_start) / 1e6 - loop.time()
+        left = (period_end(PERIOD) + CLOCK_MARGIN_US - fleet.wall_at_start) / 1e6 - loop.time()
         loop.advance(max(0.0, left) + after_s)
         if disk:
             fleet.kill(second)
@@ -126,9 +126,13 @@
             fleet.start(second)
             loop.advance(after_s)
         # What ended after the month counts in the next, which ends as soon as all clocks are set a month on.
-        fleet.wall_at_start += end_of(next_of(PERIOD)) - end_of(PERIOD)
+        fleet.wall_at_start += period_end(next_period(PERIOD)) - period_end(PERIOD)
         loop.advance(after_s)
-        exported = {number: daemon.desk.sent.done for number, daemon in fleet.daemons.items() if daemon.desk}
+        exported = {
+            number: daemon.desk.export_progress.completed_period
+            for number, daemon in fleet.daemons.items()
+            if daemon.desk
+        }
         counts: Counter[str] = Counter()
         for daemon in fleet.daemons.values():
             if daemon.desk:
@@ -152,14 +156,14 @@
         loop.close()
 
 
-def verified(disk: EmulatedDisk) -> list[Wrong]:
+def verified(disk: EmulatedDisk) -> list[ChainFault]:
     """What is wrong with the chains on a disk."""
     engine = disk.after_kill().open(STORE)
-    chains: dict[ChainName, list[tuple[int, bytes | None]]] = {}
+    chains: dict[ChainId, list[tuple[int, bytes | None]]] = {}
     for one in engine.scan("chain"):
-        key = one.key if isinstance(one, Damaged) else one[0]
-        name, seq = ChainName.of_key(key)
-        chains.setdefault(name, []).append((seq, None if isinstance(one, Damaged) else one[2]))
+        key = one.key if isinstance(one, DamagedRecord) else one[0]
+        name, seq = ChainId.from_key(key)
+        chains.setdefault(name, []).append((seq, None if isinstance(one, DamagedRecord) else one[2]))
     engine.close()
     return [wrong for name, rows in chains.items() for wrong in verify(name, rows)]
 
@@ -297,10 +301,10 @@
     faults: list[str] = []
     for path in sorted(folder.glob("ledger-*")):
         found = reader.read(path)
-        faults += found.wrong
+        faults += found.faults
         for one in found.settled():
             if one.state == "billed":
-                booked[one.name] = Booked(one.tenant, one.use_case, one.billed, 1)
+                booked[one.dialogue_id] = Booked(one.tenant, one.traffic_class, one.billed, 1)
     stood = stood_of(captures)
     notes = [line for capture in captures for line in capture.lines if isinstance(line, Note)]
     killed = sum(note.what == "server_killed" for note in notes)
--- a/wellhitch/lab/ledger_page.py
+++ b/wellhitch/lab/ledger_page.py
@@ -9,24 +9,28 @@
 
 from matplotlib.figure import Figure
 
-from wellhitch.ledger.rating import Line
+from wellhitch.ledger.rating import InvoiceLine
 from wellhitch.ledger.settle import Settled
 
 SHOWN = 200  # disputes on the page; the rest is counted
 
 
 def page(
-    period: str, currency: str, lines: Sequence[Line], cents: Mapping[str, int], settled: Sequence[Settled]
+    period: str,
+    currency: str,
+    lines: Sequence[InvoiceLine],
+    cents: Mapping[str, int],
+    settled: Sequence[Settled],
 ) -> str:
     """The page. `cents`: by `tenant NUL use case`."""
     by_tenant: Counter[str] = Counter()
     for line in lines:
-        by_tenant[line.tenant or "none"] += cents[f"{line.tenant}\0{line.use_case}"]
+        by_tenant[line.tenant or "none"] += cents[f"{line.tenant}\0{line.traffic_class}"]
     by_day: dict[str, Counter[str]] = defaultdict(Counter)
     for one in settled:
         if one.state == "billed":
             day = datetime.fromtimestamp(one.ended / 1e6, UTC).date().isoformat()
-            by_day[one.use_case][day] += 1
+            by_day[one.traffic_class][day] += 1
     states = Counter(one.state for one in settled)
     disputes = [one for one in settled if one.dispute]
     corrected = [one for one in settled if one.corrected]
@@ -42,10 +46,10 @@
             [
                 (
                     one.tenant,
-                    one.use_case,
+                    one.traffic_class,
                     one.dialogues,
                     f"{one.span / 1e6:.3f}",
-                    f"{cents[f'{one.tenant}{chr(0)}{one.use_case}'] / 100:.2f}",
+                    f"{cents[f'{one.tenant}{chr(0)}{one.traffic_class}'] / 100:.2f}",
                 )
                 for one in lines
             ],
@@ -62,7 +66,10 @@
         "<h2>Disputed</h2>",
         _table(
             ("dialogue", "billed us", "what each end saw, us"),
-            [(f"{one.name[0]}/{one.name[1]}", one.billed, one.dispute) for one in disputes[:SHOWN]],
+            [
+                (f"{one.dialogue_id[0]}/{one.dialogue_id[1]}", one.billed, one.dispute)
+                for one in disputes[:SHOWN]
+            ],
         ),
     ]
     if len(disputes) > SHOWN:
--- a/wellhitch/lab/measure_ledger.py
+++ b/wellhitch/lab/measure_ledger.py
@@ -11,17 +11,25 @@
 import msgspec
 
 from wellhitch.lab.sketches import CELL, HASHES, Sketch, item_of
-from wellhitch.ledger.chain import ChainName, verify
+from wellhitch.ledger.chain import ChainId, verify
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.journal import DialogueFacts, open_journal
-from wellhitch.ledger.periods import end_of
-from wellhitch.ledger.reconcile import AGAIN, MOST_FETCHED, Collection, Fetch, Look, Pull, answer
+from wellhitch.ledger.periods import period_end
+from wellhitch.ledger.reconcile import (
+    MAX_FETCHED_ROWS,
+    RETRY_INTERVAL_US,
+    Collection,
+    CompareRanges,
+    Fetch,
+    Pull,
+    compare_ranges,
+)
 from wellhitch.ledger.service import READ_ROWS, read_digests, read_store
 from wellhitch.store.engine import Engine
 from wellhitch.store.records import Change
-from wellhitch.store.writer import MOST_IN_ONE
+from wellhitch.store.writer import MAX_CHANGES_PER_COMMIT
 
-START = end_of("2026-11")
+START = period_end("2026-11")
 ROW = 200  # bytes of a row that is fetched, about
 
 
@@ -35,7 +43,9 @@
         )
 
 
-def _commits(engine: Engine, changes: Iterator[list[Change]], most: int = MOST_IN_ONE) -> tuple[int, float]:
+def _commits(
+    engine: Engine, changes: Iterator[list[Change]], most: int = MAX_CHANGES_PER_COMMIT
+) -> tuple[int, float]:
     """Write all in groups; how many changes, and the seconds that writing alone took."""
     count, spent, batch = 0, 0.0, list[Change]()
 
@@ -79,7 +89,7 @@
         f"  the disk has {sum(one.stat().st_size for one in folder.glob('ledger*')) / entries:.0f} bytes an entry"
     )
     book, _ = open_journal(3, None, None, 7, NumberKeys({}))
-    engine.commit(book.alive(START))
+    engine.commit(book.heartbeat(START))
     # As after a kill: the log is not brought in, nothing is closed.
     shutil.copytree(folder, folder / "killed", ignore=shutil.ignore_patterns("raw*", "killed"))
     began = time.perf_counter()
@@ -102,7 +112,7 @@
     out.append(
         f"  digests read beside the work          {count / spent:10,.0f} a second, {spent:.1f} s in all"
     )
-    name = ChainName(3, 7)
+    name = ChainId(3, 7)
     began = time.perf_counter()
     rows = (
         (int.from_bytes(one[0][12:], "big"), one[2])
@@ -125,21 +135,21 @@
     asked = rows = 0
     began = time.process_time()
     while not pull.done:
-        for message in pull.next(now):
+        for message in pull.next_requests(now):
             asked += len(msgspec.msgpack.encode(message))
             if chance.random() < loss:
                 continue
-            if isinstance(message, Look):
-                told = answer(theirs, message)
+            if isinstance(message, CompareRanges):
+                told = compare_ranges(theirs, message)
                 asked += len(msgspec.msgpack.encode(told))
                 if chance.random() >= loss:
-                    pull.heard(told)
+                    pull.apply_differences(told)
             elif isinstance(message, Fetch):
                 rows += (ROW + 24) * len(message.keys)
                 if chance.random() >= loss:
                     for key in message.keys:
-                        pull.took(key, theirs.get(key) or b"")
-        now += AGAIN
+                        pull.accept_row(key, theirs.get(key) or b"")
+        now += RETRY_INTERVAL_US
     return asked, rows, pull.rounds, time.process_time() - began
 
 
@@ -165,7 +175,7 @@
 def reconciling(items: int) -> list[str]:
     """Bytes, rounds and time to make two collections level."""
     chance = random.Random(3)
-    whole = [(ChainName(3, 7).key(n), chance.randbytes(16)) for n in range(items)]
+    whole = [(ChainId(3, 7).key(n), chance.randbytes(16)) for n in range(items)]
     everything = items * (20 + 16)
     out = [f"reconciling {items:,} entries; sending all keys and digests: {everything:,} bytes"]
     out.append(
@@ -173,12 +183,12 @@
     )
     theirs = Collection()
     theirs.extend(whole)
-    theirs.part(b"", b"")
+    theirs.summarize(b"", b"")
     for differences in (0, 10, 1000):
         gone = set(chance.sample(range(items), differences))
         base = Collection()
         base.extend(one for n, one in enumerate(whole) if n not in gone)
-        base.part(b"", b"")
+        base.summarize(b"", b"")
         for loss in (0.0, 0.1, 0.3):
             mine = Collection(list(base.keys), list(base.digests), list(base._sums))
             asked, rows, rounds, spent = _level(mine, theirs, loss, 1)
@@ -190,7 +200,7 @@
                 f"  {differences:11}  {loss:4.0%}  {asked:14,}  {asked / everything:6.3%}  {rounds:6}  {spent:5.2f}"
                 f"  {rows:8,}  {sketch}"
             )
-    out.append(f"  at most {MOST_FETCHED} rows a question; a row has some {ROW} bytes")
+    out.append(f"  at most {MAX_FETCHED_ROWS} rows a question; a row has some {ROW} bytes")
     return out
 
 
--- a/wellhitch/ledger/entries.py
+++ b/wellhitch/ledger/entries.py
@@ -21,7 +21,7 @@
     side: str
     origin: int
     dialogue: int
-    use_case: str
+    traffic_class: str
     destination: int
     answer: str
     at: int
@@ -36,7 +36,7 @@
     via: int = -1
 
 
-class Over(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class Ended(msgspec.Struct, frozen=True, array_like=True, tag="Over"):
     """A dialogue that stood is over. `how`: `released`, `cut`, or `restart`: this instance died while it stood, and
     `stood` counts to the last moment it surely lived."""
 
@@ -49,7 +49,7 @@
     dial: int = -1
 
 
-class Lacking(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class EntriesLost(msgspec.Struct, frozen=True, array_like=True, tag="Lacking"):
     """Entries that found no room for a disk that was full or failed: how many, and between when. What they said is
     lost; that they were is not."""
 
@@ -90,13 +90,13 @@
     at: int
 
 
-Entry = Answered | Over | Lacking | Restarted | Corrected | Rekeyed
+Entry = Answered | Ended | EntriesLost | Restarted | Corrected | Rekeyed
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Entry)
 
 
-class BadEntry(Exception):
+class InvalidEntryError(Exception):
     """Bytes that are no entry."""
 
 
@@ -110,7 +110,7 @@
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as fault:
-        raise BadEntry(str(fault)) from None
+        raise InvalidEntryError(str(fault)) from None
 
 
 class NumberKeys:
--- a/wellhitch/ledger/export.py
+++ b/wellhitch/ledger/export.py
@@ -23,22 +23,22 @@
 import msgspec
 from blake3 import blake3
 
-from wellhitch.ledger.settle import Name, Settled
+from wellhitch.ledger.settle import DialogueId, Settled
 
-MOST_LINES = 10_000  # of a file: some 1.5 MB, a second of a slow line
-MAC = 32
-AGAIN = 5_000_000  # us until a file without a receipt is handed over again
-START = bytes(MAC)
+MAX_LINES_PER_FILE = 10_000  # of a file: some 1.5 MB, a second of a slow line
+MAC_BYTES = 32
+RETRY_INTERVAL_US = 5_000_000  # us until a file without a receipt is handed over again
+INITIAL_MAC = bytes(MAC_BYTES)
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True):
+class ExportLine(msgspec.Struct, frozen=True, array_like=True):
     """One dialogue's figure, or the change of one exported before: `billed` is what holds now, `change` what is to be
     added to what was booked. `corrects` names the period in which it was first exported, empty for a new one."""
 
     origin: int
     dialogue: int
     tenant: str
-    use_case: str
+    traffic_class: str
     destination: int
     width: int
     ended: int
@@ -63,7 +63,7 @@
     """A file: its manifest, its lines, the MAC over both."""
 
     manifest: Manifest
-    lines: tuple[Line, ...]
+    lines: tuple[ExportLine, ...]
     mac: bytes
 
 
@@ -76,7 +76,7 @@
     seal: bytes
 
 
-class BadFile(Exception):
+class InvalidFileError(Exception):
     """Bytes that are no file or receipt of this key, with why."""
 
 
@@ -86,11 +86,11 @@
 
 
 def _mac(key: bytes, what: bytes, *parts: object) -> bytes:
-    return blake3(what + _ENCODER.encode(parts), key=key).digest(MAC)
+    return blake3(what + _ENCODER.encode(parts), key=key).digest(MAC_BYTES)
 
 
 def make_file(
-    key: bytes, instance: int, sequence: int, period: str, lines: Iterable[Line], before: bytes
+    key: bytes, instance: int, sequence: int, period: str, lines: Iterable[ExportLine], before: bytes
 ) -> bytes:
     """A file's bytes."""
     all_lines = tuple(lines)
@@ -104,9 +104,9 @@
     try:
         file = _FILES.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as fault:
-        raise BadFile(f"no file: {fault}") from None
+        raise InvalidFileError(f"no file: {fault}") from None
     if file.mac != _mac(key, b"file", file.manifest, file.lines):
-        raise BadFile("its MAC does not fit")
+        raise InvalidFileError("its MAC does not fit")
     return file
 
 
@@ -122,16 +122,16 @@
     try:
         one = _RECEIPTS.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as fault:
-        raise BadFile(f"no receipt: {fault}") from None
+        raise InvalidFileError(f"no receipt: {fault}") from None
     if one.seal != _mac(key, b"receipt", one.instance, one.sequence, one.mac):
-        raise BadFile("its seal does not fit")
+        raise InvalidFileError("its seal does not fit")
     return one
 
 
 # ---- what goes into a file ----
 
 
-class Exported(msgspec.Struct, frozen=True, array_like=True):
+class ExportedFigure(msgspec.Struct, frozen=True, array_like=True):
     """What was exported of a dialogue: the figure that holds at the accounting side, and the period in which it first
     went."""
 
@@ -139,21 +139,23 @@
     period: str
 
 
-def lines_of(period: str, settled: Iterable[Settled], before: Mapping[Name, Exported]) -> list[Line]:
+def export_lines(
+    period: str, settled: Iterable[Settled], before: Mapping[DialogueId, ExportedFigure]
+) -> list[ExportLine]:
     """Lines for what is new or differs from what was exported. A dialogue that is open or an orphan waits."""
     out = []
-    for one in sorted(settled, key=lambda one: one.name):
-        was = before.get(one.name)
+    for one in sorted(settled, key=lambda one: one.dialogue_id):
+        was = before.get(one.dialogue_id)
         if one.state in ("open", "orphan") or (was is None and one.state != "billed"):
             continue
         had = was.billed if was else 0
         if was is not None and had == one.billed:
             continue
         out.append(
-            Line(
-                *one.name,
+            ExportLine(
+                *one.dialogue_id,
                 one.tenant,
-                one.use_case,
+                one.traffic_class,
                 one.destination,
                 one.width,
                 one.ended,
@@ -169,13 +171,13 @@
 # ---- handing over ----
 
 
-class Sent(msgspec.Struct, array_like=True):
+class ExportProgress(msgspec.Struct, array_like=True):
     """How far an instance's export is, kept on its store: the last sequence made, its MAC, the last one receipted."""
 
     sequence: int = 0
-    mac: bytes = START
+    mac: bytes = INITIAL_MAC
     receipted: int = 0
-    done: str = ""  # the last period of which all is in files
+    completed_period: str = ""  # the last period of which all is in files
 
 
 @dataclass(slots=True)
@@ -184,25 +186,25 @@
 
     key: bytes
     instance: int
-    sent: Sent
+    progress: ExportProgress
     files: dict[int, bytes]
-    asked_at: int = -AGAIN
-    wrong: str = ""
+    last_sent_us: int = -RETRY_INTERVAL_US
+    last_error: str = ""
 
     def next(self, now: int) -> bytes | None:
         """The file to hand over now: the first without a receipt, again after AGAIN."""
-        if not self.files or now - self.asked_at < AGAIN:
+        if not self.files or now - self.last_sent_us < RETRY_INTERVAL_US:
             return None
-        self.asked_at = now
+        self.last_sent_us = now
         return self.files[min(self.files)]
 
-    def given_back(self, data: bytes) -> tuple[File, list[File]] | None:
+    def adopt_returned_file(self, data: bytes) -> tuple[File, list[File]] | None:
         """A file that this instance made, and does not remember: the one that is booked in the place of the first
         without a receipt. It holds from now on; those made here in its place and after, which are returned too, are
         void."""
         try:
             file = read_file(self.key, data)
-        except BadFile:
+        except InvalidFileError:
             return None
         one = file.manifest
         first = min(self.files, default=0)
@@ -214,28 +216,28 @@
             return None
         void = [read_file(self.key, self.files[n]) for n in sorted(self.files)]
         self.files.clear()
-        self.sent.sequence = self.sent.receipted = one.sequence
-        self.sent.mac = file.mac
-        self.asked_at = -AGAIN
+        self.progress.sequence = self.progress.receipted = one.sequence
+        self.progress.mac = file.mac
+        self.last_sent_us = -RETRY_INTERVAL_US
         return file, void
 
-    def heard(self, data: bytes) -> int | None:
+    def accept_receipt(self, data: bytes) -> int | None:
         """A receipt came; the sequence it ends, or None where it changes nothing: doubled, of another file, not
         sealed."""
         try:
             one = read_receipt(self.key, data)
-        except BadFile as bad:
-            self.wrong = str(bad)
+        except InvalidFileError as bad:
+            self.last_error = str(bad)
             return None
         if one.instance != self.instance or one.sequence not in self.files:
-            self.wrong = f"a receipt for file {one.sequence} of call server {one.instance}"
+            self.last_error = f"a receipt for file {one.sequence} of call server {one.instance}"
             return None
         if one.sequence != min(self.files) or read_file(self.key, self.files[one.sequence]).mac != one.mac:
-            self.wrong = f"a receipt for another file under number {one.sequence}"
+            self.last_error = f"a receipt for another file under number {one.sequence}"
             return None
         del self.files[one.sequence]
-        self.sent.receipted = one.sequence
-        self.asked_at = -AGAIN
+        self.progress.receipted = one.sequence
+        self.last_sent_us = -RETRY_INTERVAL_US
         return one.sequence
 
 
@@ -243,27 +245,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class FileDecision:
     """What the accounting side does with a file: `book` it and then answer, `answer` again, `give_back` those it has
     booked from that number on, or `refuse`, the last two with why."""
 
-    what: str
+    action: str
     why: str = ""
 
 
-def judge_file(file: File, last: int, last_mac: bytes, booked_mac: bytes | None) -> Taken:
+def evaluate_file(file: File, last: int, last_mac: bytes, booked_mac: bytes | None) -> FileDecision:
     """Whether a file is the next of its instance, by what was booked last; `booked_mac`: of the file that is booked
     under its number, if any."""
     one = file.manifest
     if one.lines != len(file.lines) or one.change != sum(line.change for line in file.lines):
-        return Taken("refuse", "its manifest does not fit its lines")
+        return FileDecision("refuse", "its manifest does not fit its lines")
     if one.sequence <= last:
         # Guards against a receipt for a file that was never booked: an old disk makes other files under old numbers.
         if booked_mac == file.mac:
-            return Taken("answer")
-        return Taken("give_back", f"file {one.sequence} is booked, and is another one")
+            return FileDecision("answer")
+        return FileDecision("give_back", f"file {one.sequence} is booked, and is another one")
     if one.sequence != last + 1:
-        return Taken("refuse", f"file {one.sequence} after {last}: one is missing between")
+        return FileDecision("refuse", f"file {one.sequence} after {last}: one is missing between")
     if one.before != last_mac:
-        return Taken("refuse", f"file {one.sequence} does not follow the file {last} that was booked")
-    return Taken("book")
+        return FileDecision("refuse", f"file {one.sequence} does not follow the file {last} that was booked")
+    return FileDecision("book")
--- a/wellhitch/ledger/journal.py
+++ b/wellhitch/ledger/journal.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from wellhitch.ledger.chain import START, Chain, ChainName, Row
-from wellhitch.ledger.entries import Answered, Entry, Lacking, NumberKeys, Over, Restarted
-from wellhitch.ledger.periods import Statement, end_of, next_of, period_of, previous_of
+from wellhitch.ledger.chain import INITIAL_HASH, Chain, ChainId, Row
+from wellhitch.ledger.entries import Answered, Ended, EntriesLost, Entry, NumberKeys, Restarted
+from wellhitch.ledger.periods import Statement, next_period, period_at, period_end, previous_period
 from wellhitch.store.records import Change
 
 CHAIN, STANDING, ABOUT, PERIOD, IDENTITY, HEARD = "chain", "standing", "about", "period", "identity", "heard"
@@ -33,7 +33,7 @@
 
     number: int
     marks: list[int]
-    alive: int = 0
+    alive_at: int = 0
 
 
 class EstablishedDialogue(msgspec.Struct, frozen=True, array_like=True):
@@ -57,7 +57,7 @@
     side: str
     origin: int
     dialogue: int
-    use_case: str
+    traffic_class: str
     destination: int
     called: str | None
     width: int = 1
@@ -75,7 +75,7 @@
     return name + bytes([SIDE_CODES[side]]) + (dial + 1 & 0xFFFF).to_bytes(2, "big")
 
 
-Fresh = tuple[str, bytes, bytes, int | None]
+NewRow = tuple[str, bytes, bytes, int | None]
 """Period, key and hash of a row, and whose dialogue it is about."""
 
 
@@ -86,29 +86,29 @@
     identity: Identity
     chain: Chain
     keys: NumberKeys
-    end_before: tuple[int, int, bytes] = (0, 0, b"")  # mark, row and hash where the chain before ended
-    stated: set[str] = field(default_factory=set)
-    standing: dict[bytes, tuple[EstablishedDialogue, int]] = field(default_factory=dict)
-    fresh: list[Fresh] = field(default_factory=list)  # rows added since this was last emptied
+    previous_end: tuple[int, int, bytes] = (0, 0, b"")  # mark, row and hash where the chain before ended
+    stated_periods: set[str] = field(default_factory=set)
+    established: dict[bytes, tuple[EstablishedDialogue, int]] = field(default_factory=dict)
+    new_rows: list[NewRow] = field(default_factory=list)  # rows added since this was last emptied
     _month: tuple[int, int, str] = (0, 0, "")
 
     # -- rows --
 
     def _row(self, entry: Entry, wall: int, about: int | None = None) -> list[Change]:
         if not self._month[0] <= wall < self._month[1]:
-            name = period_of(wall)
-            self._month = end_of(previous_of(name)), end_of(name), name
+            name = period_at(wall)
+            self._month = period_end(previous_period(name)), period_end(name), name
         period, late_for = self._month[2], ""
-        while period in self.stated:
+        while period in self.stated_periods:
             # The clock was set back, or staff closed early: the statement holds, the row goes on into the next.
             late_for = late_for or period
-            period = next_of(period)
-        row = self.chain.add(entry, period, late_for)
+            period = next_period(period)
+        row = self.chain.append(entry, period, late_for)
         key = self.chain.name.key(row.seq)
-        self.fresh.append((period, key, self.chain.last, about))
-        out = [Change(CHAIN, key, self.chain.data)]
+        self.new_rows.append((period, key, self.chain.last_hash, about))
+        out = [Change(CHAIN, key, self.chain.last_row)]
         if about is not None and about != self.identity.number:
-            body = period.encode() + self.chain.last
+            body = period.encode() + self.chain.last_hash
             out.append(Change(ABOUT, about.to_bytes(4, "big") + key, body))
         return out
 
@@ -118,7 +118,7 @@
             seen.side,
             seen.origin,
             seen.dialogue,
-            seen.use_case,
+            seen.traffic_class,
             seen.destination,
             answer,
             at,
@@ -140,7 +140,7 @@
         if answer == "stands":
             key = standing_key(seen.side, seen.origin, seen.dialogue, seen.dial)
             held = EstablishedDialogue(seen.side, seen.origin, seen.dialogue, wall, seen.dial)
-            self.standing[key] = held, now
+            self.established[key] = held, now
             out.append(Change(STANDING, key, msgspec.msgpack.encode(held)))
         return out
 
@@ -149,48 +149,54 @@
     ) -> list[Change]:
         """A dialogue that stood is over. How long it stood is by the loop's clock, which nobody sets back."""
         key = standing_key(side, origin, dialogue, dial)
-        held = self.standing.pop(key, None)
+        held = self.established.pop(key, None)
         if held is None:
             return []  # it never stood as far as this ledger was told: nothing to end
-        entry = Over(side, origin, dialogue, how, wall, max(0, now - held[1]), dial)
+        entry = Ended(side, origin, dialogue, how, wall, max(0, now - held[1]), dial)
         return [*self._row(entry, wall, origin), Change(STANDING, key, None)]
 
     def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int, wall: int) -> list[Change]:
         """The own office told of a dialogue that ended in this exchange and is over: both entries at once."""
         answer = self._answered(seen, "stands", wall - stood)
-        ended = Over(seen.side, seen.origin, seen.dialogue, how, wall, stood, seen.dial)
+        ended = Ended(seen.side, seen.origin, seen.dialogue, how, wall, stood, seen.dial)
         return self._row(answer, wall, seen.origin) + self._row(ended, wall, seen.origin)
 
-    def add(self, entry: Entry, wall: int) -> list[Change]:
+    def append(self, entry: Entry, wall: int) -> list[Change]:
         """An entry of staff's, or of the ledger itself."""
         return self._row(entry, wall)
 
-    def lacking(self, count: int, first: int, last: int, wall: int) -> list[Change]:
+    def entries_lost(self, count: int, first: int, last: int, wall: int) -> list[Change]:
         """Entries found no room on the disk: say so."""
-        return self._row(Lacking(count, first, last), wall)
+        return self._row(EntriesLost(count, first, last), wall)
 
     # -- life --
 
-    def alive(self, wall: int) -> list[Change]:
+    def heartbeat(self, wall: int) -> list[Change]:
         """Note that this instance lives."""
-        self.identity.alive = max(self.identity.alive, wall)
+        self.identity.alive_at = max(self.identity.alive_at, wall)
         return [Change(IDENTITY, b"", msgspec.msgpack.encode(self.identity))]
 
     def statement(self, period: str) -> Statement:
         """How far the chain goes for a period; nothing is added to it for that period from now on."""
-        self.stated.add(period)
-        return Statement(self.identity.number, self.chain.name.mark, self.chain.seq, self.chain.last)
+        self.stated_periods.add(period)
+        return Statement(self.identity.number, self.chain.name.mark, self.chain.seq, self.chain.last_hash)
 
-    def begins(self, standing: Iterable[EstablishedDialogue], unsafe: int, wall: int) -> list[Change]:
+    def resume(self, established: Iterable[EstablishedDialogue], unsafe: int, wall: int) -> list[Change]:
         """What a process says first: where the chain before ended, and that what stood is cut as of the last moment
         that the one before surely lived."""
-        alive = self.identity.alive
-        end = self.end_before
-        out = self._row(Restarted(wall, alive, unsafe, *end), wall)
-        for held in standing:
+        alive_at = self.identity.alive_at
+        end = self.previous_end
+        out = self._row(Restarted(wall, alive_at, unsafe, *end), wall)
+        for held in established:
             # A clock set back between the two lives must not make a span under nought.
-            ended = Over(
-                held.side, held.origin, held.dialogue, "restart", alive, max(0, alive - held.at), held.dial
+            ended = Ended(
+                held.side,
+                held.origin,
+                held.dialogue,
+                "restart",
+                alive_at,
+                max(0, alive_at - held.at),
+                held.dial,
             )
             out += self._row(ended, wall, held.origin)
             out.append(Change(STANDING, standing_key(held.side, held.origin, held.dialogue, held.dial), None))
@@ -204,17 +210,17 @@
     whether the disk is new. Each process begins a chain of its own, named by `mark`: on an old disk the numbers of the
     rows that follow may be used up. Raises OtherDisk where it is another instance's."""
     if found is None:
-        return Journal(Identity(number, [mark]), Chain(ChainName(number, mark)), keys), True
+        return Journal(Identity(number, [mark]), Chain(ChainId(number, mark)), keys), True
     identity = msgspec.msgpack.decode(found, type=Identity)
     if identity.number != number:
         raise WrongDiskError(f"this disk is that of call server {identity.number}, not {number}")
-    end = (identity.marks[-1], *(last or (0, START)))
+    end = (identity.marks[-1], *(last or (0, INITIAL_HASH)))
     while mark in identity.marks:  # drawn again by chance: its rows would take the place of the old ones
         mark += 1
     identity.marks.append(mark)
-    return Journal(identity, Chain(ChainName(number, mark)), keys, end), False
+    return Journal(identity, Chain(ChainId(number, mark)), keys, end), False
 
 
-def last_of(name: ChainName, row: Row | None) -> tuple[int, bytes]:
+def last_of(name: ChainId, row: Row | None) -> tuple[int, bytes]:
     """Place and hash of a chain's last row."""
-    return (row.seq, row.hash(name)) if row else (0, START)
+    return (row.seq, row.hash(name)) if row else (0, INITIAL_HASH)
--- a/wellhitch/ledger/outbox.py
+++ b/wellhitch/ledger/outbox.py
@@ -21,7 +21,7 @@
     def put(self, sequence: int, data: bytes) -> None:
         """Hand a file over. Raises OSError."""
 
-    def receipts(self) -> list[bytes]:
+    def take_receipts(self) -> list[bytes]:
         """Receipts that lie there, and files given back, in order; and take them away. Raises OSError."""
 
 
@@ -37,7 +37,7 @@
         out.mkdir(parents=True, exist_ok=True)
         write_atomically(out / f"{self._instance}-{sequence:08}.wh", data)
 
-    def receipts(self) -> list[bytes]:
+    def take_receipts(self) -> list[bytes]:
         """As `Box`."""
         found = list[bytes]()
         for path in sorted((self._folder / "back").glob(f"{self._instance}-*.wr"))[:MAX_RECEIPTS_PER_READ]:
--- a/wellhitch/ledger/periods.py
+++ b/wellhitch/ledger/periods.py
@@ -17,20 +17,20 @@
 
 import msgspec
 
-MARGIN = (
+CLOCK_MARGIN_US = (
     600_000_000  # us past a period's end: ten minutes, over any difference of clocks that staff would leave
 )
-PATIENCE = 3 * 86_400_000_000  # us for an instance that is away: a long weekend
-AGAIN = 5_000_000  # us between two tries of whatever was not answered
+ABSENCE_TIMEOUT_US = 3 * 86_400_000_000  # us for an instance that is away: a long weekend
+RETRY_INTERVAL_US = 5_000_000  # us between two tries of whatever was not answered
 
 
-def period_of(wall: int) -> str:
+def period_at(wall: int) -> str:
     """The period of a wall time."""
     moment = datetime.fromtimestamp(wall / 1e6, UTC)
     return f"{moment.year:04}-{moment.month:02}"
 
 
-def end_of(period: str) -> int:
+def period_end(period: str) -> int:
     """The wall time at which a period ends. Raises ValueError for what is no period."""
     digits = period[:4] + period[5:]
     if len(period) != 7 or period[4] != "-" or not (digits.isascii() and digits.isdigit()):
@@ -42,14 +42,14 @@
     return int(after.timestamp()) * 1_000_000
 
 
-def next_of(period: str) -> str:
+def next_period(period: str) -> str:
     """The period after."""
-    return period_of(end_of(period))
+    return period_at(period_end(period))
 
 
-def previous_of(period: str) -> str:
+def previous_period(period: str) -> str:
     """The period before."""
-    return period_of(end_of(period) - 32 * 86_400_000_000)
+    return period_at(period_end(period) - 32 * 86_400_000_000)
 
 
 class Statement(msgspec.Struct, frozen=True, array_like=True):
@@ -67,7 +67,7 @@
 Ballot = tuple[int, int]  # round and instance
 
 
-class Say(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class StatementMessage(msgspec.Struct, frozen=True, array_like=True, tag="Say"):
     """An instance's statement; told until it is known closed."""
 
     period: str
@@ -119,10 +119,10 @@
     content: Content
 
 
-Message = Say | Prepare | Promise | Accept | Accepted | Refused | Closed
+Message = StatementMessage | Prepare | Promise | Accept | Accepted | Refused | Closed
 
 
-class Kept(msgspec.Struct, array_like=True):
+class PeriodRecord(msgspec.Struct, array_like=True):
     """What an instance must not forget of one period."""
 
     period: str
@@ -138,7 +138,7 @@
 class Outcome:
     """What to do: keep on disk first, then send each message to an instance."""
 
-    keep: bool = False
+    persist: bool = False
     send: list[tuple[int, Message]] = field(default_factory=list)
 
 
@@ -150,7 +150,7 @@
     content: Content
     promises: dict[int, Promise] = field(default_factory=dict)
     accepts: set[int] = field(default_factory=set)
-    asked: Content | None = None
+    accepting: Content | None = None
 
 
 @dataclass(slots=True)
@@ -159,8 +159,8 @@
 
     me: int
     roster: tuple[int, ...]
-    kept: Kept
-    said: dict[int, Statement] = field(default_factory=dict)
+    record: PeriodRecord
+    statements: dict[int, Statement] = field(default_factory=dict)
     proposal: Proposal | None = None
 
     @property
@@ -171,68 +171,77 @@
     @property
     def state(self) -> str:
         """`open`, `closing` or `closed`."""
-        if self.kept.closed is not None:
+        if self.record.closed is not None:
             return "closed"
-        return "closing" if self.kept.statement else "open"
+        return "closing" if self.record.statement else "open"
 
     def _others(self) -> list[int]:
         return [one for one in self.roster if one != self.me]
 
-    def state_mine(self, statement: Statement) -> Outcome:
+    def record_own_statement(self, statement: Statement) -> Outcome:
         """This instance has no more rows for the period. The first word holds."""
-        if self.kept.statement is None:
-            self.kept.statement = statement
-        self.said[self.me] = self.kept.statement
-        return Outcome(True, [(one, Say(self.kept.period, self.kept.statement)) for one in self._others()])
-
-    def again(self, wall: int) -> Outcome:
+        if self.record.statement is None:
+            self.record.statement = statement
+        self.statements[self.me] = self.record.statement
+        return Outcome(
+            True,
+            [(one, StatementMessage(self.record.period, self.record.statement)) for one in self._others()],
+        )
+
+    def retry(self, wall: int) -> Outcome:
         """Time passed without an answer: say it again, or try to close. Called every AGAIN."""
-        kept = self.kept
-        if kept.closed is not None:
+        record = self.record
+        if record.closed is not None:
             return Outcome()
         out = Outcome()
-        if kept.statement is not None:
-            self.said[self.me] = kept.statement
-            out.send += [(one, Say(kept.period, kept.statement)) for one in self._others()]
-        over = wall - end_of(kept.period)
-        whole = all(one in self.said for one in self.roster)
+        if record.statement is not None:
+            self.statements[self.me] = record.statement
+            out.send += [(one, StatementMessage(record.period, record.statement)) for one in self._others()]
+        over = wall - period_end(record.period)
+        whole = all(one in self.statements for one in self.roster)
         # Each stretch of AGAIN is one instance's turn to propose: two that propose at once hold each other up.
-        turn = over // AGAIN % len(self.roster) == self.roster.index(self.me)
-        if kept.statement is not None and turn and over >= (MARGIN if whole else PATIENCE):
-            started = self.propose(kept.rounds + 1)
-            out.keep, out.send = started.keep, out.send + started.send
+        turn = over // RETRY_INTERVAL_US % len(self.roster) == self.roster.index(self.me)
+        if (
+            record.statement is not None
+            and turn
+            and over >= (CLOCK_MARGIN_US if whole else ABSENCE_TIMEOUT_US)
+        ):
+            started = self.propose(record.rounds + 1)
+            out.persist, out.send = started.persist, out.send + started.send
         return out
 
     def propose(self, round_: int) -> Outcome:
         """Try to close the period with what was said."""
-        self.kept.rounds = max(self.kept.rounds, round_)
-        content = tuple(sorted(self.said.values(), key=lambda one: one.number))
-        ballot = (self.kept.rounds, self.me)
+        self.record.rounds = max(self.record.rounds, round_)
+        content = tuple(sorted(self.statements.values(), key=lambda one: one.number))
+        ballot = (self.record.rounds, self.me)
         self.proposal = Proposal(ballot, content)
-        out = Outcome(True, [(one, Prepare(self.kept.period, ballot)) for one in self._others()])
-        return self._with(out, self.heard(self.me, Prepare(self.kept.period, ballot)))
+        out = Outcome(True, [(one, Prepare(self.record.period, ballot)) for one in self._others()])
+        return self._with(out, self.receive(self.me, Prepare(self.record.period, ballot)))
 
     def _with(self, out: Outcome, own: Outcome) -> Outcome:
         """Add what this instance answers itself, at once."""
-        out.keep = out.keep or own.keep
+        out.persist = out.persist or own.persist
         for to, message in own.send:
             if to == self.me:
-                out = self._with(out, self.heard(self.me, message))
+                out = self._with(out, self.receive(self.me, message))
             else:
                 out.send.append((to, message))
         return out
 
-    def heard(self, sender: int, message: Message) -> Outcome:
+    def receive(self, sender: int, message: Message) -> Outcome:
         """A message came: from an instance on the roster, else it is skipped."""
-        kept = self.kept
-        if sender not in self.roster or message.period != kept.period:
+        record = self.record
+        if sender not in self.roster or message.period != record.period:
             return Outcome()
-        if kept.closed is not None and not isinstance(message, Closed):
-            return Outcome(False, [(sender, Closed(kept.period, kept.closed))] if sender != self.me else [])
+        if record.closed is not None and not isinstance(message, Closed):
+            return Outcome(
+                False, [(sender, Closed(record.period, record.closed))] if sender != self.me else []
+            )
         match message:
-            case Say(_, statement):
+            case StatementMessage(_, statement):
                 if statement.number == sender:
-                    self.said.setdefault(sender, statement)
+                    self.statements.setdefault(sender, statement)
                 return Outcome()
             case Prepare(_, ballot):
                 return self._prepare(sender, ballot)
@@ -243,7 +252,7 @@
             case Accepted(_, ballot):
                 return self._accepted(sender, ballot)
             case Refused(_, promised):
-                kept.rounds = max(kept.rounds, promised[0])
+                record.rounds = max(record.rounds, promised[0])
                 if self.proposal and self.proposal.ballot < promised:
                     self.proposal = None  # the next try, after a wait, goes above
                 return Outcome()
@@ -251,55 +260,55 @@
                 return self._close(content, tell=False)
 
     def _prepare(self, sender: int, ballot: Ballot) -> Outcome:
-        kept = self.kept
-        if kept.promised is not None and ballot < kept.promised:
-            return Outcome(False, [(sender, Refused(kept.period, kept.promised))])
-        changed = kept.promised != ballot
-        kept.promised = ballot
-        return Outcome(changed, [(sender, Promise(kept.period, ballot, kept.accepted, kept.content))])
+        record = self.record
+        if record.promised is not None and ballot < record.promised:
+            return Outcome(False, [(sender, Refused(record.period, record.promised))])
+        changed = record.promised != ballot
+        record.promised = ballot
+        return Outcome(changed, [(sender, Promise(record.period, ballot, record.accepted, record.content))])
 
     def _accept(self, sender: int, ballot: Ballot, content: Content) -> Outcome:
-        kept = self.kept
-        if kept.promised is not None and ballot < kept.promised:
-            return Outcome(False, [(sender, Refused(kept.period, kept.promised))])
-        changed = kept.accepted != ballot
-        kept.promised = kept.accepted = ballot
-        kept.content = content
-        return Outcome(changed, [(sender, Accepted(kept.period, ballot))])
+        record = self.record
+        if record.promised is not None and ballot < record.promised:
+            return Outcome(False, [(sender, Refused(record.period, record.promised))])
+        changed = record.accepted != ballot
+        record.promised = record.accepted = ballot
+        record.content = content
+        return Outcome(changed, [(sender, Accepted(record.period, ballot))])
 
     def _promised(self, sender: int, message: Promise) -> Outcome:
         mine = self.proposal
-        if mine is None or message.ballot != mine.ballot or mine.asked is not None:
+        if mine is None or message.ballot != mine.ballot or mine.accepting is not None:
             return Outcome()
         mine.promises[sender] = message
         if len(mine.promises) < self.majority:
             return Outcome()
         # What may have been chosen already must be proposed again: the accepted value of the highest ballot.
         held = [(one.accepted, one.content) for one in mine.promises.values() if one.accepted is not None]
-        mine.asked = max(held)[1] if held else mine.content
-        ask = Accept(self.kept.period, mine.ballot, mine.asked)
+        mine.accepting = max(held)[1] if held else mine.content
+        ask = Accept(self.record.period, mine.ballot, mine.accepting)
         out = Outcome(False, [(one, ask) for one in self._others()])
-        return self._with(out, self.heard(self.me, ask))
+        return self._with(out, self.receive(self.me, ask))
 
     def _accepted(self, sender: int, ballot: Ballot) -> Outcome:
         mine = self.proposal
-        if mine is None or ballot != mine.ballot or mine.asked is None:
+        if mine is None or ballot != mine.ballot or mine.accepting is None:
             return Outcome()
         mine.accepts.add(sender)
         if len(mine.accepts) < self.majority:
             return Outcome()
-        return self._close(mine.asked, tell=True)
+        return self._close(mine.accepting, tell=True)
 
     def _close(self, content: Content, tell: bool) -> Outcome:
-        if self.kept.closed is not None:
+        if self.record.closed is not None:
             return Outcome()
-        self.kept.closed = content
+        self.record.closed = content
         self.proposal = None
         sends: list[tuple[int, Message]] = []
         if tell:
-            sends = [(one, Closed(self.kept.period, content)) for one in self._others()]
+            sends = [(one, Closed(self.record.period, content)) for one in self._others()]
         return Outcome(True, sends)
 
 
-MESSAGES = msgspec.msgpack.Decoder(Message)
-KEPT = msgspec.msgpack.Decoder(Kept)
+MESSAGE_DECODER = msgspec.msgpack.Decoder(Message)
+RECORD_DECODER = msgspec.msgpack.Decoder(PeriodRecord)
--- a/wellhitch/ledger/rating.py
+++ b/wellhitch/ledger/rating.py
@@ -37,11 +37,11 @@
     prices: list[Price]
 
 
-class NoPrice(Exception):
+class MissingPriceError(Exception):
     """A dialogue for which the tariff has no price."""
 
 
-def faults_of(tariff: Tariff) -> list[str]:
+def tariff_errors(tariff: Tariff) -> list[str]:
     """What is wrong with a tariff, a line each."""
     out, seen = [], set[tuple[str, str, str]]()
     for at, one in enumerate(tariff.prices):
@@ -69,24 +69,24 @@
     return datetime.fromtimestamp(wall / 1e6, UTC).date().isoformat()
 
 
-def price_of(tariff: Tariff, one: Settled) -> Price:
+def find_price(tariff: Tariff, one: Settled) -> Price:
     """The price of a settled dialogue, by the day on which it ended. Raises NoPrice."""
     day = day_of(one.ended)
     fit = [
         price
         for price in tariff.prices
-        if price.use_case == one.use_case and price.tenant in ("", one.tenant) and price.from_day <= day
+        if price.use_case == one.traffic_class and price.tenant in ("", one.tenant) and price.from_day <= day
     ]
     if not fit:
-        raise NoPrice(f"no price for {one.use_case} on {day}")
+        raise MissingPriceError(f"no price for {one.traffic_class} on {day}")
     return max(fit, key=lambda price: (price.tenant != "", price.from_day))
 
 
-def rated(tariff: Tariff, one: Settled) -> Micros:
+def dialogue_cost(tariff: Tariff, one: Settled) -> Micros:
     """What it costs. Raises NoPrice."""
     if one.state != "billed" or not one.billed:
         return 0
-    price = price_of(tariff, one)
+    price = find_price(tariff, one)
     steps = -(-one.billed // (price.step_s * 1_000_000))
     # Micros a minute times seconds over 60: rounded up to a whole micro, the only rounding of a dialogue.
     return one.width * (price.set_up + -(-price.a_minute * steps * price.step_s // 60))
@@ -106,30 +106,30 @@
 
 
 @dataclass(slots=True)
-class Line:
+class InvoiceLine:
     """One line of an invoice."""
 
     tenant: str
-    use_case: str
+    traffic_class: str
     dialogues: int = 0
     micros: Micros = 0
     span: int = 0
 
 
-def invoice(tariff: Tariff, settled: Iterable[Settled]) -> tuple[list[Line], list[str]]:
+def invoice(tariff: Tariff, settled: Iterable[Settled]) -> tuple[list[InvoiceLine], list[str]]:
     """Lines by tenant and use case, and what could not be rated."""
-    lines: dict[tuple[str, str], Line] = {}
+    lines: dict[tuple[str, str], InvoiceLine] = {}
     unrated = []
     for one in settled:
         if one.state != "billed":
             continue
         try:
-            micros = rated(tariff, one)
-        except NoPrice as fault:
-            unrated.append(f"dialogue {one.name[0]}/{one.name[1]}: {fault}")
+            micros = dialogue_cost(tariff, one)
+        except MissingPriceError as fault:
+            unrated.append(f"dialogue {one.dialogue_id[0]}/{one.dialogue_id[1]}: {fault}")
             continue
-        key = (one.tenant, one.use_case)
-        line = lines.setdefault(key, Line(*key))
+        key = (one.tenant, one.traffic_class)
+        line = lines.setdefault(key, InvoiceLine(*key))
         line.dialogues += 1
         line.micros += micros
         line.span += one.billed * one.width
--- a/wellhitch/ledger/reconcile.py
+++ b/wellhitch/ledger/reconcile.py
@@ -16,22 +16,22 @@
 import msgspec
 from blake3 import blake3
 
-SPLIT = (
+SPLIT_FACTOR = (
     16  # parts of a range: four levels for a million items; 8 took a round more, 32 half as many bytes again
 )
-FEW = 16  # items of a range that are named instead of split
-SUM = 8  # bytes of a range's sum: two that differ agree once in 2^64 comparisons
-MOST_RANGES = 64  # in one question: the answer to all of them, split, has 20 KB, a third of a frame
-MOST_FETCHED = 100  # rows asked for at once: some 30 KB
-AGAIN = 1_000_000  # us until what was not answered is asked again
-RATE = 50_000  # bytes a second that one instance asks for and answers, all together: four parts in a thousand of the
-# 100 Mbit/s of a poor trunk, and 10 ms of a processor in each second
-BURST = 100_000  # bytes at once after a silence
+MAX_LISTED_ITEMS = 16  # items of a range that are named instead of split
+RANGE_SUM_BYTES = 8  # bytes of a range's sum: two that differ agree once in 2^64 comparisons
+MAX_RANGES = 64  # in one question: the answer to all of them, split, has 20 KB, a third of a frame
+MAX_FETCHED_ROWS = 100  # rows asked for at once: some 30 KB
+RETRY_INTERVAL_US = 1_000_000  # us until what was not answered is asked again
+# Per instance, requests and answers together: 0.4 % of a poor trunk of 100 Mbit/s, and 10 ms of a processor a second.
+RATE_BYTES_PER_S = 50_000
+BURST_BYTES = 100_000  # bytes at once after a silence
 
 Key = bytes
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True):
+class RangeSummary(msgspec.Struct, frozen=True, array_like=True):
     """A range, both as keys: from `low`, under `high` (empty: to the end), with what one end has in it."""
 
     low: Key
@@ -40,7 +40,7 @@
     sum: bytes
 
 
-class Named(msgspec.Struct, frozen=True, array_like=True):
+class RangeItems(msgspec.Struct, frozen=True, array_like=True):
     """A range of few items: each with its digest."""
 
     low: Key
@@ -48,20 +48,20 @@
     items: tuple[tuple[Key, bytes], ...]
 
 
-class Look(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class CompareRanges(msgspec.Struct, frozen=True, array_like=True, tag="Look"):
     """Is this all you have in these ranges? `topic` names the collection."""
 
     topic: str
-    parts: tuple[Part, ...]
+    ranges: tuple[RangeSummary, ...]
 
 
-class Differ(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class RangeDifferences(msgspec.Struct, frozen=True, array_like=True, tag="Differ"):
     """The answer: ranges that are the same, ranges split, ranges named. Ranges asked and not answered did not fit."""
 
     topic: str
     same: tuple[tuple[Key, Key], ...]
-    split: tuple[tuple[Key, Key, tuple[Part, ...]], ...]
-    named: tuple[Named, ...]
+    split: tuple[tuple[Key, Key, tuple[RangeSummary, ...]], ...]
+    named: tuple[RangeItems, ...]
 
 
 class Fetch(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -78,7 +78,7 @@
     rows: tuple[tuple[Key, bytes], ...]
 
 
-Message = Look | Differ | Fetch | Rows
+Message = CompareRanges | RangeDifferences | Fetch | Rows
 
 
 @dataclass(slots=True)
@@ -117,28 +117,28 @@
         a = bisect_left(self.keys, low)
         return a, max(a, bisect_left(self.keys, high)) if high else len(self.keys)
 
-    def part(self, low: Key, high: Key) -> Part:
+    def summarize(self, low: Key, high: Key) -> RangeSummary:
         """What this end has in a range."""
         a, b = self.bounds(low, high)
-        return self._part(low, high, a, b)
+        return self._summarize(low, high, a, b)
 
-    def _part(self, low: Key, high: Key, a: int, b: int) -> Part:
+    def _summarize(self, low: Key, high: Key, a: int, b: int) -> RangeSummary:
         sums = self._sums
         for at in range(len(sums) - 1, b):
             # A digest alone would let two items trade their digests unseen: the key goes into the sum.
-            mixed = blake3(self.keys[at] + self.digests[at]).digest(SUM)
-            sums.append(sums[-1] + int.from_bytes(mixed, "big") & (1 << 8 * SUM) - 1)
-        total = (sums[b] - sums[a]) & (1 << 8 * SUM) - 1
-        return Part(low, high, b - a, total.to_bytes(SUM, "big"))
+            mixed = blake3(self.keys[at] + self.digests[at]).digest(RANGE_SUM_BYTES)
+            sums.append(sums[-1] + int.from_bytes(mixed, "big") & (1 << 8 * RANGE_SUM_BYTES) - 1)
+        total = (sums[b] - sums[a]) & (1 << 8 * RANGE_SUM_BYTES) - 1
+        return RangeSummary(low, high, b - a, total.to_bytes(RANGE_SUM_BYTES, "big"))
 
-    def split(self, low: Key, high: Key) -> tuple[Part, ...]:
+    def split(self, low: Key, high: Key) -> tuple[RangeSummary, ...]:
         """A range in about equal parts by what this end has."""
         a, b = self.bounds(low, high)
-        cuts = sorted({a + (b - a) * n // SPLIT for n in range(1, SPLIT)} - {a, b})
+        cuts = sorted({a + (b - a) * n // SPLIT_FACTOR for n in range(1, SPLIT_FACTOR)} - {a, b})
         edges = [low, *(self.keys[at] for at in cuts), high]
         places = [a, *cuts, b]
         return tuple(
-            self._part(edges[n], edges[n + 1], places[n], places[n + 1]) for n in range(len(cuts) + 1)
+            self._summarize(edges[n], edges[n + 1], places[n], places[n + 1]) for n in range(len(cuts) + 1)
         )
 
     def items(self, low: Key, high: Key) -> tuple[tuple[Key, bytes], ...]:
@@ -147,18 +147,18 @@
         return tuple(zip(self.keys[a:b], self.digests[a:b], strict=True))
 
 
-def answer(mine: Collection, look: Look) -> Differ:
+def compare_ranges(collection: Collection, look: CompareRanges) -> RangeDifferences:
     """What the other end answers. It keeps nothing."""
     same, split, named = [], [], []
-    for part in look.parts[:MOST_RANGES]:
-        own = mine.part(part.low, part.high)
-        if (own.count, own.sum) == (part.count, part.sum):
-            same.append((part.low, part.high))
-        elif own.count <= FEW:
-            named.append(Named(part.low, part.high, mine.items(part.low, part.high)))
+    for summary in look.ranges[:MAX_RANGES]:
+        own = collection.summarize(summary.low, summary.high)
+        if (own.count, own.sum) == (summary.count, summary.sum):
+            same.append((summary.low, summary.high))
+        elif own.count <= MAX_LISTED_ITEMS:
+            named.append(RangeItems(summary.low, summary.high, collection.items(summary.low, summary.high)))
         else:
-            split.append((part.low, part.high, mine.split(part.low, part.high)))
-    return Differ(look.topic, tuple(same), tuple(split), tuple(named))
+            split.append((summary.low, summary.high, collection.split(summary.low, summary.high)))
+    return RangeDifferences(look.topic, tuple(same), tuple(split), tuple(named))
 
 
 @dataclass(slots=True)
@@ -167,85 +167,91 @@
     not there, or differ: nothing is taken away for them; they are evidence that staff are shown."""
 
     topic: str
-    mine: Collection
-    asked: dict[tuple[Key, Key], int] = field(default_factory=dict)
-    lacks: dict[Key, tuple[bytes, int]] = field(default_factory=dict)
-    strange: dict[Key, str] = field(default_factory=dict)
+    collection: Collection
+    pending_ranges: dict[tuple[Key, Key], int] = field(default_factory=dict)
+    missing_rows: dict[Key, tuple[bytes, int]] = field(default_factory=dict)
+    conflicts: dict[Key, str] = field(default_factory=dict)
     rounds: int = 0
-    begun: bool = False
+    started: bool = False
 
     @property
     def done(self) -> bool:
         """Whether all is level."""
-        return self.begun and not self.asked and not self.lacks
+        return self.started and not self.pending_ranges and not self.missing_rows
 
-    def next(self, now: int) -> list[Message]:
+    def next_requests(self, now: int) -> list[Message]:
         """What to ask now: whatever was not asked yet, or not answered for AGAIN."""
-        if not self.begun:
-            self.begun = True
-            self.asked[b"", b""] = -AGAIN - 1
+        if not self.started:
+            self.started = True
+            self.pending_ranges[b"", b""] = -RETRY_INTERVAL_US - 1
         out: list[Message] = []
-        due = [one for one, at in self.asked.items() if now - at >= AGAIN or at < 0][:MOST_RANGES]
+        due = [one for one, at in self.pending_ranges.items() if now - at >= RETRY_INTERVAL_US or at < 0][
+            :MAX_RANGES
+        ]
         if due:
             for one in due:
-                self.asked[one] = now
-            out.append(Look(self.topic, tuple(self.mine.part(low, high) for low, high in due)))
-        keys = [key for key, (_, at) in self.lacks.items() if now - at >= AGAIN or at < 0][:MOST_FETCHED]
+                self.pending_ranges[one] = now
+            out.append(
+                CompareRanges(self.topic, tuple(self.collection.summarize(low, high) for low, high in due))
+            )
+        keys = [key for key, (_, at) in self.missing_rows.items() if now - at >= RETRY_INTERVAL_US or at < 0][
+            :MAX_FETCHED_ROWS
+        ]
         if keys:
             for key in keys:
-                self.lacks[key] = self.lacks[key][0], now
+                self.missing_rows[key] = self.missing_rows[key][0], now
             out.append(Fetch(self.topic, tuple(keys)))
         self.rounds += bool(out)
         return out
 
-    def heard(self, differ: Differ) -> None:
+    def apply_differences(self, differences: RangeDifferences) -> None:
         """An answer; one that was not asked for, or came twice, changes nothing."""
-        for low, high in differ.same:
-            self.asked.pop((low, high), None)
-        for low, high, parts in differ.split:
-            if self.asked.pop((low, high), None) is None:
+        for low, high in differences.same:
+            self.pending_ranges.pop((low, high), None)
+        for low, high, ranges in differences.split:
+            if self.pending_ranges.pop((low, high), None) is None:
                 continue
-            for part in parts:
-                own = self.mine.part(part.low, part.high)
-                if (own.count, own.sum) != (part.count, part.sum):
-                    self.asked[part.low, part.high] = -1
-        for named in differ.named:
-            if self.asked.pop((named.low, named.high), None) is None:
+            for summary in ranges:
+                own = self.collection.summarize(summary.low, summary.high)
+                if (own.count, own.sum) != (summary.count, summary.sum):
+                    self.pending_ranges[summary.low, summary.high] = -1
+        for named in differences.named:
+            if self.pending_ranges.pop((named.low, named.high), None) is None:
                 continue
             theirs = dict(named.items)
             for key, digest in theirs.items():
-                own_digest = self.mine.get(key)
+                own_digest = self.collection.get(key)
                 if own_digest is None:
-                    self.lacks.setdefault(key, (digest, -1))
+                    self.missing_rows.setdefault(key, (digest, -1))
                 elif own_digest != digest:
-                    self.strange[key] = "differs"
-            for key, _ in self.mine.items(named.low, named.high):
+                    self.conflicts[key] = "differs"
+            for key, _ in self.collection.items(named.low, named.high):
                 if key not in theirs:
-                    self.strange[key] = "only here"
+                    self.conflicts[key] = "only here"
 
-    def took(self, key: Key, digest: bytes) -> bool:
+    def accept_row(self, key: Key, digest: bytes) -> bool:
         """A row came; whether it is one that was asked for, as it was named."""
-        wanted = self.lacks.get(key)
+        wanted = self.missing_rows.get(key)
         if wanted is None or wanted[0] != digest:
             return False
-        del self.lacks[key]
-        self.mine.add(key, digest)
+        del self.missing_rows[key]
+        self.collection.add(key, digest)
         return True
 
 
 @dataclass(slots=True)
-class Allowance:
+class TokenBucket:
     """Bytes that may be sent now."""
 
-    rate: int = RATE
-    left: float = float(BURST)
+    rate: int = RATE_BYTES_PER_S
+    tokens: float = float(BURST_BYTES)
     at: int = 0
 
-    def may(self, size: int, now: int) -> bool:
+    def take(self, size: int, now: int) -> bool:
         """Whether so many bytes may go; they are then taken off."""
-        self.left = min(float(BURST), self.left + self.rate * (now - self.at) / 1_000_000)
+        self.tokens = min(float(BURST_BYTES), self.tokens + self.rate * (now - self.at) / 1_000_000)
         self.at = now
-        if size > self.left:
+        if size > self.tokens:
             return False
-        self.left -= size
+        self.tokens -= size
         return True
--- a/wellhitch/ledger/service.py
+++ b/wellhitch/ledger/service.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from wellhitch.ledger import closing, export, periods, reconcile
-from wellhitch.ledger.chain import ChainName, Row, read_row
-from wellhitch.ledger.entries import BadEntry, Corrected, NumberKeys
+from wellhitch.ledger.chain import ChainId, Row, decode_row
+from wellhitch.ledger.entries import Corrected, InvalidEntryError, NumberKeys
 from wellhitch.ledger.journal import (
     ABOUT,
     ALIVE_EVERY,
@@ -33,13 +33,21 @@
     open_journal,
 )
 from wellhitch.ledger.outbox import Outbox
-from wellhitch.ledger.periods import Agreement, Kept, Outcome, end_of, next_of, period_of, previous_of
-from wellhitch.ledger.reconcile import Allowance, Collection, Pull
+from wellhitch.ledger.periods import (
+    Agreement,
+    Outcome,
+    PeriodRecord,
+    next_period,
+    period_at,
+    period_end,
+    previous_period,
+)
+from wellhitch.ledger.reconcile import Collection, Pull, TokenBucket
 from wellhitch.net.seam import now_us
 from wellhitch.store.engine import Engine
-from wellhitch.store.records import Change, Damaged
-from wellhitch.store.service import Disk, Keeper
-from wellhitch.store.writer import LINGER
+from wellhitch.store.records import Change, DamagedRecord
+from wellhitch.store.service import Disk, StoreService
+from wellhitch.store.writer import LINGER_US
 
 STORE = "ledger"
 EXPORT, FILES, FIGURE = "export", "file", "figure"
@@ -58,7 +66,7 @@
 ROOM = 6  # changes that one event makes at most, with a gap before it
 
 Message = periods.Message | reconcile.Message
-MESSAGE = msgspec.msgpack.Decoder(Message)
+MESSAGE_DECODER = msgspec.msgpack.Decoder(Message)
 
 
 @dataclass(slots=True)
@@ -68,9 +76,9 @@
     identity: bytes | None = None
     last: tuple[int, bytes] | None = None
     standing: list[EstablishedDialogue] = field(default_factory=list)
-    periods: dict[str, Kept] = field(default_factory=dict)
+    periods: dict[str, PeriodRecord] = field(default_factory=dict)
     about_from: str = ""  # the first period of which they are read; earlier ones are read when asked for
-    sent: export.Sent = field(default_factory=export.Sent)
+    export_progress: export.ExportProgress = field(default_factory=export.ExportProgress)
     files: dict[int, bytes] = field(default_factory=dict)
     damaged: int = 0
 
@@ -82,22 +90,22 @@
     if found:
         out.identity = found[1]
         identity = msgspec.msgpack.decode(found[1], type=Identity)
-        name = ChainName(identity.number, identity.marks[-1])
-        for one in engine.scan(CHAIN, name.key(), name.key((1 << 64) - 1), back=True):
-            if not isinstance(one, Damaged):
-                out.last = last_of(name, read_row(one[2]))
+        name = ChainId(identity.number, identity.marks[-1])
+        for one in engine.scan(CHAIN, name.key(), name.key((1 << 64) - 1), reverse=True):
+            if not isinstance(one, DamagedRecord):
+                out.last = last_of(name, decode_row(one[2]))
                 break
             out.damaged += 1
     for one in _sound(engine, STANDING, out):
         out.standing.append(msgspec.msgpack.decode(one[2], type=EstablishedDialogue))
     for one in _sound(engine, PERIOD, out):
-        kept = periods.KEPT.decode(one[2])
+        kept = periods.RECORD_DECODER.decode(one[2])
         out.periods[kept.period] = kept
     open_periods = {name for name, kept in out.periods.items() if kept.closed is None}
     out.about_from = min(open_periods, default=max(out.periods, default=""))
     found = engine.get(EXPORT, b"")
     if found:
-        out.sent = msgspec.msgpack.decode(found[1], type=export.Sent)
+        out.export_progress = msgspec.msgpack.decode(found[1], type=export.ExportProgress)
     for one in _sound(engine, FILES, out):
         out.files[int.from_bytes(one[0], "big")] = one[2]
     return out
@@ -106,7 +114,7 @@
 def _sound(engine: Engine, shelf: str, out: Found) -> Iterator[tuple[bytes, int, bytes]]:
     """The records of a shelf that are whole; the others are counted, and said once the desk is ready."""
     for one in engine.scan(shelf):
-        if isinstance(one, Damaged):
+        if isinstance(one, DamagedRecord):
             out.damaged += 1
         else:
             yield one
@@ -121,14 +129,14 @@
     out: list[Digested] = []
     last: bytes | None = None
     for one in islice(engine.scan(shelf, after + b"\0"), most):
-        last = one.key if isinstance(one, Damaged) else one[0]
-        if isinstance(one, Damaged):
+        last = one.key if isinstance(one, DamagedRecord) else one[0]
+        if isinstance(one, DamagedRecord):
             continue
         if shelf == ABOUT:
             out.append((shelf, one[0], one[2][:7].decode(), one[2][7 : 7 + DIGEST]))
         else:
-            row = read_row(one[2])
-            out.append((shelf, one[0], row.period, row.hash(ChainName.of_key(one[0])[0])[:DIGEST]))
+            row = decode_row(one[2])
+            out.append((shelf, one[0], row.period, row.hash(ChainId.from_key(one[0])[0])[:DIGEST]))
     return out, last
 
 
@@ -144,7 +152,7 @@
 class Reckoned:
     """What the next file of a period holds; whether more follow."""
 
-    lines: list[export.Line]
+    lines: list[export.ExportLine]
     more: bool
     lacking: int
 
@@ -155,27 +163,27 @@
     def rows() -> Iterator[tuple[str, Row]]:
         for shelf in (CHAIN, HEARD):
             for one in engine.scan(shelf):
-                if not isinstance(one, Damaged):
-                    yield str(ChainName.of_key(one[0])[0]), read_row(one[2])
+                if not isinstance(one, DamagedRecord):
+                    yield str(ChainId.from_key(one[0])[0]), decode_row(one[2])
 
     settled, lacking = closing.settled(number, rows(), period)
     before = {}
     for one in engine.scan(FIGURE):
-        if not isinstance(one, Damaged):
+        if not isinstance(one, DamagedRecord):
             name = int.from_bytes(one[0][:4], "big"), int.from_bytes(one[0][4:], "big")
-            before[name] = msgspec.msgpack.decode(one[2], type=export.Exported)
-    lines = export.lines_of(period, settled, before)
-    return Reckoned(lines[: export.MOST_LINES], len(lines) > export.MOST_LINES, len(lacking))
+            before[name] = msgspec.msgpack.decode(one[2], type=export.ExportedFigure)
+    lines = export.export_lines(period, settled, before)
+    return Reckoned(lines[: export.MAX_LINES_PER_FILE], len(lines) > export.MAX_LINES_PER_FILE, len(lacking))
 
 
-def _figure(line: export.Line, period: str) -> Change:
+def _figure(line: export.ExportLine, period: str) -> Change:
     """What is remembered of a line that was exported."""
     key = line.origin.to_bytes(4, "big") + (line.dialogue & (1 << 64) - 1).to_bytes(8, "big")
-    figure = export.Exported(line.billed, line.corrects or period)
+    figure = export.ExportedFigure(line.billed, line.corrects or period)
     return Change(FIGURE, key, msgspec.msgpack.encode(figure))
 
 
-def _no_figure(line: export.Line) -> Change:
+def _no_figure(line: export.ExportLine) -> Change:
     """A line that was not exported after all."""
     return Change(FIGURE, _figure(line, "").key, None)
 
@@ -195,13 +203,13 @@
         send: Callable[[int, bytes], bool],
         log: Callable[..., None],
         chance: random.Random,
-        linger: int = LINGER,
+        linger: int = LINGER_US,
         accounting: AccountingChannel | None = None,
     ) -> None:
         self.loop, self.number, self.wall_at, self.send_bytes, self.write_log = loop, number, wall, send, log
         self.roster = tuple(sorted({number, *roster}))
         self.keys, self.chance = keys, chance
-        self.keeper = Keeper(loop, disk, STORE, log, linger)
+        self.keeper = StoreService(loop, disk, STORE, log, linger)
         self.counts: Counter[str] = Counter()
         self.book: Journal | None = None
         self.agreements: dict[str, Agreement] = {}
@@ -218,9 +226,9 @@
         self.pulls: dict[tuple[int, str], Pull] = {}
         self.pulled: dict[tuple[int, str], int] = {}
         self.level: set[tuple[int, str]] = set()  # pulled to the end after the other end's statement
-        self.allowance = Allowance()
+        self.bandwidth = TokenBucket()
         self.accounting = accounting
-        self.sent = export.Sent()
+        self.export_progress = export.ExportProgress()
         self.sender: export.Sender | None = None
         self._reckoning = self._handing = False
         self.told_closed: set[str] = set()
@@ -263,20 +271,20 @@
         for kept in found.periods.values():
             self.agreements[kept.period] = Agreement(self.number, self.roster, kept)
             if kept.statement:
-                book.stated.add(kept.period)
-        self.about_from, self.kept_to = found.about_from, found.sent.done
-        self.sent = found.sent
+                book.stated_periods.add(kept.period)
+        self.about_from, self.kept_to = found.about_from, found.export_progress.completed_period
+        self.export_progress = found.export_progress
         if self.accounting:
-            self.sender = export.Sender(self.accounting.key, self.number, found.sent, found.files)
-        stated = max(book.stated, default="")
+            self.sender = export.Sender(self.accounting.key, self.number, found.export_progress, found.files)
+        stated = max(book.stated_periods, default="")
         # On an old disk the period in which it last lived, not the present one: else a process that was away while a
         # period ended would never state that, and all others would wait for it.
-        self.period = next_of(stated) if stated else period_of(wall if new else book.identity.alive)
+        self.period = next_period(stated) if stated else period_at(wall if new else book.identity.alive_at)
         if not new:
-            self.write_log("ledger_restarted", chain=str(book.chain.name), before=book.end_before[1])
+            self.write_log("ledger_restarted", chain=str(book.chain.name), before=book.previous_end[1])
         # First what the process before left, which is reckoned to its last moment; then this one's own.
-        first = book.begins(found.standing, LINGER, wall)
-        self._put(first + book.alive(wall))
+        first = book.resume(found.standing, LINGER_US, wall)
+        self._put(first + book.heartbeat(wall))
         while self._early:
             self._early.popleft()()
         self._read_on([ABOUT, HEARD, CHAIN], b"")
@@ -301,7 +309,7 @@
             else:
                 self.loop.call_later(READ_EVERY_S, self._read_on, shelves, last)
 
-        self.keeper.aside(lambda engine: read_digests(engine, shelf, after, READ_ROWS), done)
+        self.keeper.read_concurrently(lambda engine: read_digests(engine, shelf, after, READ_ROWS), done)
 
     def _digested(self, shelf: str, key: bytes, period: str, digest: bytes) -> None:
         if shelf == ABOUT:
@@ -309,7 +317,7 @@
                 self._collection(self.about, int.from_bytes(key[:4], "big"), period).add(key[4:], digest)
         elif period > self.kept_to:
             where = self.heard if shelf == HEARD else self.own
-            self._collection(where, ChainName.of_key(key)[0].number, period).add(key, digest)
+            self._collection(where, ChainId.from_key(key)[0].number, period).add(key, digest)
 
     def _collection(self, where: dict[tuple[int, str], Collection], number: int, period: str) -> Collection:
         found = where.get((number, period))
@@ -374,7 +382,7 @@
             return f"dialogue {origin}/{dialogue} is call server {origin}'s to correct"
         if not who or not why or max(len(who), len(why)) > 200:
             return "who and why: a text each, 200 characters at most"
-        self._put(self.book.add(Corrected(origin, dialogue, change, who, why, self.wall()), self.wall()))
+        self._put(self.book.append(Corrected(origin, dialogue, change, who, why, self.wall()), self.wall()))
         return ""
 
     def _book(self) -> Journal:
@@ -391,11 +399,11 @@
         if refused.count:
             wall = self.wall()
             first, last = (self.wall_at(at) for at in (refused.first, refused.last))
-            self._put(self._book().lacking(refused.count, first, last, wall))
+            self._put(self._book().entries_lost(refused.count, first, last, wall))
         return True
 
     def _put(self, changes: list[Change], safe: Callable[[], None] | None = None) -> None:
-        fresh = self.book.fresh if self.book else []
+        fresh = self.book.new_rows if self.book else []
         for period, key, hash_, about in fresh:
             digest = hash_[:DIGEST]
             self._collection(self.own, self.number, period).add(key, digest)
@@ -416,13 +424,13 @@
         if self.keeper.room(ROOM):
             self._say_overs()
             self._room()
-            self._put(self.book.alive(wall))
-        while self.period and end_of(self.period) + periods.MARGIN <= wall:
+            self._put(self.book.heartbeat(wall))
+        while self.period and period_end(self.period) + periods.CLOCK_MARGIN_US <= wall:
             self.state(self.period)
-        if now - self._again >= periods.AGAIN:
+        if now - self._again >= periods.RETRY_INTERVAL_US:
             self._again = now
             for one in self.agreements.values():
-                self._do(one, one.again(wall))
+                self._do(one, one.retry(wall))
         self._pull(now)
         self._export()
         self._hand_over(now)
@@ -432,12 +440,12 @@
         book = self._book()
         one = self.agreements.get(period)
         if one is None:
-            one = self.agreements[period] = Agreement(self.number, self.roster, Kept(period))
-        if one.kept.statement is None:
-            self._do(one, one.state_mine(book.statement(period)))
+            one = self.agreements[period] = Agreement(self.number, self.roster, PeriodRecord(period))
+        if one.record.statement is None:
+            self._do(one, one.record_own_statement(book.statement(period)))
             self.write_log("ledger_period_stated", period=period, rows=book.chain.seq)
         if period >= self.period:
-            self.period = next_of(period)
+            self.period = next_period(period)
 
     def _do(self, one: Agreement, out: Outcome) -> None:
         """Keep first, then say."""
@@ -447,15 +455,15 @@
             for to, message in sends:
                 self._send(to, message)
 
-        if out.keep:
-            key = one.kept.period.encode()
-            self._put([Change(PERIOD, key, msgspec.msgpack.encode(one.kept))], say)
+        if out.persist:
+            key = one.record.period.encode()
+            self._put([Change(PERIOD, key, msgspec.msgpack.encode(one.record))], say)
         else:
             say()
-        if out.keep and one.state == "closed" and one.kept.period not in self.told_closed:
-            self.told_closed.add(one.kept.period)
+        if out.persist and one.state == "closed" and one.record.period not in self.told_closed:
+            self.told_closed.add(one.record.period)
             self.write_log(
-                "ledger_period_closed", period=one.kept.period, instances=len(one.kept.closed or ())
+                "ledger_period_closed", period=one.record.period, instances=len(one.record.closed or ())
             )
 
     # -- other instances --
@@ -474,18 +482,18 @@
             self.counts["ledger_strange_message"] += 1
             return
         try:
-            message = MESSAGE.decode(data)
+            message = MESSAGE_DECODER.decode(data)
         except (msgspec.MsgspecError, ValueError, RecursionError):
             self.counts["ledger_strange_message"] += 1
             return
-        if isinstance(message, reconcile.Look):
+        if isinstance(message, reconcile.CompareRanges):
             self._looked(sender, message)
         elif isinstance(message, reconcile.Fetch):
             self._fetched(sender, message)
-        elif isinstance(message, reconcile.Differ):
+        elif isinstance(message, reconcile.RangeDifferences):
             pull = self.pulls.get((sender, message.topic))
             if pull:
-                pull.heard(message)
+                pull.apply_differences(message)
                 self._ask(sender, pull)
         elif isinstance(message, reconcile.Rows):
             self._took(sender, message)
@@ -494,16 +502,18 @@
 
     def _agree(self, sender: int, message: periods.Message) -> None:
         try:
-            end_of(message.period)
+            period_end(message.period)
         except ValueError:
             self.counts["ledger_strange_message"] += 1
             return
         one = self.agreements.get(message.period)
         if one is None:
             # Another's clock is ahead: its word is kept, this instance states when its own clock says so.
-            one = self.agreements[message.period] = Agreement(self.number, self.roster, Kept(message.period))
-        self._do(one, one.heard(sender, message))
-        if one.kept.closed is not None and one.kept.statement is None:
+            one = self.agreements[message.period] = Agreement(
+                self.number, self.roster, PeriodRecord(message.period)
+            )
+        self._do(one, one.receive(sender, message))
+        if one.record.closed is not None and one.record.statement is None:
             # Closed without this instance: it says no more for that period, what it adds is late.
             self.state(message.period)
 
@@ -518,13 +528,13 @@
         def work(engine: Engine) -> Collection:
             made, low = Collection(), whose.to_bytes(4, "big")
             for one in engine.scan(shelf, low, (whose + 1).to_bytes(4, "big")):
-                if isinstance(one, Damaged):
+                if isinstance(one, DamagedRecord):
                     continue
                 if shelf == ABOUT:
                     if one[2][:7].decode() == period:
                         made.add(one[0][4:], one[2][7 : 7 + DIGEST])
-                elif (row := read_row(one[2])).period == period:
-                    made.add(one[0], row.hash(ChainName.of_key(one[0])[0])[:DIGEST])
+                elif (row := decode_row(one[2])).period == period:
+                    made.add(one[0], row.hash(ChainId.from_key(one[0])[0])[:DIGEST])
             return made
 
         def done(found: Any) -> None:
@@ -532,7 +542,7 @@
             if isinstance(found, Collection):
                 into[key] = found
 
-        self.keeper.aside(work, done)
+        self.keeper.read_concurrently(work, done)
 
     def _asked_for(self, sender: int, topic: str) -> Collection | None:
         """What a topic names for an instance: `about/PERIOD`, rows about its dialogues; `all/PERIOD`, all own rows, for
@@ -554,21 +564,21 @@
             return self._collection(self.heard, sender, period)
         return None
 
-    def _looked(self, sender: int, look: reconcile.Look) -> None:
+    def _looked(self, sender: int, look: reconcile.CompareRanges) -> None:
         mine = self._asked_for(sender, look.topic)
         if mine is None:
             return
-        told = reconcile.answer(mine, look)
-        if self.allowance.may(len(msgspec.msgpack.encode(told)), self._now()):
+        told = reconcile.compare_ranges(mine, look)
+        if self.bandwidth.take(len(msgspec.msgpack.encode(told)), self._now()):
             self._send(sender, told)
         else:
             self.counts["ledger_held_back"] += 1
 
     def _fetched(self, sender: int, fetch: reconcile.Fetch) -> None:
         mine = self._asked_for(sender, fetch.topic)
-        keys = [key for key in fetch.keys[: reconcile.MOST_FETCHED] if mine and mine.get(key) is not None]
+        keys = [key for key in fetch.keys[: reconcile.MAX_FETCHED_ROWS] if mine and mine.get(key) is not None]
         shelf = HEARD if fetch.topic.startswith("back/") else CHAIN
-        if not self.allowance.may(300 * len(keys), self._now()):
+        if not self.bandwidth.take(300 * len(keys), self._now()):
             self.counts["ledger_held_back"] += 1
             return
 
@@ -577,7 +587,7 @@
             for key in keys:
                 try:
                     found = engine.get(shelf, key)
-                except Damaged:
+                except DamagedRecord:
                     continue
                 if found:
                     out.append((key, found[1]))
@@ -596,7 +606,11 @@
         for key, data in message.rows:
             back = pull.topic.startswith("back/")
             row = self._row_of(self.number if back else sender, key, data)
-            if row and self.keeper.room(ROOM) and pull.took(key, row.hash(ChainName.of_key(key)[0])[:DIGEST]):
+            if (
+                row
+                and self.keeper.room(ROOM)
+                and pull.accept_row(key, row.hash(ChainId.from_key(key)[0])[:DIGEST])
+            ):
                 self.counts["ledger_rows_back" if back else "ledger_rows_heard"] += 1
                 self._put([Change(CHAIN if back else HEARD, key, data)])
         self._ask(sender, pull)
@@ -604,10 +618,10 @@
     def _row_of(self, owner: int, key: bytes, data: bytes) -> Row | None:
         """A row, where it is one of that instance's own."""
         try:
-            name, seq = ChainName.of_key(key)
-            row = read_row(data)
-        except BadEntry:
-            name, row, seq = ChainName(-1, 0), None, 0
+            name, seq = ChainId.from_key(key)
+            row = decode_row(data)
+        except InvalidEntryError:
+            name, row, seq = ChainId(-1, 0), None, 0
         if row is None or name.number != owner or row.seq != seq:
             self.counts["ledger_strange_message"] += 1
             return None
@@ -637,7 +651,7 @@
             if other == self.kept_at:
                 # What a lost or old disk lacks comes back from there: of this period and the one before; what is older
                 # staff bring back from a snapshot.
-                for period in (self.period, previous_of(self.period)):
+                for period in (self.period, previous_period(self.period)):
                     self._pull_one(other, f"back/{period}", self.own, self.number, BACK_EVERY, now)
 
     def _pull_one(
@@ -659,7 +673,7 @@
 
     def _needs(self, period: str, one: Agreement) -> bool:
         """Whether evidence of a period may still be lacking."""
-        content = one.kept.closed
+        content = one.record.closed
         if content is None:
             return True
         return any(
@@ -668,8 +682,8 @@
 
     def _ask(self, other: int, pull: Pull) -> None:
         now = self._now()
-        for message in pull.next(now):
-            if not self.allowance.may(len(msgspec.msgpack.encode(message)), now):
+        for message in pull.next_requests(now):
+            if not self.bandwidth.take(len(msgspec.msgpack.encode(message)), now):
                 self.counts["ledger_held_back"] += 1
                 continue  # asked again after a while, like one that was lost
             self._send(other, message)
@@ -684,23 +698,23 @@
         self.counts["ledger_pulls"] += 1
         if kind == "back":
             return  # what is only here has not got there yet
-        if pull.strange:
-            self.counts["ledger_strange_rows"] += len(pull.strange)
-            self.write_log("ledger_rows_differ", instance=other, rows=len(pull.strange))
+        if pull.conflicts:
+            self.counts["ledger_strange_rows"] += len(pull.conflicts)
+            self.write_log("ledger_rows_differ", instance=other, rows=len(pull.conflicts))
         one = self.agreements.get(period)
-        if one and (other in one.said or one.kept.closed is not None):
+        if one and (other in one.statements or one.record.closed is not None):
             self.level.add((other, period))
 
     # -- export --
 
     def _export(self) -> None:
         """Make the next file of the next period that is closed and for which all evidence is here."""
-        later = sorted(name for name in self.agreements if name > self.sent.done)
+        later = sorted(name for name in self.agreements if name > self.export_progress.completed_period)
         if self.sender is None or self._reckoning or not later:
             return
         period = later[0]
         one = self.agreements[period]
-        if one.kept.closed is None or self._needs(period, one):
+        if one.record.closed is None or self._needs(period, one):
             return
         self._reckoning = True
 
@@ -711,21 +725,23 @@
                 self._reckoning = False
                 self.counts["ledger_export_failed"] += 1
 
-        self.keeper.aside(lambda engine: reckon(engine, self.number, period), done)
+        self.keeper.read_concurrently(lambda engine: reckon(engine, self.number, period), done)
 
     def _make_file(self, period: str, found: Reckoned) -> None:
         accounting, sender = self.accounting, self.sender
         assert accounting and sender
-        sequence = self.sent.sequence + 1
-        data = export.make_file(accounting.key, self.number, sequence, period, found.lines, self.sent.mac)
+        sequence = self.export_progress.sequence + 1
+        data = export.make_file(
+            accounting.key, self.number, sequence, period, found.lines, self.export_progress.mac
+        )
         mac = export.read_file(accounting.key, data).mac
-        before = msgspec.structs.replace(self.sent)
-        self.sent.sequence, self.sent.mac = sequence, mac
+        before = msgspec.structs.replace(self.export_progress)
+        self.export_progress.sequence, self.export_progress.mac = sequence, mac
         if not found.more:
-            self.sent.done = period
+            self.export_progress.completed_period = period
         changes = [
             Change(FILES, sequence.to_bytes(8, "big"), data),
-            Change(EXPORT, b"", msgspec.msgpack.encode(self.sent)),
+            Change(EXPORT, b"", msgspec.msgpack.encode(self.export_progress)),
         ]
         changes += [_figure(line, period) for line in found.lines]
 
@@ -742,8 +758,8 @@
             )
 
         if not self.keeper.put(changes, safe):
-            for name in ("sequence", "mac", "done"):
-                setattr(self.sent, name, getattr(before, name))
+            for name in ("sequence", "mac", "completed_period"):
+                setattr(self.export_progress, name, getattr(before, name))
             self._reckoning = False
 
     def _hand_over(self, now: int) -> None:
@@ -757,7 +773,7 @@
             try:
                 if data is not None:
                     accounting.outbox.put(sequence, data)
-                return accounting.outbox.receipts()
+                return accounting.outbox.take_receipts()
             except OSError as fault:
                 return fault
 
@@ -768,7 +784,7 @@
                 self.write_log("ledger_hand_over_failed", why=str(found))
                 return
             for data in found:
-                back = sender.given_back(data)
+                back = sender.adopt_returned_file(data)
                 if back is not None:
                     self._adopt(*back)
                 else:
@@ -781,8 +797,10 @@
         files that were made in its place were not."""
         one = file.manifest
         # The period is reckoned once more: what of it is not in the files that are given back goes in the next.
-        self.sent.done = max((name for name in self.agreements if name < one.period), default="")
-        changes = [Change(EXPORT, b"", msgspec.msgpack.encode(self.sent))]
+        self.export_progress.completed_period = max(
+            (name for name in self.agreements if name < one.period), default=""
+        )
+        changes = [Change(EXPORT, b"", msgspec.msgpack.encode(self.export_progress))]
         for other in void:
             changes.append(Change(FILES, other.manifest.sequence.to_bytes(8, "big"), None))
             for line in other.lines:
@@ -794,14 +812,14 @@
         self._put(changes)
 
     def _receipted(self, sender: export.Sender, receipt: bytes) -> None:
-        sequence = sender.heard(receipt)
+        sequence = sender.accept_receipt(receipt)
         if sequence is None:
             self.counts["ledger_strange_receipt"] += 1
-            self.write_log("ledger_strange_receipt", why=sender.wrong)
+            self.write_log("ledger_strange_receipt", why=sender.last_error)
             return
         self._put(
             [
-                Change(EXPORT, b"", msgspec.msgpack.encode(self.sent)),
+                Change(EXPORT, b"", msgspec.msgpack.encode(self.export_progress)),
                 Change(FILES, sequence.to_bytes(8, "big"), None),
             ]
         )
@@ -818,14 +836,14 @@
             "us_at_risk": condition.us_at_risk,
             "chain": str(self.book.chain.name) if self.book else "",
             "row": self.book.chain.seq if self.book else 0,
-            "standing": len(self.book.standing) if self.book else 0,
+            "standing": len(self.book.established) if self.book else 0,
             "period": self.period,
             "periods": {name: one.state for name, one in sorted(self.agreements.items())},
             "level_with": len(self.level),
             "exported": {
-                "periods_to": self.sent.done,
-                "files": self.sent.sequence,
-                "booked": self.sent.receipted,
+                "periods_to": self.export_progress.completed_period,
+                "files": self.export_progress.sequence,
+                "booked": self.export_progress.receipted,
                 "waiting": len(self.sender.files) if self.sender else 0,
             },
             "counts": dict(sorted((self.counts + self.keeper.counts).items())),
@@ -840,7 +858,7 @@
             raise ValueError(self.refused_disk or f"the store is not open: {self.keeper.condition().state}")
         match words:
             case ["close", period]:
-                if end_of(period) <= 0 or period > self.period:
+                if period_end(period) <= 0 or period > self.period:
                     raise ValueError(f"period {period}: the open one is {self.period}")
                 self.state(period)
                 return f"{period} is stated; it is closed when a majority agrees: {self.agreements[period].state}"
@@ -868,9 +886,9 @@
     def close(self, closed: Callable[[], None] | None = None) -> None:
         """End what stands, for its links go with the process, write what waits and close the store."""
         if self.book is not None:
-            for held, _ in list(self.book.standing.values()):
+            for held, _ in list(self.book.established.values()):
                 self.ended(held.side, held.origin, held.dialogue, "cut", held.dial)
-            self._put(self.book.alive(self.wall()))
+            self._put(self.book.heartbeat(self.wall()))
         self._halt()
         self.keeper.close(closed)
 
--- a/wellhitch/ledger/settle.py
+++ b/wellhitch/ledger/settle.py
@@ -21,23 +21,24 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from wellhitch.ledger.entries import Answered, Corrected, Entry, Over, encode
+from wellhitch.ledger.entries import Answered, Corrected, Ended, Entry, encode
 
-SLACK = 2_000_000  # us that two ends' spans may differ without a word: a release that is sent, lost with its link and
-# taken for a cut is seen by the other end at its next heartbeat or set-up, within that
+# A release that was lost with its connection and taken for a cut is seen by the other end at its next heartbeat or
+# set-up, which comes within this time.
+DISPUTE_THRESHOLD_US = 2_000_000
 
-Name = tuple[int, int]  # origin and dialogue
+DialogueId = tuple[int, int]  # origin and dialogue
 
 
 @dataclass(frozen=True, slots=True)
 class Settled:
     """What is billed of a dialogue. `state`: `billed`, `not_billed`, `open`, `orphan`."""
 
-    name: Name
+    dialogue_id: DialogueId
     state: str
     billed: int = 0
     tenant: str = ""
-    use_case: str = ""
+    traffic_class: str = ""
     destination: int = -1
     width: int = 1
     ended: int = 0
@@ -47,30 +48,30 @@
 
 
 @dataclass(slots=True)
-class Views:
+class DialogueEvidence:
     """All entries known of one dialogue. `add` is a union: order and repetition are of no matter."""
 
-    name: Name
+    dialogue_id: DialogueId
     answers: set[Answered] = field(default_factory=set)
-    overs: set[Over] = field(default_factory=set)
+    overs: set[Ended] = field(default_factory=set)
     corrections: set[Corrected] = field(default_factory=set)
 
     def add(self, entry: Entry) -> None:
         """One more entry about this dialogue."""
         if isinstance(entry, Answered):
             self.answers.add(entry)
-        elif isinstance(entry, Over):
+        elif isinstance(entry, Ended):
             self.overs.add(entry)
         elif isinstance(entry, Corrected):
             self.corrections.add(entry)
 
-    def join(self, other: "Views") -> None:
+    def join(self, other: "DialogueEvidence") -> None:
         """All that another end knows too."""
         self.answers |= other.answers
         self.overs |= other.overs
         self.corrections |= other.corrections
 
-    def _ends(self, side: str, dial: int) -> list[Over]:
+    def _ends(self, side: str, dial: int) -> list[Ended]:
         """The ends that one side saw of a dial; those that a restart guessed only where there is no other."""
         overs = [one for one in self.overs if one.side == side and one.dial == dial]
         return [one for one in overs if one.how != "restart"] or overs
@@ -109,7 +110,7 @@
             default=None,
         )
         if origin is None:
-            return Settled(self.name, "orphan")
+            return Settled(self.dialogue_id, "orphan")
         spans = self._spans(origin)
         change = sum(one.change for one in self.corrections)
         ended = min((one.at for one in self._ends("origin", -1)), default=origin.at)
@@ -117,21 +118,27 @@
         if origin.answer == "stands":
             if spans["origin"] == -1:
                 return Settled(
-                    self.name, "open", 0, origin.tenant, origin.use_case, origin.destination, origin.width
+                    self.dialogue_id,
+                    "open",
+                    0,
+                    origin.tenant,
+                    origin.traffic_class,
+                    origin.destination,
+                    origin.width,
                 )
             # An end where it stands still has not seen its end: its span is no bound yet.
             seen = {side: span for side, span in spans.items() if span is not None and span >= 0}
             billed, state = min(seen.values()), "billed"
-            if max(seen.values()) - billed > SLACK:
+            if max(seen.values()) - billed > DISPUTE_THRESHOLD_US:
                 dispute = ", ".join(f"{side} {span}" for side, span in sorted(seen.items()))
-        elif any(one.stood > SLACK for one in self.overs if one.side != "origin"):
+        elif any(one.stood > DISPUTE_THRESHOLD_US for one in self.overs if one.side != "origin"):
             dispute = f"origin {origin.answer}, though another end saw it stand"
         return Settled(
-            self.name,
+            self.dialogue_id,
             state,
             max(0, billed + change),
             origin.tenant,
-            origin.use_case,
+            origin.traffic_class,
             origin.destination,
             origin.width,
             ended,
@@ -141,14 +148,16 @@
         )
 
 
-def gather(entries: Iterable[Entry], into: dict[Name, Views] | None = None) -> dict[Name, Views]:
+def group_by_dialogue(
+    entries: Iterable[Entry], into: dict[DialogueId, DialogueEvidence] | None = None
+) -> dict[DialogueId, DialogueEvidence]:
     """Entries by the dialogue they speak of."""
-    out: dict[Name, Views] = {} if into is None else into
+    out: dict[DialogueId, DialogueEvidence] = {} if into is None else into
     for entry in entries:
-        if isinstance(entry, (Answered, Over, Corrected)):
-            name = (entry.origin, entry.dialogue)
-            views = out.get(name)
+        if isinstance(entry, (Answered, Ended, Corrected)):
+            dialogue_id = (entry.origin, entry.dialogue)
+            views = out.get(dialogue_id)
             if views is None:
-                views = out[name] = Views(name)
+                views = out[dialogue_id] = DialogueEvidence(dialogue_id)
             views.add(entry)
     return out
--- a/wellhitch/stand_ins/accounting.py
+++ b/wellhitch/stand_ins/accounting.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from wellhitch.ledger import export
-from wellhitch.ledger.export import BadFile
+from wellhitch.ledger.export import InvalidFileError
 from wellhitch.store.engine import Engine
 from wellhitch.store.records import Change
 
@@ -36,7 +36,7 @@
     """What is booked of a dialogue: the sum of its changes, and how many lines spoke of it."""
 
     tenant: str
-    use_case: str
+    traffic_class: str
     billed: int
     lines: int
 
@@ -52,7 +52,7 @@
 
     def _last(self, instance: int) -> Last:
         found = self.engine.get(LAST, instance.to_bytes(4, "big"))
-        return msgspec.msgpack.decode(found[1], type=Last) if found else Last(0, export.START)
+        return msgspec.msgpack.decode(found[1], type=Last) if found else Last(0, export.INITIAL_MAC)
 
     def _file(self, instance: int, sequence: int) -> bytes | None:
         found = self.engine.get(FILES, _file_key(instance, sequence))
@@ -66,7 +66,7 @@
         key = self.keys[instance]
         try:
             file = export.read_file(key, data)
-        except BadFile:
+        except InvalidFileError:
             self.counts["refused"] += 1
             return []
         if file.manifest.instance != instance:
@@ -75,16 +75,16 @@
         last = self._last(instance)
         held = self._file(instance, file.manifest.sequence)
         booked_mac = export.read_file(key, held).mac if held else None
-        taken = export.judge_file(file, last.sequence, last.mac, booked_mac)
-        if taken.what == "refuse":
+        decision = export.evaluate_file(file, last.sequence, last.mac, booked_mac)
+        if decision.action == "refuse":
             self.counts["refused"] += 1
             return []
-        if taken.what == "give_back":
+        if decision.action == "give_back":
             self.counts["gave_back"] += 1
             wanted = range(file.manifest.sequence, last.sequence + 1)
             return [one for n in wanted if (one := self._file(instance, n))]
         receipt = export.make_receipt(key, file)
-        if taken.what == "book":
+        if decision.action == "book":
             self._book(file, data)
         return self._answers(receipt)
 
@@ -97,7 +97,7 @@
             if was is None and (found := self.engine.get(BOOKED, key)):
                 was = msgspec.msgpack.decode(found[1], type=Booked)
             had, lines = (was.billed, was.lines) if was else (0, 0)
-            held[key] = Booked(line.tenant, line.use_case, had + line.change, lines + 1)
+            held[key] = Booked(line.tenant, line.traffic_class, had + line.change, lines + 1)
         changes = [Change(BOOKED, key, msgspec.msgpack.encode(one)) for key, one in held.items()]
         one = file.manifest
         mark = msgspec.msgpack.encode(Last(one.sequence, file.mac))
--- a/wellhitch/store/engine.py
+++ b/wellhitch/store/engine.py
@@ -10,23 +10,23 @@
 
 import apsw
 
-from wellhitch.store.maintenance import PIECE, Sizes
-from wellhitch.store.records import Change, Damaged, pack, unpack
+from wellhitch.store.maintenance import STEP_PAGES, Sizes
+from wellhitch.store.records import Change, DamagedRecord, pack, unpack
 
 APPLICATION = 0x57484C53  # "WHLS", in the file's header: a file of something else is not written to
 LAYOUT = 1  # of the tables
 BUSY_MS = 200  # a reader of the tools' holds a checkpoint up that long at most
 
 
-class StoreFault(Exception):
+class StoreError(Exception):
     """The store cannot do what it should. `trouble`: `full`, `read_only`, `damaged`, `failing`, `in_use`, `foreign`."""
 
-    def __init__(self, trouble: str, text: str) -> None:
+    def __init__(self, kind: str, text: str) -> None:
         super().__init__(text)
-        self.trouble = trouble
+        self.kind = kind
 
 
-TROUBLES: tuple[tuple[type[apsw.Error], str], ...] = (
+SQLITE_ERROR_KINDS: tuple[tuple[type[apsw.Error], str], ...] = (
     (apsw.FullError, "full"),
     (apsw.ReadOnlyError, "read_only"),
     (apsw.CantOpenError, "read_only"),
@@ -39,26 +39,26 @@
 )
 
 
-def told_as(error: Exception) -> StoreFault:
+def as_store_error(error: Exception) -> StoreError:
     """Whatever work on a disk raised, as a fault that whoever waits for the work is told. Guards against work that ends
     without a word: upkeep, commits and the opening of the store then waited for it for ever."""
-    if isinstance(error, StoreFault):
+    if isinstance(error, StoreError):
         return error
     if isinstance(error, apsw.Error):
-        return fault_of(error, "the store")
-    return StoreFault(
-        "damaged" if isinstance(error, Damaged) else "failing", f"{type(error).__name__}: {error}"
+        return from_sqlite_error(error, "the store")
+    return StoreError(
+        "damaged" if isinstance(error, DamagedRecord) else "failing", f"{type(error).__name__}: {error}"
     )
 
 
-def fault_of(error: apsw.Error, name: str) -> StoreFault:
+def from_sqlite_error(error: apsw.Error, name: str) -> StoreError:
     """SQLite's error as ours."""
-    trouble = next((told for kind, told in TROUBLES if isinstance(error, kind)), "failing")
-    return StoreFault(trouble, f"{name}: {error}")
+    kind = next((kind for error_type, kind in SQLITE_ERROR_KINDS if isinstance(error, error_type)), "failing")
+    return StoreError(kind, f"{name}: {error}")
 
 
 @dataclass(slots=True)
-class Scrub:
+class ScrubProgress:
     """How far a pass over all records is, and the damage it found."""
 
     after: tuple[str, bytes] = ("", b"")
@@ -73,7 +73,7 @@
     """One open file. `vfs`: the file seam, empty for the system's. `alone`: no other process may open it, and no
     shared memory is needed; the emulated disk has none."""
 
-    def __init__(self, name: str, vfs: str = "", alone: bool = False, read_only: bool = False) -> None:
+    def __init__(self, name: str, vfs: str = "", exclusive: bool = False, read_only: bool = False) -> None:
         """Raises StoreFault."""
         self.name, self.vfs = name, vfs
         flags = (
@@ -84,26 +84,26 @@
         try:
             self.db = apsw.Connection(name, flags=flags, vfs=vfs or None)
         except apsw.Error as error:
-            raise fault_of(error, name) from None
+            raise from_sqlite_error(error, name) from None
         try:
-            self._open(alone, read_only)
+            self._open(exclusive, read_only)
         except Exception as error:
             with contextlib.suppress(Exception):  # the first fault is the one to tell
                 self.db.close(True)
             if isinstance(error, apsw.Error):
-                raise fault_of(error, name) from None
+                raise from_sqlite_error(error, name) from None
             raise
 
-    def _open(self, alone: bool, read_only: bool) -> None:
+    def _open(self, exclusive: bool, read_only: bool) -> None:
         self.db.set_busy_timeout(BUSY_MS)
-        if alone:
+        if exclusive:
             self.db.execute("pragma locking_mode = exclusive")
         found, layout = self.db.pragma("application_id"), self.db.pragma("user_version")
         empty = self.db.execute("select count(*) from sqlite_schema").get == 0
         if not empty and found != APPLICATION:
-            raise StoreFault("foreign", f"{self.name}: a database of something else")
+            raise StoreError("foreign", f"{self.name}: a database of something else")
         if not empty and layout != LAYOUT:
-            raise StoreFault("foreign", f"{self.name}: layout {layout}; this program reads {LAYOUT}")
+            raise StoreError("foreign", f"{self.name}: layout {layout}; this program reads {LAYOUT}")
         if read_only:
             return
         if empty:
@@ -137,7 +137,7 @@
                 self.db.executemany("insert or replace into record values (?, ?, ?)", put)
                 self.db.executemany("delete from record where shelf = ? and key = ?", gone)
         except apsw.Error as error:
-            raise fault_of(error, self.name) from None
+            raise from_sqlite_error(error, self.name) from None
 
     def _numbers(self, names: set[str]) -> dict[str, int]:
         out = {}
@@ -157,15 +157,15 @@
                 (shelf, key),
             ).get
         except apsw.Error as error:
-            raise fault_of(error, self.name) from None
+            raise from_sqlite_error(error, self.name) from None
         return None if found is None else unpack(shelf, key, found)
 
     def scan(
-        self, shelf: str, low: bytes = b"", high: bytes | None = None, back: bool = False
-    ) -> Iterator[tuple[bytes, int, bytes] | Damaged]:
+        self, shelf: str, low: bytes = b"", high: bytes | None = None, reverse: bool = False
+    ) -> Iterator[tuple[bytes, int, bytes] | DamagedRecord]:
         """Keys from `low` on, under `high`, in order, or from the last `back`; a damaged record is told in its place.
         Raises StoreFault."""
-        order = "desc" if back else "asc"
+        order = "desc" if reverse else "asc"
         top, values = ("", (shelf, low)) if high is None else ("and key < ?", (shelf, low, high))
         try:
             rows = self.db.execute(
@@ -177,17 +177,17 @@
             for key, data in rows:
                 try:
                     yield key, *unpack(shelf, key or b"", data or b"")
-                except Damaged as damage:
+                except DamagedRecord as damage:
                     yield damage
         except apsw.Error as error:
-            raise fault_of(error, self.name) from None
+            raise from_sqlite_error(error, self.name) from None
 
     def shelves(self) -> list[str]:
         """Names of all shelves. Raises StoreFault."""
         try:
             return [name for (name,) in self.db.execute("select name from shelf order by name")]
         except apsw.Error as error:
-            raise fault_of(error, self.name) from None
+            raise from_sqlite_error(error, self.name) from None
 
     # -- upkeep: one piece at a time --
 
@@ -203,16 +203,16 @@
         except apsw.BusyError:
             return  # a reader stands in the way; the log is brought in at the next try
         except apsw.Error as error:
-            raise fault_of(error, self.name) from None
+            raise from_sqlite_error(error, self.name) from None
 
     def vacuum(self) -> None:
         """Give free pages back. Raises StoreFault."""
         try:
-            self.db.execute(f"pragma incremental_vacuum({PIECE})").get  # noqa: B018 - runs to its end
+            self.db.execute(f"pragma incremental_vacuum({STEP_PAGES})").get  # noqa: B018 - runs to its end
         except apsw.Error as error:
-            raise fault_of(error, self.name) from None
+            raise from_sqlite_error(error, self.name) from None
 
-    def scrub(self, state: Scrub, records: int) -> list[Damaged] | None:
+    def scrub(self, state: ScrubProgress, records: int) -> list[DamagedRecord] | None:
         """Read the next records again; the damage among them, or None when the pass is over. Raises StoreFault."""
         try:
             rows = list(
@@ -224,14 +224,14 @@
                 )
             )
         except apsw.Error as error:
-            raise fault_of(error, self.name) from None
+            raise from_sqlite_error(error, self.name) from None
         if not rows:
             return None
         out = []
         for name, key, data in rows:
             try:
                 unpack(name, key or b"", data or b"")
-            except Damaged as damage:
+            except DamagedRecord as damage:
                 out.append(damage)
         state.after = (rows[-1][0], rows[-1][1])
         state.records += len(rows)
@@ -244,7 +244,7 @@
         try:
             found = [text for (text,) in self.db.execute("pragma quick_check(10)")]
         except apsw.Error as error:
-            raise fault_of(error, self.name) from None
+            raise from_sqlite_error(error, self.name) from None
         return [] if found == ["ok"] else found
 
     def snapshot(self, to: str) -> bool:
@@ -254,13 +254,13 @@
             if self._backup is None:
                 self._copy = apsw.Connection(str(Path(self.name).with_name(to)), vfs=self.vfs or None)
                 self._backup = self._copy.backup("main", self.db, "main")
-            self._backup.step(PIECE)
+            self._backup.step(STEP_PAGES)
             if not self._backup.done:
                 return False
             self._end_snapshot()
         except apsw.Error as error:
             self._end_snapshot()
-            raise fault_of(error, to) from None
+            raise from_sqlite_error(error, to) from None
         return True
 
     def _end_snapshot(self) -> None:
--- a/wellhitch/store/maintenance.py
+++ b/wellhitch/store/maintenance.py
@@ -3,15 +3,15 @@
 from dataclasses import dataclass
 
 PAGES_PER_S = 500  # 2 MB a second of 4 KB pages: a tenth of what a poor disk bears
-PIECE = 100  # pages of one piece: some ms, the longest that a commit waits behind upkeep
-CHECKPOINT_AT = 1_000  # pages in the write-ahead log: 4 MB, read again in a few ms after a crash
-LONGEST_LOG = (
+STEP_PAGES = 100  # pages of one piece: some ms, the longest that a commit waits behind upkeep
+CHECKPOINT_THRESHOLD_PAGES = 1_000  # pages in the write-ahead log: 4 MB, read again in a few ms after a crash
+MAX_LOG_PAGES = (
     16_000  # pages: from here the log is brought in whatever the budget says, or it would grow for ever
 )
 # where more is written than the budget moves
-VACUUM_AT = 1_000  # free pages in the file before any are given back
-SCRUB_RECORDS = 400  # records read again in one piece; about as many bytes as PIECE pages
-SCRUB_EVERY = 24 * 3_600_000_000  # us between two passes over all records
+VACUUM_THRESHOLD_PAGES = 1_000  # free pages in the file before any are given back
+SCRUB_STEP_RECORDS = 400  # records read again in one piece; about as many bytes as PIECE pages
+SCRUB_INTERVAL_US = 24 * 3_600_000_000  # us between two passes over all records
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Upkeep:
+class Maintenance:
     """The state of upkeep of one file. `snapshot`: whether one is being made."""
 
     budget: float = float(PAGES_PER_S)
@@ -37,22 +37,22 @@
         than they should, and everything but a log at its limit is put off."""
         self.budget = min(float(PAGES_PER_S), self.budget + PAGES_PER_S * (now - self.at) / 1_000_000)
         self.at = now
-        if sizes.log >= LONGEST_LOG:
+        if sizes.log >= MAX_LOG_PAGES:
             return self._take("checkpoint")
-        if pressed or self.budget < PIECE:
+        if pressed or self.budget < STEP_PAGES:
             return ""
-        if sizes.log >= CHECKPOINT_AT:
+        if sizes.log >= CHECKPOINT_THRESHOLD_PAGES:
             return self._take("checkpoint")
         if self.snapshot:
             return self._take("snapshot")
-        if sizes.free >= VACUUM_AT:
+        if sizes.free >= VACUUM_THRESHOLD_PAGES:
             return self._take("vacuum")
-        if not self.scrubbing and now - self.scrubbed_at >= SCRUB_EVERY:
+        if not self.scrubbing and now - self.scrubbed_at >= SCRUB_INTERVAL_US:
             self.scrubbing = True
         return self._take("scrub") if self.scrubbing else ""
 
     def _take(self, piece: str) -> str:
-        self.budget -= PIECE
+        self.budget -= STEP_PAGES
         return piece
 
     def scrubbed(self, now: int) -> None:
--- a/wellhitch/store/records.py
+++ b/wellhitch/store/records.py
@@ -14,11 +14,13 @@
 from blake3 import blake3
 
 FORMAT = 1
-HEAD = 3
-SUM = 16  # bytes: chance finds an equal sum once in 2^64 tries, and nobody forges one here; chains carry 32
+HEADER_BYTES = 3
+CHECKSUM_BYTES = (
+    16  # bytes: chance finds an equal sum once in 2^64 tries, and nobody forges one here; chains carry 32
+)
 
 
-class Damaged(Exception):
+class DamagedRecord(Exception):
     """A record that is not what was written. Names shelf and key."""
 
     def __init__(self, shelf: str, key: bytes, why: str) -> None:
@@ -38,7 +40,7 @@
     @property
     def size(self) -> int:
         """Bytes that it makes the disk write, about."""
-        return len(self.key) + len(self.body or b"") + HEAD + SUM
+        return len(self.key) + len(self.body or b"") + HEADER_BYTES + CHECKSUM_BYTES
 
 
 def checksum(shelf: str, key: bytes, version: int, body: bytes) -> bytes:
@@ -46,7 +48,7 @@
     made = blake3(len(shelf).to_bytes(2, "big") + shelf.encode())
     made.update(len(key).to_bytes(2, "big") + key + version.to_bytes(2, "big"))
     made.update(body)
-    return made.digest(SUM)
+    return made.digest(CHECKSUM_BYTES)
 
 
 def pack(change: Change) -> bytes:
@@ -59,13 +61,13 @@
 
 def unpack(shelf: str, key: bytes, data: bytes) -> tuple[int, bytes]:
     """Version and body. Raises Damaged; total: any bytes give a record or that."""
-    if len(data) < HEAD + SUM:
-        raise Damaged(shelf, key, f"{len(data)} bytes, too few for a record")
-    version, body = int.from_bytes(data[1:3], "big"), data[HEAD + SUM :]
-    if data[HEAD : HEAD + SUM] != checksum(shelf, key, version, body):
-        raise Damaged(shelf, key, "its checksum does not fit")
+    if len(data) < HEADER_BYTES + CHECKSUM_BYTES:
+        raise DamagedRecord(shelf, key, f"{len(data)} bytes, too few for a record")
+    version, body = int.from_bytes(data[1:3], "big"), data[HEADER_BYTES + CHECKSUM_BYTES :]
+    if data[HEADER_BYTES : HEADER_BYTES + CHECKSUM_BYTES] != checksum(shelf, key, version, body):
+        raise DamagedRecord(shelf, key, "its checksum does not fit")
     if data[0] != FORMAT:
-        raise Damaged(shelf, key, f"format {data[0]}; this program reads {FORMAT}")
+        raise DamagedRecord(shelf, key, f"format {data[0]}; this program reads {FORMAT}")
     return version, body
 
 
@@ -88,7 +90,7 @@
         """The body as of the present version. Raises Damaged for a version that a newer program wrote: it is left as
         it is, for nothing may be lost by an older one reading it."""
         if not 1 <= version <= self.present:
-            raise Damaged(shelf, key, f"version {version}; this program reads 1 to {self.present}")
+            raise DamagedRecord(shelf, key, f"version {version}; this program reads 1 to {self.present}")
         for n in range(version, self.present):
             body = self.steps[n](body)
         return body
--- a/wellhitch/store/service.py
+++ b/wellhitch/store/service.py
@@ -8,10 +8,10 @@
 from typing import Any, Protocol
 
 from wellhitch.net.seam import now_us
-from wellhitch.store.engine import Engine, Scrub, StoreFault
-from wellhitch.store.maintenance import SCRUB_RECORDS, Upkeep
-from wellhitch.store.records import Change, Damaged
-from wellhitch.store.writer import LINGER, MOST_WAITING, Refused, Writer
+from wellhitch.store.engine import Engine, ScrubProgress, StoreError
+from wellhitch.store.maintenance import SCRUB_STEP_RECORDS, Maintenance
+from wellhitch.store.records import Change, DamagedRecord
+from wellhitch.store.writer import LINGER_US, MAX_WAITING_CHANGES, RefusedChanges, Writer
 
 UPKEEP_EVERY = (
     0.2  # s between looks at what upkeep is due: one piece each, so at most PAGES_PER_S and no more
@@ -28,12 +28,14 @@
     def run(self, work: Callable[[], Any], done: Callable[[Any], None]) -> None:
         """Do work that may block, in the order asked; `done` gets its result, or the StoreFault it raised."""
 
-    def aside(self, engine: Engine, work: Callable[[Engine], Any], done: Callable[[Any], None]) -> None:
+    def read_concurrently(
+        self, engine: Engine, work: Callable[[Engine], Any], done: Callable[[Any], None]
+    ) -> None:
         """Read on a connection of its own, beside `run`."""
 
 
 @dataclass(frozen=True, slots=True)
-class Condition:
+class StoreCondition:
     """What the store says of itself: its state, what a power cut would lose now, what it had to refuse."""
 
     state: str
@@ -43,7 +45,7 @@
     damaged: int
 
 
-class Keeper:
+class StoreService:
     """One store in service. `log` takes an event with facts."""
 
     def __init__(
@@ -52,22 +54,22 @@
         disk: Disk,
         name: str,
         log: Callable[..., None],
-        linger: int = LINGER,
-        most_waiting: int = MOST_WAITING,
+        linger: int = LINGER_US,
+        max_waiting: int = MAX_WAITING_CHANGES,
     ) -> None:
         self.loop, self.disk, self.name, self.write_log = loop, disk, name, log
-        self.writer, self.upkeep = Writer(linger, most_waiting), Upkeep()
+        self.writer, self.upkeep = Writer(linger, max_waiting), Maintenance()
         self.counts: Counter[str] = Counter()
         self.engine: Engine | None = None
-        self.damage: list[Damaged] = []
+        self.damage: list[DamagedRecord] = []
         self._safe: deque[tuple[int, Callable[[], None]]] = deque()
         self._put_count = self._safe_count = 0
-        self._scrub = Scrub()
+        self._scrub = ScrubProgress()
         self._snapshot_to = ""
         self._snapshot_done: Callable[[str], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._busy = self._closing = False
-        self._open_trouble = ""
+        self._open_error_kind = ""
         self._read_first: Callable[[Engine], Any] = lambda engine: None
         self._ready: Callable[[Any], None] = lambda found: None
         self._said = "well"
@@ -101,13 +103,13 @@
         self._run(work, self._is_open)
 
     def _is_open(self, found: Any) -> None:
-        if isinstance(found, StoreFault):
-            self._open_trouble = found.trouble
+        if isinstance(found, StoreError):
+            self._open_error_kind = found.kind
             self.counts["store_not_opened"] += 1
-            self.write_log("store_not_opened", name=self.name, trouble=found.trouble, why=str(found))
+            self.write_log("store_not_opened", name=self.name, trouble=found.kind, why=str(found))
             self.loop.call_later(OPEN_AGAIN / 1e6, self._try_open)
             return
-        self.engine, self._open_trouble = found[0], ""
+        self.engine, self._open_error_kind = found[0], ""
         self.write_log("store_opened", name=self.name)
         self._ready(found[1])
         self._arm()
@@ -128,13 +130,13 @@
 
     def room(self, changes: int) -> bool:
         """Whether so many changes would be taken now."""
-        return self.writer.held + changes <= self.writer.most_waiting
+        return self.writer.held + changes <= self.writer.max_waiting
 
     def refuse(self) -> None:
         """Count something that found no room."""
         self.writer.refuse(self.now())
 
-    def refused(self) -> Refused:
+    def refused(self) -> RefusedChanges:
         """As `Writer.take_refused`."""
         return self.writer.take_refused()
 
@@ -153,9 +155,9 @@
         batch = self.writer.begin(self.now())
 
         def done(found: Any) -> None:
-            if isinstance(found, StoreFault):
-                self.counts[f"store_failed.{found.trouble}"] += 1
-                self.writer.failed(found.trouble, self.now())
+            if isinstance(found, StoreError):
+                self.counts[f"store_failed.{found.kind}"] += 1
+                self.writer.failed(found.kind, self.now())
             else:
                 self._safe_count += self.writer.committed(self.now())
                 while self._safe and self._safe[0][0] <= self._safe_count:
@@ -188,12 +190,12 @@
             elif piece == "snapshot":
                 return piece, engine.snapshot(self._snapshot_to)
             elif piece == "scrub":
-                return piece, engine.scrub(self._scrub, SCRUB_RECORDS)
+                return piece, engine.scrub(self._scrub, SCRUB_STEP_RECORDS)
             return piece, None
 
         def done(found: Any) -> None:
             self._busy = False
-            if isinstance(found, StoreFault):
+            if isinstance(found, StoreError):
                 self.counts["store_upkeep_failed"] += 1
                 if self.upkeep.snapshot:
                     self._snapshot_over(str(found))
@@ -208,13 +210,13 @@
 
         self._run(work, done)
 
-    def _scrubbed(self, found: list[Damaged] | None) -> None:
+    def _scrubbed(self, found: list[DamagedRecord] | None) -> None:
         if found is None:
             self.write_log("store_scrubbed", records=self._scrub.records, damaged=self._scrub.damage)
-            self._scrub = Scrub()
+            self._scrub = ScrubProgress()
             self.upkeep.scrubbed(self.now())
             # Beside the commits, for it reads the whole file in one piece.
-            self.aside(lambda engine: engine.check(), self._checked)
+            self.read_concurrently(lambda engine: engine.check(), self._checked)
             return
         for damage in found:
             self.counts["store_damaged"] += 1
@@ -222,7 +224,7 @@
             self.write_log("store_damaged", shelf=damage.shelf, key=damage.key.hex(), why=damage.why)
 
     def _checked(self, found: Any) -> None:
-        for why in [str(found)] if isinstance(found, StoreFault) else found:
+        for why in [str(found)] if isinstance(found, StoreError) else found:
             self.counts["store_damaged"] += 1
             self.write_log("store_damaged", shelf="", key="", why=why)
 
@@ -246,27 +248,31 @@
         """Read on the disk, after all commits that are under way; `done` gets the result or a StoreFault."""
         engine = self.engine
         if engine is None:
-            self.loop.call_soon(done, StoreFault(self._open_trouble or "failing", f"{self.name} is not open"))
+            self.loop.call_soon(
+                done, StoreError(self._open_error_kind or "failing", f"{self.name} is not open")
+            )
             return
         self._run(lambda: work(engine), done)
 
-    def aside(self, work: Callable[[Engine], Any], done: Callable[[Any], None]) -> None:
+    def read_concurrently(self, work: Callable[[Engine], Any], done: Callable[[Any], None]) -> None:
         """Read much, beside the commits and not between them; what waits to be committed may be missing."""
         engine = self.engine
         if engine is None:
-            self.loop.call_soon(done, StoreFault(self._open_trouble or "failing", f"{self.name} is not open"))
+            self.loop.call_soon(
+                done, StoreError(self._open_error_kind or "failing", f"{self.name} is not open")
+            )
             return
-        self.disk.aside(engine, work, lambda found: None if self._closing else done(found))
+        self.disk.read_concurrently(engine, work, lambda found: None if self._closing else done(found))
 
     def run(self, work: Callable[[], Any], done: Callable[[Any], None]) -> None:
         """Do other work that blocks on the same disk."""
         self._run(work, done)
 
-    def condition(self) -> Condition:
+    def condition(self) -> StoreCondition:
         """How the store is now."""
         changes, age = self.writer.at_risk(self.now())
-        state = self._open_trouble or self.writer.condition(self.now())
-        return Condition(state, changes, age, self.writer.refused.count, self.counts["store_damaged"])
+        state = self._open_error_kind or self.writer.condition(self.now())
+        return StoreCondition(state, changes, age, self.writer.refused.count, self.counts["store_damaged"])
 
     def _tell(self) -> None:
         state = self.condition().state
@@ -292,7 +298,7 @@
 
         def work() -> None:
             if engine is None:
-                raise StoreFault("failing", f"{self.name} is not open")
+                raise StoreError("failing", f"{self.name} is not open")
             try:
                 for batch in batches:
                     engine.commit(batch)
@@ -300,7 +306,7 @@
                 engine.close()
 
         def done(found: Any) -> None:
-            if isinstance(found, StoreFault) and any(batches):
+            if isinstance(found, StoreError) and any(batches):
                 self.write_log("store_lost", name=self.name, changes=sum(map(len, batches)), why=str(found))
             if closed:
                 closed()
--- a/wellhitch/store/system.py
+++ b/wellhitch/store/system.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from wellhitch.store.engine import Engine, StoreFault, told_as
+from wellhitch.store.engine import Engine, StoreError, as_store_error
 
 
 class SystemDisk:
@@ -31,17 +31,19 @@
                     fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 except OSError:
                     os.close(held)
-                    raise StoreFault("in_use", f"{path}: another process has it") from None
+                    raise StoreError("in_use", f"{path}: another process has it") from None
                 self._locks[name] = held
         except OSError as fault:
-            raise StoreFault("read_only", f"{path}: {fault.strerror}") from None
+            raise StoreError("read_only", f"{path}: {fault.strerror}") from None
         return Engine(str(path))
 
     def run(self, work: Callable[[], Any], done: Callable[[Any], None]) -> None:
         """As `Disk`."""
         self._on(self._thread, work, done)
 
-    def aside(self, engine: Engine, work: Callable[[Engine], Any], done: Callable[[Any], None]) -> None:
+    def read_concurrently(
+        self, engine: Engine, work: Callable[[Engine], Any], done: Callable[[Any], None]
+    ) -> None:
         """As `Disk`."""
 
         def read() -> Any:
@@ -59,7 +61,7 @@
             try:
                 found = work()
             except Exception as fault:
-                found = told_as(fault)
+                found = as_store_error(fault)
             if not self._loop.is_closed():
                 self._loop.call_soon_threadsafe(done, found)
 
