--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -14,7 +14,7 @@
 from wellhitch.hooks.state_file import decode_state, encode_state
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.interface import events as ev
-from wellhitch.ledger.desk import Desk
+from wellhitch.ledger.service import SettlementService
 from wellhitch.net.transport import Listener, Network, now_us
 from wellhitch.server.hook_runner import NO_CLOCK, Hooked, WallClock
 from wellhitch.server.metrics import exposition
@@ -40,7 +40,7 @@
     def __call__(self, event: str, **facts: Any) -> None: ...
 
 
-MakeDesk = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], Desk]
+MakeDesk = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], SettlementService]
 
 
 @dataclass(frozen=True, slots=True)
@@ -296,7 +296,7 @@
         if self.desk is None:
             return "no ledger: the sheet names none"
         try:
-            return self.desk.asked(what)
+            return self.desk.run_command(what)
         except ValueError as fault:
             return f"not done: {fault}"
 
@@ -445,7 +445,7 @@
         if isinstance(frame, frames.PeerMessage):
             self.daemon.switch.word(port.peer.number, frame.payload, self.daemon.now())
         elif isinstance(frame, frames.LedgerMessage) and self.daemon.desk:
-            self.daemon.desk.heard_from(port.peer.number, frame.payload)
+            self.daemon.desk.receive(port.peer.number, frame.payload)
 
     def channel_opened(self, port: Channel) -> None:
         """A peer is there: either end may have opened the link."""
