--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -293,10 +293,10 @@
 class Failing:
     """A ledger that fails at every word."""
 
-    def dialogue_answered(self, *what: Any) -> None:
+    def answered(self, *what: Any) -> None:
         raise OSError("broken on purpose")
 
-    dialogue_ended = carried_dialogue_ended = dialogue_answered
+    ended = local_dialogue_ended = answered
 
 
 FAULTS: dict[str, Callable[[Struck], None]] = {
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -467,13 +467,13 @@
 class Raising:
     """A ledger that fails at every word."""
 
-    def dialogue_answered(self, seen: Any, answer: str) -> None:
+    def answered(self, seen: Any, answer: str) -> None:
         raise OverflowError("int too big to convert")
 
-    def dialogue_ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
         raise OverflowError("int too big to convert")
 
-    def carried_dialogue_ended(self, seen: Any, how: str, stood: int) -> None:
+    def local_dialogue_ended(self, seen: Any, how: str, stood: int) -> None:
         raise OverflowError("int too big to convert")
 
 
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -14,7 +14,7 @@
 from wellhitch.hooks.state_file import decode_state, encode_state
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.interface import events as ev
-from wellhitch.ledger.desk import Desk
+from wellhitch.ledger.service import SettlementService
 from wellhitch.net.transport import Listener, Network, now_us
 from wellhitch.server.hook_runner import LOOP_TIME_CLOCK, HookRunner, WallClock
 from wellhitch.server.metrics import exposition
@@ -40,7 +40,7 @@
     def __call__(self, event: str, **facts: Any) -> None: ...
 
 
-MakeSettlement = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], Desk]
+MakeSettlement = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], SettlementService]
 
 
 @dataclass(frozen=True, slots=True)
@@ -310,7 +310,7 @@
         if self.settlement is None:
             return "no ledger: the sheet names none"
         try:
-            return self.settlement.asked(request)
+            return self.settlement.run_command(request)
         except ValueError as fault:
             return f"not done: {fault}"
 
@@ -459,7 +459,7 @@
         if isinstance(frame, frames.PeerMessage):
             self.daemon.switch.peer_message_received(port.peer.number, frame.payload, self.daemon.now())
         elif isinstance(frame, frames.LedgerMessage) and self.daemon.settlement:
-            self.daemon.settlement.heard_from(port.peer.number, frame.payload)
+            self.daemon.settlement.receive(port.peer.number, frame.payload)
 
     def channel_opened(self, port: Channel) -> None:
         """A peer is there: either end may have opened the link."""
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -16,7 +16,7 @@
 from wellhitch.hooks.points import HookResult
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
-from wellhitch.ledger.book import Seen
+from wellhitch.ledger.journal import DialogueFacts
 from wellhitch.net.transport import Timer
 from wellhitch.server.dials import (
     OFFICE_STATES,
@@ -84,13 +84,13 @@
 class LedgerObserver(Protocol):
     """What a ledger is told; nothing comes back, and nothing waits for it."""
 
-    def dialogue_answered(self, seen: Seen, answer: str) -> None:
+    def answered(self, seen: DialogueFacts, answer: str) -> None:
         """A dialogue got its answer."""
 
-    def dialogue_ended(self, role: str, origin: int, dialogue: int, ending: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
         """A dialogue that stood is over, `released` or `cut`; `dial` as it was asked for here."""
 
-    def carried_dialogue_ended(self, seen: Seen, ending: str, duration: int) -> None:
+    def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int) -> None:
         """The own office told of one that ended in this exchange."""
 
 
@@ -339,7 +339,7 @@
             out = taken.active_dial if answer == "stands" else None
             onward = out.number if out else -1
             via = out.office.number if out and out.office.number != taken.destination else -1
-            seen = Seen(
+            seen = DialogueFacts(
                 _role(taken),
                 taken.origin,
                 taken.origin_id,
@@ -354,19 +354,19 @@
                 onward,
                 via,
             )
-            self._notify_ledger(self.ledger.dialogue_answered, seen, answer)
+            self._notify_ledger(self.ledger.answered, seen, answer)
 
     def _report_end(self, taken: PendingCall, how: str) -> None:
         if self.ledger:
             side, dial = _role(taken), taken.origin_dial
-            self._notify_ledger(self.ledger.dialogue_ended, side, taken.origin, taken.origin_id, how, dial)
+            self._notify_ledger(self.ledger.ended, side, taken.origin, taken.origin_id, how, dial)
 
     def carried_dialogue_ended(self, office: str, frame: frames.CarriedDialogue) -> None:
         """The own office tells of a dialogue that stood in this exchange and is over."""
         if self.offices[office].number != self.number or frame.ending not in ("released", "cut"):
             self.counts["strays.Carried"] += 1
         elif self.ledger and 0 <= frame.origin < frames.MAX_EXCHANGES and 0 <= frame.duration < 1 << 53:
-            seen = Seen(
+            seen = DialogueFacts(
                 "destination",
                 frame.origin,
                 frame.dialogue,
@@ -376,7 +376,7 @@
                 frame.width,
                 dial=frame.dial,
             )
-            self._notify_ledger(self.ledger.carried_dialogue_ended, seen, frame.ending, frame.duration)
+            self._notify_ledger(self.ledger.local_dialogue_ended, seen, frame.ending, frame.duration)
 
     def _forget(self, taken: PendingCall) -> None:
         self.calls.pop(taken.id, None)
