--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -71,9 +71,8 @@
             io, self.offices, self.counts, self._call_ended, self._release_if_unused
         )
         self.calls, self.releases = self.established.calls, self.established.releases
-        self.stopping = (
-            False  # health checks fail, so that the front end of the callers stops using this call server
-        )
+        # Health checks fail, so that the front end of the callers stops using this call server.
+        self.stopping = False
         self.draining = False  # new set-ups are refused
         # Whether callers have had the time to report the calls from before the start.
         self._callers_reported_calls = False
@@ -113,15 +112,15 @@
     def carry_out(self, action: act.Action, now: int) -> None:
         """Carry out one action of the decision module."""
         match action:
-            case act.Send(dialogue, office, within):
-                self._dial(dialogue, office, within, now)
+            case act.Send(dialogue, office, timeout_us):
+                self._dial(dialogue, office, timeout_us, now)
             case act.Cancel(dialogue, number):
                 pending = self.pending_calls.get(dialogue)
                 if pending and pending.dial and pending.dial.number == number:
                     self._abandon_dial(pending.dial, ev.Ending.CANCELLED, now)
-            case act.PushBack(dialogue, come_back):
+            case act.PushBack(dialogue, retry_after_us):
                 if dialogue in self.pending_calls:
-                    headers = f"X-Cooldown: {-(-come_back // 1000)}\r\n" if come_back else ""
+                    headers = f"X-Cooldown: {-(-retry_after_us // 1000)}\r\n" if retry_after_us else ""
                     self._send_failure(self.pending_calls[dialogue], 503, "pushed_back", headers, now)
             case act.Forfeit(dialogue):
                 if dialogue in self.pending_calls:
@@ -326,7 +325,7 @@
 
     # ---- dials ----
 
-    def _dial(self, dialogue: int, office_id: str, within: int, now: int) -> None:
+    def _dial(self, dialogue: int, office_id: str, timeout_us: int, now: int) -> None:
         """Dial an office. A dial that must not be sent is reported as not sent at once."""
         pending, office = self.pending_calls.get(dialogue), self.offices.get(office_id)
         if pending is None or pending.dial is not None:
@@ -353,13 +352,13 @@
         dial = pending.dial = PendingDial(pending, number, office, now)
         office.dials[pending.call_id] = dial
         dial.timer = self.io.start_timer(
-            max(0, within), lambda fired_at: self._dial_timed_out(dial, fired_at)
+            max(0, timeout_us), lambda fired_at: self._dial_timed_out(dial, fired_at)
         )
         line = lines.new(
             pending.call_id,
             pending.traffic_class,
             pending.called_number,
-            max(1, within // 1000),
+            max(1, timeout_us // 1000),
             pending.description,
         )
         self.io.send_dial(dial, line)
--- a/wellhitch/platform/offices.py
+++ b/wellhitch/platform/offices.py
@@ -22,9 +22,8 @@
 MAX_RETRY_DELAY_S = (
     1.0  # reconnects soon after an office restarts, and costs one attempt a second if it does not
 )
-MAX_QUEUED_LINES = (
-    512  # lines that wait for a connection to an office; they are releases, which would arrive late
-)
+# Lines that wait for a connection to an office; they are releases, which would arrive late.
+MAX_QUEUED_LINES = 512
 
 
 class OfficeEvents(Protocol):
