--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -16,7 +16,7 @@
 from wellhitch.hooks.points import HookResult
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
-from wellhitch.ledger.book import Seen
+from wellhitch.ledger.journal import DialogueFacts
 from wellhitch.net.transport import Timer
 from wellhitch.server.dials import (
     ENDINGS,
@@ -31,7 +31,7 @@
 )
 from wellhitch.server.hook_runner import TICK, Hooked
 from wellhitch.trunk import frames
-from wellhitch.trunk.circuits import Group, disagreement
+from wellhitch.trunk.circuits import TrunkGroup, track_disagreement
 
 # Taken off each deadline, so that the answer is there in time although a turn of the loop is late by most of it: a
 # collection of garbage or a process that is not scheduled holds a turn up for tens of milliseconds.
@@ -63,7 +63,7 @@
         """Whether it has read all that was sent before the mark."""
 
     def reset(self, office: str, why: str) -> None:
-        """Break the link to an office; link_down follows."""
+        """Break the link to an office; channel_closed follows."""
 
     def keep_link(self, office: str, address: str) -> None:
         """Keep a link to an office up."""
@@ -84,13 +84,13 @@
 class Witness(Protocol):
     """What a ledger is told; nothing comes back, and nothing waits for it."""
 
-    def answered(self, seen: Seen, answer: str) -> None:
+    def answered(self, seen: DialogueFacts, answer: str) -> None:
         """A dialogue got its answer."""
 
-    def over(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
         """A dialogue that stood is over, `released` or `cut`; `dial` as it was asked for here."""
 
-    def witnessed(self, seen: Seen, how: str, stood: int) -> None:
+    def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int) -> None:
         """The own office told of one that ended in this exchange."""
 
 
@@ -107,7 +107,7 @@
         self.by_caller: dict[tuple[Hashable, int], Taken] = {}
         self.heard: dict[Hashable, Recent] = {}
         self.offices: dict[str, OfficeEnd] = {}
-        self.groups: dict[int, Group] = {}
+        self.groups: dict[int, TrunkGroup] = {}
         self.advice: list[int] = []
         self.revision = -1
         self.stopping = False
@@ -333,7 +333,7 @@
             out = taken.active if answer == "stands" else None
             onward = out.number if out else -1
             via = out.office.number if out and out.office.number != taken.destination else -1
-            seen = Seen(
+            seen = DialogueFacts(
                 _side(taken),
                 taken.origin,
                 taken.origin_id,
@@ -353,14 +353,14 @@
     def _told_over(self, taken: Taken, how: str) -> None:
         if self.witness:
             side, dial = _side(taken), taken.asked_dial
-            self._witness(self.witness.over, side, taken.origin, taken.origin_id, how, dial)
+            self._witness(self.witness.ended, side, taken.origin, taken.origin_id, how, dial)
 
     def carried(self, office: str, frame: frames.CarriedDialogue) -> None:
         """The own office tells of a dialogue that stood in this exchange and is over."""
         if self.offices[office].number != self.number or frame.ending not in ("released", "cut"):
             self.counts["strays.Carried"] += 1
         elif self.witness and 0 <= frame.origin < frames.MAX_EXCHANGES and 0 <= frame.duration < 1 << 53:
-            seen = Seen(
+            seen = DialogueFacts(
                 "destination",
                 frame.origin,
                 frame.dialogue,
@@ -370,7 +370,7 @@
                 frame.width,
                 dial=frame.dial,
             )
-            self._witness(self.witness.witnessed, seen, frame.ending, frame.duration)
+            self._witness(self.witness.local_dialogue_ended, seen, frame.ending, frame.duration)
 
     def _forget(self, taken: Taken) -> None:
         self.taken.pop(taken.id, None)
@@ -664,15 +664,15 @@
         if group is None:
             if frame.size < 0:
                 return
-            group = self.groups[frame.number] = Group(frame.size)
+            group = self.groups[frame.number] = TrunkGroup(frame.size)
         if frame.size >= 0:
             group.size = frame.size
-        group.theirs_count = max(0, frame.held)
+        group.remote_count = max(0, frame.held)
         self._changed(frame.number)
 
     def _free(self, dial: DialOut) -> None:
         group = self.groups.get(dial.office.number)
-        if group and group.free_up(dial):
+        if group and group.release(dial):
             self._changed(dial.office.number)
 
     def _changed(self, number: int) -> None:
@@ -689,7 +689,7 @@
         for number in numbers:
             group = self.groups[number]
             for home in own:
-                self.outlet.to_office(home.id, frames.GroupState(number, group.ours_count))
+                self.outlet.to_office(home.id, frames.GroupState(number, group.local_count))
             for end in self.offices.values():
                 if end.number == number and end.standing is not ev.Standing.GONE:
                     self.feed(ev.Reported(end.id, False, True, self._report(number, None)), now)
@@ -716,7 +716,9 @@
         apart."""
         end = self.offices[office]
         allowed = 2 * self.opened.release.release_wait + 2_000_000  # two heartbeats
-        end.differs_since, say = disagreement(self.held_for(office), theirs, end.differs_since, now, allowed)
+        end.differs_since, say = track_disagreement(
+            self.held_for(office), theirs, end.differs_since, now, allowed
+        )
         if say:
             self.counts["circuits_disagree"] += 1
             mine = self.held_for(office)
@@ -756,9 +758,9 @@
         if self._home() is None:
             for number, group in self.groups.items():
                 if (
-                    group.theirs_count
+                    group.remote_count
                 ):  # what came in over a dead office is gone with it; the next one tells anew
-                    group.theirs_count = 0
+                    group.remote_count = 0
                     self._changed(number)
         for other in self.offices.values():
             for dial in [dial for dial in other.dials.values() if dial.home is end]:
