--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -46,11 +46,8 @@
     "overload": ev.Blame.PROCESSOR_FULL,
     "lines_busy": ev.Blame.LINES_BUSY,
 }
-OFFICE_STATES = (
-    ev.Standing.READY,
-    ev.Standing.DRAINING,
-    ev.Standing.GONE,
-)  # indexed by the states of discovery
+# Indexed by the states of discovery.
+OFFICE_STATES = (ev.Standing.READY, ev.Standing.DRAINING, ev.Standing.GONE)
 
 
 class Core:
--- a/wellhitch/platform/offices.py
+++ b/wellhitch/platform/offices.py
@@ -19,9 +19,8 @@
 # The same without unanswered dials: a slow writer may finish its line, which may be the release of a call.
 PARTIAL_LINE_IDLE_S = 1.0
 RETRY_DELAY_S = 0.1  # doubles with each failure
-MAX_RETRY_DELAY_S = (
-    1.0  # reconnects soon after an office restarts, and costs one attempt a second if it does not
-)
+# Reconnects soon after an office restarts, and costs one attempt a second if it does not.
+MAX_RETRY_DELAY_S = 1.0
 # Lines that wait for a connection to an office; they are releases, which would arrive late.
 MAX_QUEUED_LINES = 512
 
