--- a/wellhitch/platform/releases.py
+++ b/wellhitch/platform/releases.py
@@ -12,7 +12,7 @@
 
 # How long a release may wait for a connection: the platform's limit for telling a caller that its call has ended.
 RETENTION_US = 8_000_000
-# How long a caller may take to answer; most answer within a millisecond. Three retries fit into the second that a
+# How long a caller may take to answer; most answer within milliseconds. Three retries fit into the second that a
 # release may take.
 ANSWER_TIMEOUT_US = 200_000
 MAX_UNACKNOWLEDGED = 8192  # more calls than one exchange ever has established
