--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -1,9 +1,9 @@
-"""The call server without its sockets: frames and timers in, frames and timers out through `Outlet`.
+"""The call server as a pure state machine: takes frames and timer events, sends frames and starts timers by `ServerIO`.
 
-It tells the decisions (`wellhitch.rules.decide`) what occurs, one event at a time, and carries out what they
-ask for. What it adds are guards for what the decisions cannot see, each said where it stands:
-a frame that waits here while its office drains is taken back; a second answer is never sent; a fault in the
-decisions costs the one dialogue its chance, not its answer.
+It feeds events to the decision function (`wellhitch.rules.decide`) one at a time and carries out the actions that the
+function returns. It adds guards against conditions that the decision function cannot see, each described where it is
+implemented: a set-up that is still queued here when its office starts draining is withdrawn; a second final answer is
+never sent; an exception in the decision function fails one dialogue, which still gets its answer.
 """
 
 from collections import Counter
@@ -33,65 +33,65 @@
 from wellhitch.trunk import frames
 from wellhitch.trunk.circuits import TrunkGroup, track_disagreement
 
-# Taken off each deadline, so that the answer is there in time although a turn of the loop is late by most of it: a
-# collection of garbage or a process that is not scheduled holds a turn up for tens of milliseconds.
+# Subtracted from each deadline, so that the answer arrives in time although an iteration of the event loop is late by
+# most of it: garbage collection or a process that is not scheduled delays an iteration by tens of milliseconds.
 ANSWER_MARGIN_US = 50_000
-GROUP_REPORT_INTERVAL_US = (
-    50_000  # us; group counts are told to the own office and the decisions at most so often: a dialogue
-)
-# changes them four times, and fresher counts than a set-up's way are of no use
-START_TOLERANCE_US = 500_000  # us; two ages of one start differ by their frames' ways; a restart by more
-MAX_TEXT_CHARS = 64  # characters of a number called or a tenant; the longest numbers have fifteen digits
+# Minimum time between reports of group counts to the own office and the decision function: a dialogue changes the
+# counts four times, and counts newer than the transmission time of a set-up are of no use.
+GROUP_REPORT_INTERVAL_US = 50_000
+# Two reported ages of the same start differ by the transmission times of their frames; those of a restart by more.
+START_TOLERANCE_US = 500_000
+MAX_TEXT_CHARS = 64  # of a called number or a tenant; the longest numbers have fifteen digits
 
 
 class ServerIO(Protocol):
-    """The way out: what the shell does for the switch."""
+    """What the transport layer does for the switch."""
 
     def send_to_caller(self, connection: Hashable, frame: frames.AnyFrame) -> bool:
-        """Send to a caller."""
+        """Send a frame to a caller; False where the connection is closed."""
 
-    def send_to_office(self, office: str, frame: frames.AnyFrame) -> bool:
-        """Send to an office; False where its link is down."""
+    def send_to_office(self, office_id: str, frame: frames.AnyFrame) -> bool:
+        """Send a frame to an office; False where its connection is down."""
 
-    def withdraw(self, office: str, matches: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
-        """Take back frames to an office that wait here."""
+    def withdraw(self, office_id: str, matches: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
+        """Remove and return matching frames to an office that are still queued here."""
 
-    def send_mark(self, office: str) -> int:
-        """Ask how far the office has read."""
+    def send_mark(self, office_id: str) -> int:
+        """Send a mark, which the office confirms once it has read all that was sent before; returns its number."""
 
-    def mark_confirmed(self, office: str, sequence: int) -> bool:
-        """Whether it has read all that was sent before the mark."""
+    def mark_confirmed(self, office_id: str, sequence: int) -> bool:
+        """Whether the office has confirmed the mark, or its connection is down."""
 
-    def reset_connection(self, office: str, reason: str) -> None:
-        """Break the link to an office; channel_closed follows."""
+    def reset_connection(self, office_id: str, reason: str) -> None:
+        """Abort the connection to an office; `Switch.office_disconnected` is called afterwards."""
 
-    def keep_connection(self, office: str, address: str) -> None:
-        """Keep a link to an office up."""
+    def keep_connection(self, office_id: str, address: str) -> None:
+        """Connect to an office, and reconnect after each loss."""
 
-    def drop_connection(self, office: str) -> None:
-        """Let the link to an office go."""
+    def drop_connection(self, office_id: str) -> None:
+        """Close the connection to an office and do not reconnect."""
 
-    def send_to_peers(self, text: bytes) -> None:
-        """Send a word to every other call server."""
+    def send_to_peers(self, payload: bytes) -> None:
+        """Send a peer message to every other call server."""
 
     def start_timer(self, delay: int, callback: Callable[[int], None]) -> Timer:
-        """Ring after so many us, with the time then."""
+        """Call `callback` with the current time after `delay` us."""
 
     def log(self, event: str, **facts: Any) -> None:
-        """One line of the log."""
+        """Write one event to the log."""
 
 
 class LedgerObserver(Protocol):
-    """What a ledger is told; nothing comes back, and nothing waits for it."""
+    """Receives the dialogue events that the ledger records. Nothing is returned, and nothing waits for it."""
 
-    def answered(self, seen: DialogueFacts, answer: str) -> None:
-        """A dialogue got its answer."""
+    def answered(self, facts: DialogueFacts, answer: str) -> None:
+        """A dialogue got its final answer."""
 
-    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
-        """A dialogue that stood is over, `released` or `cut`; `dial` as it was asked for here."""
+    def ended(self, role: str, origin: int, dialogue: int, ending: str, dial: int = -1) -> None:
+        """An established dialogue ended, `released` or `cut`; `dial` is the origin's number of the dial in transit."""
 
-    def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int) -> None:
-        """The own office told of one that ended in this exchange."""
+    def local_dialogue_ended(self, facts: DialogueFacts, ending: str, duration: int) -> None:
+        """The own office reported the end of a dialogue whose destination is this exchange."""
 
 
 class Switch:
@@ -113,18 +113,17 @@
         self.stopping = False
         self.hook_runner: HookRunner | None = None
         self.ledger: LedgerObserver | None = None
-        self.id_epoch = (
-            0  # set at each start: what an earlier process called its dialogues must not be called so again
-        )
+        # High bits of dialogue ids, new with each start, so that no id of an earlier process is used again.
+        self.id_epoch = 0
         self._next_id = 0
         self._unreported_groups: set[int] = set()
         self._group_report_timer: Timer | None = None
         self._deadlines = {use.name: use.outer_limit for use in configuration.use_cases}
 
-    # ---- the decisions ----
+    # ---- decision function ----
 
     def start(self, now: int) -> None:
-        """Begin: nothing is known but the facts of the place."""
+        """Start the decision function with the configuration, and the timer of the tick hooks."""
         self.feed(self.configuration, now)
         if self.hook_runner:
             self.hook_runner.started_at = now
@@ -136,79 +135,88 @@
             self.io.start_timer(TICK_INTERVAL_US, self._tick)
 
     def feed(self, event: ev.Event, now: int) -> None:
-        """Tell the decisions one event; what they ask for is carried out before this returns, but for events that
-        come up meanwhile, which wait their turn."""
+        """Feed one event to the decision function and carry out its actions before returning. Events that arise
+        meanwhile are queued."""
         self.runner.feed(event, now)
 
     def rescued(self, dialogue: int, now: int) -> None:
-        """The decisions raised on this dialogue: it gets its one final answer."""
-        taken = self.calls.get(dialogue)
-        if taken and not taken.established:
-            self._send_answer(taken, "forfeited", 0, now)
+        """The decision function raised an exception for this dialogue: answer it, unless it is established."""
+        call = self.calls.get(dialogue)
+        if call and not call.established:
+            self._send_answer(call, "forfeited", 0, now)
 
     def carry_out(self, action: act.Action, now: int) -> None:
-        """Do one thing that the decisions ask for."""
+        """Carry out one action of the decision function."""
         match action:
-            case act.Send(dialogue, office, within):
-                self._send(dialogue, office, within, now)
+            case act.Send(dialogue, office_id, timeout):
+                self._send(dialogue, office_id, timeout, now)
             case act.Cancel(dialogue, number):
-                taken = self.calls.get(dialogue)
-                dial = taken.dials[number] if taken and number < len(taken.dials) else None
+                call = self.calls.get(dialogue)
+                dial = call.dials[number] if call and number < len(call.dials) else None
                 if dial and dial.state in (
                     DialState.PROCESSING_SETUP,
                     DialState.SENT,
                     DialState.PROCESSING_ANSWER,
                 ):
                     self._cancel_dial(dial, ev.Ending.CANCELLED, now)
-            case act.PushBack(dialogue, come_back):
+            case act.PushBack(dialogue, retry_after):
                 if dialogue in self.calls:
-                    self._send_answer(self.calls[dialogue], "pushed_back", come_back, now)
+                    self._send_answer(self.calls[dialogue], "pushed_back", retry_after, now)
             case act.Forfeit(dialogue):
                 if dialogue in self.calls:
                     self._send_answer(self.calls[dialogue], "forfeited", 0, now)
             case act.TellPeers(text):
                 self.io.send_to_peers(text)
             case act.Follow():
-                pass  # the register pushes to every link from its Hello on
+                pass  # the register pushes its list to every connection after the Hello
 
     # ---- callers ----
 
-    def call_received(self, link: Hashable, call: frames.Call, now: int) -> None:
-        """A caller hands a dialogue over."""
-        key, heard = (link, call.id), self.recent_call_ids.setdefault(link, RecentIds())
-        if key in self.calls_by_caller or call.id in heard:
-            # An answer would be taken for the first one's, which then had two: the id is the caller's to keep apart.
+    def call_received(self, connection: Hashable, call: frames.Call, now: int) -> None:
+        """A caller requests a dialogue."""
+        key, recent_ids = (connection, call.id), self.recent_call_ids.setdefault(connection, RecentIds())
+        if key in self.calls_by_caller or call.id in recent_ids:
+            # Ids must be unique for each connection: the caller would take an answer to this call for a second answer
+            # to the first one.
             self.counts["strays.Call"] += 1
             return
-        heard.add(call.id)
-        fault = self._call_error(call)
-        if fault:
-            # Turned away before it is taken, as the limits of this place say; it still gets its one answer.
-            self.counts[f"turned_away.{fault}"] += 1
-            self.io.send_to_caller(link, frames.Final(call.id, "pushed_back", 0))
+        recent_ids.add(call.id)
+        error = self._call_error(call)
+        if error:
+            # Rejected before it is accepted, because of a limit of this call server; it still gets one answer.
+            self.counts[f"turned_away.{error}"] += 1
+            self.io.send_to_caller(connection, frames.Final(call.id, "pushed_back", 0))
             return
-        said, version = HookResult(), ""
+        hook_result, hooks_version = HookResult(), ""
         if self.hook_runner:
-            said, version = self.hook_runner.call_arrived(call, len(self.calls), self.groups, now)
-        if said.push_back is not None:
+            hook_result, hooks_version = self.hook_runner.call_arrived(
+                call, len(self.calls), self.groups, now
+            )
+        if hook_result.push_back is not None:
             self.counts["hooks_pushed_back"] += 1
-            self.io.send_to_caller(link, frames.Final(call.id, "pushed_back", 0, version))
-            self.io.log("dialogue", id=call.id, answer="pushed_back", why=said.push_back, hooks=version)
+            self.io.send_to_caller(connection, frames.Final(call.id, "pushed_back", 0, hooks_version))
+            self.io.log(
+                "dialogue", id=call.id, answer="pushed_back", why=hook_result.push_back, hooks=hooks_version
+            )
             return
-        if said.use_case is not None and said.use_case != call.use_case:
+        if hook_result.use_case is not None and hook_result.use_case != call.use_case:
             self.counts["hooks_named_use_case"] += 1
-            call = msgspec.structs.replace(call, use_case=said.use_case)
-        taken = self._accept(call, self.number, 0, now)
-        taken.tenant, taken.tags, taken.hooks_version = call.tenant, said.tags, version
-        taken.connection, taken.caller_id, taken.origin_id = link, call.id, self.id_epoch << 32 | taken.id
-        self.calls_by_caller[key] = taken
-        home = self._own_office()
-        if home:
-            self.io.send_to_office(home.id, frames.ProcessStep(0, "look"))
-        advised = (
+            call = msgspec.structs.replace(call, use_case=hook_result.use_case)
+        pending = self._accept(call, self.number, 0, now)
+        pending.tenant, pending.tags, pending.hooks_version = call.tenant, hook_result.tags, hooks_version
+        pending.connection, pending.caller_id, pending.origin_id = (
+            connection,
+            call.id,
+            self.id_epoch << 32 | pending.id,
+        )
+        self.calls_by_caller[key] = pending
+        own_office = self._own_office()
+        if own_office:
+            self.io.send_to_office(own_office.id, frames.ProcessStep(0, "look"))
+        advised_tandem = (
             self.tandem_advice[call.destination] if 0 <= call.destination < len(self.tandem_advice) else -1
         )
-        self._begin(taken, call.left, call.redialled, advised, now, said.favour)
+        self._begin(pending, call.left, call.redialled, advised_tandem, now, hook_result.favour)
 
     def _call_error(self, call: frames.Call) -> str:
         if self.stopping:
@@ -220,153 +228,159 @@
         return self._range_error(call) or ("" if _fits(call.tenant) else "text_too_long")
 
     def _range_error(self, frame: frames.Call | frames.Setup) -> str:
-        """What a caller's and an office's word have in common and is outside its range, or nothing."""
+        """Name of the first field common to Call and Setup that is out of range, or an empty string."""
         if frame.use_case not in self._deadlines:
             return "unknown_use_case"
         if not 1 <= frame.width <= frames.MAX_WIDTH:
             return "width"
         if not 0 <= frame.destination < frames.MAX_EXCHANGES:
-            return "destination"  # under nought it would be counted from the end of what is told of tandems
+            return "destination"  # a negative one would index the tandem advice from its end
         return "" if _fits(frame.called) else "text_too_long"
 
     def _accept(self, call: frames.Call | frames.Setup, origin: int, origin_id: int, now: int) -> PendingCall:
         self._next_id += 1
-        taken = PendingCall(
+        pending = PendingCall(
             self._next_id, call.use_case, call.destination, call.called, call.width, origin, origin_id
         )
-        self.calls[taken.id] = taken
+        self.calls[pending.id] = pending
         self.counts["taken"] += 1
-        return taken
+        return pending
 
     def _begin(
-        self, taken: PendingCall, left: int, redialled: bool, advised: int, now: int, favour: float = 1.0
+        self,
+        call: PendingCall,
+        left: int,
+        redialled: bool,
+        advised_tandem: int,
+        now: int,
+        favour: float = 1.0,
     ) -> None:
-        # Guards against a time without end, in which a dialogue would hold its place and circuits for ever: past the
-        # outer limit it is worth nothing to anybody.
-        left = min(left, self._deadlines[taken.use_case])
-        taken.arrived_at, taken.deadline = now, now + left
+        # Guards against a remaining time without bound, in which a dialogue would hold its place and circuits for ever.
+        # An answer after the deadline has no value.
+        left = min(left, self._deadlines[call.use_case])
+        call.arrived_at, call.deadline = now, now + left
         self.feed(
             ev.Arrived(
-                dialogue=taken.id,
-                use_case=taken.use_case,
-                destination=taken.destination,
-                called=taken.called,
+                dialogue=call.id,
+                use_case=call.use_case,
+                destination=call.destination,
+                called=call.called,
                 left=max(0, left - ANSWER_MARGIN_US),
-                width=taken.width,
-                advised=None if advised < 0 or taken.own_office else advised,
+                width=call.width,
+                advised=None if advised_tandem < 0 or call.own_office else advised_tandem,
                 redialled=redialled,
-                transit=taken.own_office is not None,
+                transit=call.own_office is not None,
                 favour=favour,
             ),
             now,
         )
 
-    def caller_hung_up(self, link: Hashable, caller_id: int, now: int) -> None:
-        """A caller hung up: before its answer, or to end a dialogue that stood."""
-        taken = self.calls_by_caller.get((link, caller_id))
-        if taken:
-            self._end_upstream(taken, now)
-
-    def caller_disconnected(self, link: Hashable, now: int) -> None:
-        """A caller's link is gone: all its dialogues are hung up."""
-        for taken in [taken for (key, _), taken in self.calls_by_caller.items() if key == link]:
-            self._end_upstream(taken, now)
-        self.recent_call_ids.pop(link, None)
-
-    def _end_upstream(self, taken: PendingCall, now: int) -> None:
-        """The upstream end is over, whoever it was."""
-        stood, dial = taken.established, taken.active_dial
-        taken.answer_owed = False
-        if dial and stood:
-            self._report_end(taken, "released")
+    def caller_hung_up(self, connection: Hashable, caller_id: int, now: int) -> None:
+        """A caller hung up: before its answer, or to end an established dialogue."""
+        call = self.calls_by_caller.get((connection, caller_id))
+        if call:
+            self._end_upstream(call, now)
+
+    def caller_disconnected(self, connection: Hashable, now: int) -> None:
+        """A caller's connection is closed: all its dialogues end."""
+        for call in [call for (key, _), call in self.calls_by_caller.items() if key == connection]:
+            self._end_upstream(call, now)
+        self.recent_call_ids.pop(connection, None)
+
+    def _end_upstream(self, call: PendingCall, now: int) -> None:
+        """End a dialogue from upstream: the caller hung up, or the upstream exchange cancelled or released it."""
+        was_established, dial = call.established, call.active_dial
+        call.answer_owed = False
+        if dial and was_established:
+            self._report_end(call, "released")
             if dial.own_office.connected:
                 self.io.send_to_office(dial.own_office.id, frames.ProcessStep(0, "release"))
             self._end_dial(dial, frames.Release(dial.dial_ref), now)
-            self._forget(taken)
+            self._forget(call)
             self._dial_ended(dial, ev.Ending.ENDED_WELL, ev.Blame.NONE, 0, True, None, now)
             return
-        self._report_answer(taken, "gone")
-        self._forget(taken)
-        self.feed(ev.WentAway(taken.id), now)
+        self._report_answer(call, "gone")
+        self._forget(call)
+        self.feed(ev.WentAway(call.id), now)
         if dial:
             self._end_dial(dial, frames.Cancel(dial.dial_ref), now)
 
-    def _send_answer(self, taken: PendingCall, answer: str, come_back: int, now: int) -> None:
-        """The one final answer. Guards against a second one: what was answered owes nothing more."""
-        if not taken.answer_owed:
+    def _send_answer(self, call: PendingCall, answer: str, retry_after: int, now: int) -> None:
+        """Send the final answer. Guards against a second one: a dialogue that was answered is owed nothing more."""
+        if not call.answer_owed:
             self.counts["second_answers_kept_back"] += 1
             return
-        taken.answer_owed = False
+        call.answer_owed = False
         self.counts[f"answer.{answer}"] += 1
-        if taken.connection is not None:
-            final = frames.Final(taken.caller_id, answer, come_back, taken.hooks_version)
-            self.io.send_to_caller(taken.connection, final)
+        if call.connection is not None:
+            final = frames.Final(call.caller_id, answer, retry_after, call.hooks_version)
+            self.io.send_to_caller(call.connection, final)
             if self.hook_runner:
-                # After the answer went out: a hook that takes long delays nobody's answer.
-                taken.tags = self.hook_runner.call_answered(taken, answer, max(0, taken.deadline - now), now)
+                # After the answer was sent, so that a slow hook does not delay it.
+                call.tags = self.hook_runner.call_answered(call, answer, max(0, call.deadline - now), now)
                 self.io.log(
                     "dialogue",
-                    id=taken.id,
+                    id=call.id,
                     answer=answer,
-                    use_case=taken.use_case,
-                    tags=taken.tags,
-                    hooks=taken.hooks_version,
+                    use_case=call.use_case,
+                    tags=call.tags,
+                    hooks=call.hooks_version,
                 )
-        elif taken.own_office is not None:
+        elif call.own_office is not None:
             if answer == "stands":
-                self.io.send_to_office(taken.own_office.id, frames.Answer(taken.own_office_ref))
+                self.io.send_to_office(call.own_office.id, frames.Answer(call.own_office_ref))
             else:
-                reason = upstream_reject_reason(taken)
-                self.io.send_to_office(taken.own_office.id, frames.Reject(taken.own_office_ref, reason))
-        self._report_answer(taken, answer)
+                reason = upstream_reject_reason(call)
+                self.io.send_to_office(call.own_office.id, frames.Reject(call.own_office_ref, reason))
+        self._report_answer(call, answer)
         if answer != "stands":
-            dial = taken.active_dial
-            if dial:  # given up while a dial is out: only after a fault in the decisions
+            dial = call.active_dial
+            if dial:  # answered while a dial is pending: only after an exception in the decision function
                 self._end_dial(dial, frames.Cancel(dial.dial_ref), now)
-            self._forget(taken)
+            self._forget(call)
 
-    def _notify_ledger(self, tell: Callable[..., None], *what: Any) -> None:
-        """Tell the ledger. Guards against one that raises: it took the link along on which the frame had come, with
-        every dialogue on it."""
+    def _notify_ledger(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Call a method of the ledger. Guards against exceptions in it: one would close the connection on which the
+        frame came, with every dialogue on it."""
         try:
-            tell(*what)
-        except Exception as fault:
+            method(*arguments)
+        except Exception as error:
             self.counts["ledger_faults"] += 1
-            self.io.log("ledger_fault", fault=f"{type(fault).__name__}: {fault}", told=repr(what))
+            self.io.log("ledger_fault", fault=f"{type(error).__name__}: {error}", told=repr(arguments))
 
-    def _report_answer(self, taken: PendingCall, answer: str) -> None:
+    def _report_answer(self, call: PendingCall, answer: str) -> None:
         if self.ledger:
-            out = taken.active_dial if answer == "stands" else None
-            onward = out.number if out else -1
-            via = out.office.number if out and out.office.number != taken.destination else -1
-            seen = DialogueFacts(
-                _role(taken),
-                taken.origin,
-                taken.origin_id,
-                taken.use_case,
-                taken.destination,
-                taken.called,
-                taken.width,
-                taken.tenant,
-                taken.tags,
-                taken.hooks_version,
-                taken.origin_dial,
-                onward,
+            dial = call.active_dial if answer == "stands" else None
+            dial_number = dial.number if dial else -1
+            via = dial.office.number if dial and dial.office.number != call.destination else -1
+            facts = DialogueFacts(
+                _role(call),
+                call.origin,
+                call.origin_id,
+                call.use_case,
+                call.destination,
+                call.called,
+                call.width,
+                call.tenant,
+                call.tags,
+                call.hooks_version,
+                call.origin_dial,
+                dial_number,
                 via,
             )
-            self._notify_ledger(self.ledger.answered, seen, answer)
+            self._notify_ledger(self.ledger.answered, facts, answer)
 
-    def _report_end(self, taken: PendingCall, how: str) -> None:
+    def _report_end(self, call: PendingCall, ending: str) -> None:
         if self.ledger:
-            side, dial = _role(taken), taken.origin_dial
-            self._notify_ledger(self.ledger.ended, side, taken.origin, taken.origin_id, how, dial)
+            role, dial = _role(call), call.origin_dial
+            self._notify_ledger(self.ledger.ended, role, call.origin, call.origin_id, ending, dial)
 
-    def carried_dialogue_ended(self, office: str, frame: frames.CarriedDialogue) -> None:
-        """The own office tells of a dialogue that stood in this exchange and is over."""
-        if self.offices[office].number != self.number or frame.ending not in ("released", "cut"):
+    def carried_dialogue_ended(self, office_id: str, frame: frames.CarriedDialogue) -> None:
+        """The own office reports the end of an established dialogue whose destination is this exchange."""
+        if self.offices[office_id].number != self.number or frame.ending not in ("released", "cut"):
             self.counts["strays.Carried"] += 1
         elif self.ledger and 0 <= frame.origin < frames.MAX_EXCHANGES and 0 <= frame.duration < 1 << 53:
-            seen = DialogueFacts(
+            facts = DialogueFacts(
                 "destination",
                 frame.origin,
                 frame.dialogue,
@@ -376,48 +390,52 @@
                 frame.width,
                 dial=frame.dial,
             )
-            self._notify_ledger(self.ledger.local_dialogue_ended, seen, frame.ending, frame.duration)
+            self._notify_ledger(self.ledger.local_dialogue_ended, facts, frame.ending, frame.duration)
 
-    def _forget(self, taken: PendingCall) -> None:
-        self.calls.pop(taken.id, None)
-        if taken.connection is not None:
-            self.calls_by_caller.pop((taken.connection, taken.caller_id), None)
-        elif taken.own_office is not None:
-            taken.own_office.transits.pop(taken.own_office_ref, None)
+    def _forget(self, call: PendingCall) -> None:
+        self.calls.pop(call.id, None)
+        if call.connection is not None:
+            self.calls_by_caller.pop((call.connection, call.caller_id), None)
+        elif call.own_office is not None:
+            call.own_office.transits.pop(call.own_office_ref, None)
 
     # ---- dials ----
 
     def _own_office(self) -> OfficeRecord | None:
-        """The own office whose link is up, the newest that the list calls ready first."""
-        own = [end for end in self.offices.values() if end.number == self.number and end.connected]
-        ready = [end for end in own if end.state is ev.Standing.READY]
-        return max(ready or own, key=lambda end: end.started_at or 0, default=None)
-
-    def _send(self, dialogue: int, office: str, within: int, now: int) -> None:
-        """Carry out a send: seize the circuits, pass the own processor, then out. What cannot be sent comes
-        back as not sent, or unreachable, at once."""
-        taken, end = self.calls.get(dialogue), self.offices.get(office)
-        if taken is None or end is None or taken.active_dial:
+        """The connected own office that started last, preferably one that is ready."""
+        candidates = [
+            office for office in self.offices.values() if office.number == self.number and office.connected
+        ]
+        ready = [office for office in candidates if office.state is ev.Standing.READY]
+        return max(ready or candidates, key=lambda office: office.started_at or 0, default=None)
+
+    def _send(self, dialogue: int, office_id: str, timeout: int, now: int) -> None:
+        """Start a dial: seize the circuits, then have the own processor process the set-up before it is sent. A dial
+        that cannot be sent ends at once as not sent or unreachable."""
+        call, office = self.calls.get(dialogue), self.offices.get(office_id)
+        if call is None or office is None or call.active_dial:
             self.counts["sends_refused"] += 1
-            self.io.log("send_refused", dialogue=dialogue, office=office)
+            self.io.log("send_refused", dialogue=dialogue, office=office_id)
             return
-        home = self._own_office()
-        dial = PendingDial(taken, len(taken.dials), end, home or end, now, now + within)
-        taken.dials.append(dial)
+        own_office = self._own_office()
+        dial = PendingDial(call, len(call.dials), office, own_office or office, now, now + timeout)
+        call.dials.append(dial)
         self.counts["sends"] += 1
-        group = self.groups.get(end.number)
-        if home is None:
+        group = self.groups.get(office.number)
+        if own_office is None:
             self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
-        elif not end.connected:
+        elif not office.connected:
             self._not_sent(dial, ev.Ending.UNREACHABLE, ev.Blame.NONE, now)
-        elif group is not None and not group.seize(dial, taken.width):
+        elif group is not None and not group.seize(dial, call.width):
             self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.NO_CIRCUIT, now)
         else:
-            self._group_changed(end.number)
-            dial.timer = self.io.start_timer(max(0, within), lambda at: self._dial_timed_out(dial, at))
-            dial.own_office_ref = home.new_dial_ref()
-            home.processing[dial.own_office_ref] = dial
-            self.io.send_to_office(home.id, frames.ProcessStep(dial.own_office_ref, "setup"))
+            self._group_changed(office.number)
+            dial.timer = self.io.start_timer(
+                max(0, timeout), lambda fired_at: self._dial_timed_out(dial, fired_at)
+            )
+            dial.own_office_ref = own_office.new_dial_ref()
+            own_office.processing[dial.own_office_ref] = dial
+            self.io.send_to_office(own_office.id, frames.ProcessStep(dial.own_office_ref, "setup"))
 
     def _not_sent(self, dial: PendingDial, ending: ev.Ending, blame: ev.Blame, now: int) -> None:
         dial.move_to(DialState.FREE)
@@ -434,17 +452,17 @@
         load: frames.Load | None,
         now: int,
     ) -> None:
-        taken = dial.call
-        taken.last_blame = blame
+        call = dial.call
+        call.last_blame = blame
         self.counts[f"ending.{ending.name.lower()}"] += 1
         self.counts[f"blame.{blame.name.lower()}"] += 1
         report = self._group_report(dial.office.number, load)
-        self.feed(ev.DialEnded(taken.id, dial.number, dial.office.id, ending, blame, wait, over, report), now)
+        self.feed(ev.DialEnded(call.id, dial.number, dial.office.id, ending, blame, wait, over, report), now)
 
-    def step_processed(self, office: str, frame: frames.StepProcessed, now: int) -> None:
-        """The own processor is done with a step of a dial."""
-        home = self.offices[office]
-        dial = home.processing.pop(frame.dial_ref, None)
+    def step_processed(self, office_id: str, frame: frames.StepProcessed, now: int) -> None:
+        """The own processor has processed one step of a dial."""
+        own_office = self.offices[office_id]
+        dial = own_office.processing.pop(frame.dial_ref, None)
         if dial is None:
             self.counts["strays.Passed"] += 1
             return
@@ -456,35 +474,35 @@
             self.counts["strays.Passed"] += 1
 
     def _setup_processed(self, dial: PendingDial, accepted: bool, now: int) -> None:
-        taken, end = dial.call, dial.office
+        call, office = dial.call, dial.office
         if not accepted:
             self._cancel_timer(dial)
             self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
             return
-        if end.state is not ev.Standing.READY or not end.connected:
-            # Guards rule 3: the office drained, or its link was lost, while the set-up waited in the own
-            # processor. Nothing was sent, so the decisions may dial elsewhere at once.
-            self.counts["kept_back.drained" if end.connected else "kept_back.unreachable"] += 1
+        if office.state is not ev.Standing.READY or not office.connected:
+            # Guards rule 3: the office started draining, or its connection was lost, while the set-up was queued in
+            # the own processor. Nothing was sent, so the decision function may dial elsewhere at once.
+            self.counts["kept_back.drained" if office.connected else "kept_back.unreachable"] += 1
             self._cancel_timer(dial)
-            ending = ev.Ending.NOT_SENT if end.connected else ev.Ending.UNREACHABLE
+            ending = ev.Ending.NOT_SENT if office.connected else ev.Ending.UNREACHABLE
             self._not_sent(dial, ending, ev.Blame.NONE, now)
             return
         dial.move_to(DialState.SENT)
-        dial.dial_ref = end.new_dial_ref()
-        end.dials[dial.dial_ref] = dial
+        dial.dial_ref = office.new_dial_ref()
+        office.dials[dial.dial_ref] = dial
         left = dial.deadline - now
         self.io.send_to_office(
-            end.id,
+            office.id,
             frames.Setup(
                 dial.dial_ref,
-                taken.origin,
-                taken.origin_id,
+                call.origin,
+                call.origin_id,
                 dial.number,
-                taken.use_case,
-                taken.destination,
-                taken.called,
+                call.use_case,
+                call.destination,
+                call.called,
                 left,
-                taken.width,
+                call.width,
             ),
         )
 
@@ -502,9 +520,9 @@
         self._end_dial(dial, frames.Cancel(dial.dial_ref), now)
         self._dial_ended(dial, ending, ev.Blame.NONE, 0, False, None, now)
 
-    def _end_dial(self, dial: PendingDial, word: frames.Cancel | frames.Release, now: int) -> None:
-        """End a dial from this end. Where it was sent, the circuits stay taken until the far end confirms or
-        the release wait is over; a set-up still waiting here is taken back instead."""
+    def _end_dial(self, dial: PendingDial, message: frames.Cancel | frames.Release, now: int) -> None:
+        """End a dial from this end. If its set-up was sent, the circuits are held until the far end confirms or
+        the release wait is over; a set-up that is still queued here is withdrawn instead."""
         self._cancel_timer(dial)
         if dial.own_office.processing.pop(dial.own_office_ref, None) is not None:
             self.io.send_to_office(dial.own_office.id, frames.DropStep(dial.own_office_ref))
@@ -512,23 +530,23 @@
             dial.move_to(DialState.FREE)
             self._release_circuits(dial)
             return
-        ref = dial.dial_ref
-        back = self.io.withdraw(
-            dial.office.id, lambda frame: isinstance(frame, frames.Setup) and frame.dial_ref == ref
+        dial_ref = dial.dial_ref
+        withdrawn = self.io.withdraw(
+            dial.office.id, lambda frame: isinstance(frame, frames.Setup) and frame.dial_ref == dial_ref
         )
-        if back or not dial.office.connected:
-            dial.office.dials.pop(ref, None)
+        if withdrawn or not dial.office.connected:
+            dial.office.dials.pop(dial_ref, None)
             dial.move_to(DialState.FREE)
             self._release_circuits(dial)
             return
         dial.move_to(DialState.RELEASING)
-        self.io.send_to_office(dial.office.id, word)
+        self.io.send_to_office(dial.office.id, message)
         dial.timer = self.io.start_timer(
-            self.configuration.release.release_wait, lambda at: self._finish_release(dial, at)
+            self.configuration.release.release_wait, lambda fired_at: self._finish_release(dial, fired_at)
         )
 
     def _finish_release(self, dial: PendingDial, now: int) -> None:
-        """The far end confirmed, or the release wait is over."""
+        """Free the circuits: the far end confirmed the release, or the release wait is over."""
         dial.office.dials.pop(dial.dial_ref, None)
         if dial.state is DialState.RELEASING:
             dial.move_to(DialState.FREE)
@@ -540,14 +558,14 @@
             dial.timer.cancel()
             dial.timer = None
 
-    # ---- what an office says ----
+    # ---- frames from offices ----
 
-    def setup_answered(self, office: str, frame: frames.Answer, now: int) -> None:
+    def setup_answered(self, office_id: str, frame: frames.Answer, now: int) -> None:
         """An office answered a set-up."""
-        dial = self.offices[office].dials.get(frame.dial_ref)
-        self._feed_load(office, frame.load, now)
+        dial = self.offices[office_id].dials.get(frame.dial_ref)
+        self._feed_load(office_id, frame.load, now)
         if dial is None or dial.state is not DialState.SENT:
-            # Crossed by our cancel, told twice, or after the release: the dial is over, or stands already.
+            # It crossed our Cancel, is a duplicate, or came after the release: the dial is over or established.
             self.counts["strays.Answer"] += 1
             return
         dial.move_to(DialState.PROCESSING_ANSWER)
@@ -555,41 +573,41 @@
         dial.own_office.processing[dial.own_office_ref] = dial
         self.io.send_to_office(dial.own_office.id, frames.ProcessStep(dial.own_office_ref, "answer"))
 
-    def setup_rejected(self, office: str, frame: frames.Reject, now: int) -> None:
-        """An office, or a tandem, did not take a set-up."""
-        end = self.offices[office]
-        dial = end.dials.get(frame.dial_ref)
+    def setup_rejected(self, office_id: str, frame: frames.Reject, now: int) -> None:
+        """An office, or a tandem, rejected a set-up."""
+        office = self.offices[office_id]
+        dial = office.dials.get(frame.dial_ref)
         if dial is None or dial.state not in (DialState.SENT, DialState.RELEASING):
             self.counts["strays.PushBack"] += 1
             return
-        if dial.state is DialState.RELEASING:  # crossed by our cancel: nothing is held there any more
+        if dial.state is DialState.RELEASING:  # it crossed our Cancel: the far end holds nothing any more
             self._finish_release(dial, now)
             return
-        del end.dials[frame.dial_ref]
+        del office.dials[frame.dial_ref]
         self._cancel_timer(dial)
         dial.move_to(DialState.FREE)
         self._release_circuits(dial)
         ending, blame = REJECT_OUTCOMES.get(frame.reason, (ev.Ending.FAULT, ev.Blame.NONE))
         self._dial_ended(dial, ending, blame, max(0, frame.wait), False, frame.load, now)
 
-    def dial_cut(self, office: str, ref: int, now: int) -> None:
-        """An office lost a dial."""
-        dial = self.offices[office].dials.get(ref)
+    def dial_cut(self, office_id: str, dial_ref: int, now: int) -> None:
+        """An office lost a dial of ours."""
+        dial = self.offices[office_id].dials.get(dial_ref)
         if dial is None:
             self.counts["strays.Cut"] += 1
             return
         self._reset_dial(dial, now)
 
     def _reset_dial(self, dial: PendingDial, now: int) -> None:
-        """A dial was lost at the far end or with a link. Its circuits wait out the release wait, for the far
-        end may not know yet."""
+        """End a dial that was lost at the far end or with a connection. Its circuits are held until the release wait is
+        over, because the far end may not know yet."""
         dial.office.dials.pop(dial.dial_ref, None)
         dial.own_office.processing.pop(dial.own_office_ref, None)
         if dial.state in (DialState.RELEASING, DialState.FREE):
             self._finish_release(dial, now)
             return
-        stood = dial.state is DialState.ESTABLISHED
-        taken = dial.call
+        was_established = dial.state is DialState.ESTABLISHED
+        call = dial.call
         self._cancel_timer(dial)
         if dial.state is DialState.PROCESSING_SETUP:
             dial.move_to(DialState.FREE)
@@ -597,77 +615,83 @@
         else:
             dial.move_to(DialState.RELEASING)
             dial.timer = self.io.start_timer(
-                self.configuration.release.release_wait, lambda at: self._finish_release(dial, at)
+                self.configuration.release.release_wait, lambda fired_at: self._finish_release(dial, fired_at)
             )
-        if stood:
+        if was_established:
             self.counts["cut"] += 1
-            self._report_end(taken, "cut")
-            if taken.connection is not None:
-                self.io.send_to_caller(taken.connection, frames.Ended(taken.caller_id))
-            elif taken.own_office is not None:
-                self.io.send_to_office(taken.own_office.id, frames.Cut(taken.own_office_ref))
-            self._forget(taken)
-        self._dial_ended(dial, ev.Ending.RESET, ev.Blame.NONE, 0, stood, None, now)
-
-    def dial_released(self, office: str, frame: frames.Released, now: int) -> None:
-        """An office freed what a dial held there."""
-        self._feed_load(office, frame.load, now)
-        dial = self.offices[office].dials.get(frame.dial_ref)
+            self._report_end(call, "cut")
+            if call.connection is not None:
+                self.io.send_to_caller(call.connection, frames.Ended(call.caller_id))
+            elif call.own_office is not None:
+                self.io.send_to_office(call.own_office.id, frames.Cut(call.own_office_ref))
+            self._forget(call)
+        self._dial_ended(dial, ev.Ending.RESET, ev.Blame.NONE, 0, was_established, None, now)
+
+    def dial_released(self, office_id: str, frame: frames.Released, now: int) -> None:
+        """An office freed the circuits that a dial held there."""
+        self._feed_load(office_id, frame.load, now)
+        dial = self.offices[office_id].dials.get(frame.dial_ref)
         if dial is None or dial.state is not DialState.RELEASING:
             self.counts["strays.Released"] += 1
             return
         self._finish_release(dial, now)
 
-    def transit_setup(self, office: str, setup: frames.Setup, now: int) -> None:
-        """The own office hands over a dialogue in transit."""
-        home = self.offices[office]
-        if setup.dial_ref in home.transits or setup.dial_ref in home.recent_refs:
-            # As with a caller's id: an answer to the second would be one more to the first.
+    def transit_setup(self, office_id: str, setup: frames.Setup, now: int) -> None:
+        """The own office hands over a set-up in transit."""
+        own_office = self.offices[office_id]
+        if setup.dial_ref in own_office.transits or setup.dial_ref in own_office.recent_refs:
+            # As with a caller's id: the answer to a duplicate would be a second answer to the first set-up.
             self.counts["strays.Setup"] += 1
             return
-        home.recent_refs.add(setup.dial_ref)
-        if home.number != self.number or len(self.calls) >= self.max_open or self._setup_out_of_range(setup):
+        own_office.recent_refs.add(setup.dial_ref)
+        if (
+            own_office.number != self.number
+            or len(self.calls) >= self.max_open
+            or self._setup_out_of_range(setup)
+        ):
             self.counts["turned_away.transit"] += 1
-            self.io.send_to_office(office, frames.Reject(setup.dial_ref, "turned_back"))
+            self.io.send_to_office(office_id, frames.Reject(setup.dial_ref, "turned_back"))
             return
-        taken = self._accept(setup, setup.origin, setup.dialogue, now)
-        taken.own_office, taken.own_office_ref, taken.origin_dial = home, setup.dial_ref, setup.dial
-        home.transits[setup.dial_ref] = taken
-        self._begin(taken, setup.left, False, -1, now)
+        call = self._accept(setup, setup.origin, setup.dialogue, now)
+        call.own_office, call.own_office_ref, call.origin_dial = own_office, setup.dial_ref, setup.dial
+        own_office.transits[setup.dial_ref] = call
+        self._begin(call, setup.left, False, -1, now)
 
     def _setup_out_of_range(self, setup: frames.Setup) -> bool:
-        """Whether a figure is outside its range. Guards the ledger too, whose keys have so many bytes and no sign."""
-        named = (
+        """Whether a field is out of range. Also guards the ledger, whose keys are unsigned and of fixed width."""
+        in_range = (
             0 <= setup.origin < frames.MAX_EXCHANGES
             and 0 <= setup.dialogue < 1 << 63
             and 0 <= setup.dial < 1 << 16
         )
-        return not named or bool(self._range_error(setup))
+        return not in_range or bool(self._range_error(setup))
 
-    def transit_ended(self, office: str, ref: int, now: int) -> None:
-        """The own office ends a dialogue in transit: cancelled or released from upstream."""
-        taken = self.offices[office].transits.get(ref)
-        if taken is None:
+    def transit_ended(self, office_id: str, dial_ref: int, now: int) -> None:
+        """The own office ends a dialogue in transit, which was cancelled or released upstream."""
+        call = self.offices[office_id].transits.get(dial_ref)
+        if call is None:
             self.counts["strays.transit_over"] += 1
         else:
-            self._end_upstream(taken, now)
-        self.io.send_to_office(office, frames.Released(ref))
+            self._end_upstream(call, now)
+        self.io.send_to_office(office_id, frames.Released(dial_ref))
 
-    def load_reported(self, office: str, frame: frames.LoadReport, now: int) -> None:
-        """A processor told its figures."""
-        end = self.offices[office]
-        self.feed(ev.Reported(office, frame.asked, True, self._group_report(end.number, frame.load)), now)
+    def load_reported(self, office_id: str, frame: frames.LoadReport, now: int) -> None:
+        """An office reported the load of its processor."""
+        office = self.offices[office_id]
+        self.feed(
+            ev.Reported(office_id, frame.asked, True, self._group_report(office.number, frame.load)), now
+        )
 
-    def _feed_load(self, office: str, load: frames.Load | None, now: int) -> None:
+    def _feed_load(self, office_id: str, load: frames.Load | None, now: int) -> None:
         if load is not None:
-            report = self._group_report(self.offices[office].number, load)
-            self.feed(ev.Reported(office, False, True, report), now)
+            report = self._group_report(self.offices[office_id].number, load)
+            self.feed(ev.Reported(office_id, False, True, report), now)
 
-    # ---- groups ----
+    # ---- trunk groups ----
 
-    def group_state_received(self, office: str, frame: frames.GroupState, now: int) -> None:
-        """The own office tells what comes in over a group, and the group's size."""
-        if self.offices[office].number != self.number or not 0 <= frame.number < frames.MAX_EXCHANGES:
+    def group_state_received(self, office_id: str, frame: frames.GroupState, now: int) -> None:
+        """The own office reports the circuits that incoming dials hold in a group, and the group's size."""
+        if self.offices[office_id].number != self.number or not 0 <= frame.number < frames.MAX_EXCHANGES:
             self.counts["strays.GroupState"] += 1
             return
         group = self.groups.get(frame.number)
@@ -687,7 +711,7 @@
 
     def _group_changed(self, number: int) -> None:
         if number not in self.groups:
-            return  # nobody has told of this group yet
+            return  # the own office has not reported this group yet
         self._unreported_groups.add(number)
         if self._group_report_timer is None:
             self._group_report_timer = self.io.start_timer(GROUP_REPORT_INTERVAL_US, self._report_groups)
@@ -695,235 +719,259 @@
     def _report_groups(self, now: int) -> None:
         self._group_report_timer = None
         numbers, self._unreported_groups = sorted(self._unreported_groups), set()
-        own = [end for end in self.offices.values() if end.number == self.number and end.connected]
+        own = [
+            office for office in self.offices.values() if office.number == self.number and office.connected
+        ]
         for number in numbers:
             group = self.groups[number]
-            for home in own:
-                self.io.send_to_office(home.id, frames.GroupState(number, group.local_count))
-            for end in self.offices.values():
-                if end.number == number and end.state is not ev.Standing.GONE:
-                    self.feed(ev.Reported(end.id, False, True, self._group_report(number, None)), now)
+            for own_office in own:
+                self.io.send_to_office(own_office.id, frames.GroupState(number, group.local_count))
+            for office in self.offices.values():
+                if office.number == number and office.state is not ev.Standing.GONE:
+                    self.feed(ev.Reported(office.id, False, True, self._group_report(number, None)), now)
 
     def _group_report(self, number: int, load: frames.Load | None) -> ev.Report:
         group = self.groups.get(number)
-        utilisation, wait, takes, hold_back = checked_load(load)
+        utilisation, wait, takes_per_s, hold_back = checked_load(load)
         return ev.Report(
             free=group.free if group else None,
             size=group.size if group else None,
             utilisation=utilisation,
             wait=wait,
-            takes_per_s=takes,
+            takes_per_s=takes_per_s,
             hold_back=hold_back,
         )
 
-    def circuits_held(self, office: str) -> int:
-        """Circuits held for dials of the office's link, as its heartbeat tells."""
-        end = self.offices.get(office)
-        return sum(dial.call.width for dial in end.dials.values()) if end else 0
-
-    def compare_counts(self, office: str, theirs: int, now: int) -> None:
-        """The office told how many circuits it holds for our dials: both ends must agree, frames on the way
-        apart."""
-        end = self.offices[office]
-        allowed = 2 * self.configuration.release.release_wait + 2_000_000  # two heartbeats
-        end.counts_differ_since, say = track_disagreement(
-            self.circuits_held(office), theirs, end.counts_differ_since, now, allowed
+    def circuits_held(self, office_id: str) -> int:
+        """Circuits held for dials on the connection to an office, as our heartbeats report them."""
+        office = self.offices.get(office_id)
+        return sum(dial.call.width for dial in office.dials.values()) if office else 0
+
+    def compare_counts(self, office_id: str, remote: int, now: int) -> None:
+        """Compare our count with the one in an office's heartbeat: they may differ only while frames are in
+        flight."""
+        office = self.offices[office_id]
+        allowed_us = 2 * self.configuration.release.release_wait + 2_000_000  # two heartbeats
+        office.counts_differ_since, report = track_disagreement(
+            self.circuits_held(office_id), remote, office.counts_differ_since, now, allowed_us
         )
-        if say:
+        if report:
             self.counts["circuits_disagree"] += 1
-            mine = self.circuits_held(office)
-            self.io.log("circuits_disagree", office=office, mine=mine, theirs=theirs)
+            local = self.circuits_held(office_id)
+            self.io.log("circuits_disagree", office=office_id, mine=local, theirs=remote)
 
-    # ---- links and the list ----
+    # ---- connections and the office list ----
 
-    def office_connected(self, office: str, number: int, boot: int, now: int) -> str:
-        """The link to an office stands; returns why it is not wanted, or nothing. Guards against an address that is
-        another office's by now: dialogues would go to the wrong exchange, which hands them on as if in transit."""
-        end = self.offices.get(office)
-        if end is None:
+    def office_connected(self, office_id: str, number: int, boot: int, now: int) -> str:
+        """The connection to an office is up. Returns why it must be closed, or an empty string. Guards against an
+        address that now belongs to another office: dialogues would go to the wrong exchange, which would forward them
+        as if they were in transit."""
+        office = self.offices.get(office_id)
+        if office is None:
             return ""
-        if number != end.number:
-            self.io.log("office_not_as_listed", office=office, number=number)
-            return f"office {number}, not {end.number} as listed"
-        end.connected, end.boot, end.counts_differ_since, end.recent_refs = True, boot, None, RecentIds()
-        if end.number == self.number:
+        if number != office.number:
+            self.io.log("office_not_as_listed", office=office_id, number=number)
+            return f"office {number}, not {office.number} as listed"
+        office.connected, office.boot, office.counts_differ_since, office.recent_refs = (
+            True,
+            boot,
+            None,
+            RecentIds(),
+        )
+        if office.number == self.number:
             self._unreported_groups.update(number for number in self.groups if number != self.number)
             if self._unreported_groups and self._group_report_timer is None:
                 self._group_report_timer = self.io.start_timer(GROUP_REPORT_INTERVAL_US, self._report_groups)
         return ""
 
-    def office_disconnected(self, office: str, why: str, now: int) -> None:
-        """The link to an office is lost, and all its dials with it; what passes the own processor too."""
-        end = self.offices.get(office)
-        if end is None or not end.connected:
+    def office_disconnected(self, office_id: str, reason: str, now: int) -> None:
+        """The connection to an office is lost, with all its dials; with the own office, also what its processor has
+        queued."""
+        office = self.offices.get(office_id)
+        if office is None or not office.connected:
             return
-        end.connected = False
+        office.connected = False
         self.counts["links_lost.office"] += 1
-        if end.state is ev.Standing.READY and not self.stopping:
-            self.io.log("office_lost", office=office, why=why, dials=len(end.dials))
-        for dial in list(end.dials.values()):
+        if office.state is ev.Standing.READY and not self.stopping:
+            self.io.log("office_lost", office=office_id, why=reason, dials=len(office.dials))
+        for dial in list(office.dials.values()):
             self._reset_dial(dial, now)
-        if end.number != self.number:
+        if office.number != self.number:
             return
         if self._own_office() is None:
             for number, group in self.groups.items():
-                if (
-                    group.remote_count
-                ):  # what came in over a dead office is gone with it; the next one tells anew
+                # The circuits of dials that came in over the lost office are free; its successor reports its own.
+                if group.remote_count:
                     group.remote_count = 0
                     self._group_changed(number)
         for other in self.offices.values():
-            for dial in [dial for dial in other.dials.values() if dial.own_office is end]:
-                # A processor that died takes what passed it along; the far end is told.
+            for dial in [dial for dial in other.dials.values() if dial.own_office is office]:
+                # What a failed processor was processing is lost; the far end is told to cancel.
                 self.io.send_to_office(other.id, frames.Cancel(dial.dial_ref))
                 self._reset_dial(dial, now)
-        for dial in list(end.processing.values()):
+        for dial in list(office.processing.values()):
             self._reset_dial(dial, now)
-        for taken in list(end.transits.values()):
-            self._end_upstream(taken, now)
+        for call in list(office.transits.values()):
+            self._end_upstream(call, now)
 
     def office_list_received(self, frame: frames.OfficeList, now: int) -> bool:
-        """The register told the list, or changes to it; returns whether it is followed. A revision that goes back is an
-        old list: skipped, but for what it says of offices that drain or are gone.
-
-        Guards rule 3 against a register that restarted with an old count: its news of a drain then comes under a
-        revision that was seen before. Keeping back costs a dial elsewhere; not keeping back breaks the rule."""
-        fault = office_list_error(frame)
-        if fault:
+        """The register sent the office list, or changes to it. Returns whether the list was applied as a whole. A list
+        with an older revision is skipped, except for entries that make an office unavailable.
+
+        Guards rule 3 against a register that restarted with an old revision count: it then reports that an office is
+        draining under a revision that was seen before. Applying such an entry costs a dial elsewhere; ignoring it
+        breaks the rule."""
+        error = office_list_error(frame)
+        if error:
             self.counts["lists_malformed"] += 1
-            self.io.log("list_malformed", revision=frame.revision, line=fault)
+            self.io.log("list_malformed", revision=frame.revision, line=error)
             return False
-        old = frame.revision < self.revision
-        if old:
+        outdated = frame.revision < self.revision
+        if outdated:
             self.counts["lists_skipped"] += 1
             self.io.log("list_skipped", revision=frame.revision, have=self.revision)
-            shut = [line for line in frame.entries if self._makes_unavailable(line, now)]
-            if not shut:
+            closing_entries = [entry for entry in frame.entries if self._makes_unavailable(entry, now)]
+            if not closing_entries:
                 return False
-            frame = frames.OfficeList("changes", self.revision, shut)
+            frame = frames.OfficeList("changes", self.revision, closing_entries)
         self.revision = frame.revision
-        before = {end.id: end.state for end in self.offices.values()}
-        named = set()
-        for line in frame.entries:
-            named.add(line.office)
-            self._apply_entry(line, now)
+        states_before = {office.id: office.state for office in self.offices.values()}
+        listed_ids = set()
+        for entry in frame.entries:
+            listed_ids.add(entry.office)
+            self._apply_entry(entry, now)
         if frame.kind != "changes":
-            for end in self.offices.values():
-                if end.id not in named:
-                    end.state = ev.Standing.GONE
-        heard = {"changes": ev.Heard.CHANGES, "whole": ev.Heard.WHOLE, "remembered": ev.Heard.REMEMBERED}
-        entries = [self.offices[line.office] for line in frame.entries]
-        lines = tuple(ev.Entry(end.id, end.number, end.state, end.started_at) for end in entries)
-        self.feed(ev.Listed(heard[frame.kind], lines), now)
-        for end in list(self.offices.values()):
-            self._apply_state(end, now)
-            if self.hook_runner and before.get(end.id) is not end.state:
-                end.hook_mark = self.hook_runner.office_state_changed(end, now) or end.hook_mark
-            if end.state is ev.Standing.GONE and not (end.dials or end.processing or end.transits):
-                del self.offices[end.id]  # replaced processors must not pile up over the weeks
-        return not old
-
-    def _makes_unavailable(self, line: frames.OfficeListEntry, now: int) -> bool:
-        """Whether a line says of an office held ready that it is not, and not of a processor before the present."""
-        end = self.offices.get(line.office)
-        if end is None or end.state is not ev.Standing.READY or line.state == "ready":
+            for office in self.offices.values():
+                if office.id not in listed_ids:
+                    office.state = ev.Standing.GONE
+        kinds = {"changes": ev.Heard.CHANGES, "whole": ev.Heard.WHOLE, "remembered": ev.Heard.REMEMBERED}
+        offices = [self.offices[entry.office] for entry in frame.entries]
+        reported = tuple(
+            ev.Entry(office.id, office.number, office.state, office.started_at) for office in offices
+        )
+        self.feed(ev.Listed(kinds[frame.kind], reported), now)
+        for office in list(self.offices.values()):
+            self._apply_state(office, now)
+            if self.hook_runner and states_before.get(office.id) is not office.state:
+                office.hook_mark = self.hook_runner.office_state_changed(office, now) or office.hook_mark
+            if office.state is ev.Standing.GONE and not (
+                office.dials or office.processing or office.transits
+            ):
+                del self.offices[
+                    office.id
+                ]  # else records of replaced processors would accumulate over the weeks
+        return not outdated
+
+    def _makes_unavailable(self, entry: frames.OfficeListEntry, now: int) -> bool:
+        """Whether an entry takes a ready office out of service, and is not about an earlier processor of it."""
+        office = self.offices.get(entry.office)
+        if office is None or office.state is not ev.Standing.READY or entry.state == "ready":
             return False
-        started = None if line.age is None else now - max(0, line.age)  # none starts in the future
-        return end.started_at is None or (
-            started is not None and started >= end.started_at - START_TOLERANCE_US
+        started_at = None if entry.age is None else now - max(0, entry.age)  # a negative age counts as zero
+        return office.started_at is None or (
+            started_at is not None and started_at >= office.started_at - START_TOLERANCE_US
         )
 
-    def _apply_entry(self, line: frames.OfficeListEntry, now: int) -> None:
-        standing = OFFICE_STATES[line.state]
-        started = None if line.age is None else now - max(0, line.age)  # none starts in the future
-        end = self.offices.get(line.office)
-        if end is None:
-            self.offices[line.office] = OfficeRecord(
-                line.office, line.number, line.address, standing, started
+    def _apply_entry(self, entry: frames.OfficeListEntry, now: int) -> None:
+        state = OFFICE_STATES[entry.state]
+        started_at = None if entry.age is None else now - max(0, entry.age)  # a negative age counts as zero
+        office = self.offices.get(entry.office)
+        if office is None:
+            self.offices[entry.office] = OfficeRecord(
+                entry.office, entry.number, entry.address, state, started_at
             )
             return
-        same = (
-            started is not None
-            and end.started_at is not None
-            and abs(started - end.started_at) < START_TOLERANCE_US
+        same_start = (
+            started_at is not None
+            and office.started_at is not None
+            and abs(started_at - office.started_at) < START_TOLERANCE_US
         )
-        if not same:
-            end.started_at = started
-        end.state, end.number = standing, line.number
-        if end.address != line.address:
-            self.io.drop_connection(end.id)
-            end.address = line.address
-
-    def _apply_state(self, end: OfficeRecord, now: int) -> None:
-        if end.state is ev.Standing.GONE:
-            self._withdraw_setups(end, now)
-            self.io.drop_connection(end.id)
+        if not same_start:
+            office.started_at = started_at
+        office.state, office.number = state, entry.number
+        if office.address != entry.address:
+            self.io.drop_connection(office.id)
+            office.address = entry.address
+
+    def _apply_state(self, office: OfficeRecord, now: int) -> None:
+        if office.state is ev.Standing.GONE:
+            self._withdraw_setups(office, now)
+            self.io.drop_connection(office.id)
         else:
-            self.io.keep_connection(end.id, end.address)
-            if end.state is ev.Standing.DRAINING:
-                self._withdraw_setups(end, now)
-
-    def _withdraw_setups(self, end: OfficeRecord, now: int) -> None:
-        """Guards rule 3: set-ups that wait here for an office that drains are taken back. Those that the link
-        has taken may still lie unread, in buffers that are not ours: unless the office tells within the grace
-        that it has read them, its link is reset, and nothing reaches it later."""
-        back = self.io.withdraw(end.id, lambda frame: isinstance(frame, frames.Setup))
-        for frame in back:
-            dial = end.dials.pop(getattr(frame, "dial_ref", 0), None)
+            self.io.keep_connection(office.id, office.address)
+            if office.state is ev.Standing.DRAINING:
+                self._withdraw_setups(office, now)
+
+    def _withdraw_setups(self, office: OfficeRecord, now: int) -> None:
+        """Withdraw the set-ups that are still queued here for an office that is draining: guards rule 3. Those that
+        were handed to the transport may still be unread in buffers that we do not control: unless the office confirms
+        within the drain grace that it has read them, its connection is reset, and nothing reaches it later."""
+        withdrawn = self.io.withdraw(office.id, lambda frame: isinstance(frame, frames.Setup))
+        for frame in withdrawn:
+            dial = office.dials.pop(getattr(frame, "dial_ref", 0), None)
             if dial and dial.state is DialState.SENT:
                 self.counts["kept_back.drained"] += 1
                 self._cancel_timer(dial)
                 self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.NONE, now)
-        if not end.connected:
+        if not office.connected:
             return
-        n, grace = self.io.send_mark(end.id), self.configuration.release.drain_grace
-
-        def look(at: int) -> None:
-            if end.connected and end.state is not ev.Standing.READY and not self.io.mark_confirmed(end.id, n):
+        mark, grace = self.io.send_mark(office.id), self.configuration.release.drain_grace
+
+        def check_read(fired_at: int) -> None:
+            if (
+                office.connected
+                and office.state is not ev.Standing.READY
+                and not self.io.mark_confirmed(office.id, mark)
+            ):
                 self.counts["resets_of_drained"] += 1
-                self.io.reset_connection(end.id, "drains and does not read")
+                self.io.reset_connection(
+                    office.id, "it is draining and did not confirm the mark within the drain grace"
+                )
 
-        self.io.start_timer(grace * 6 // 10, look)  # the reset is there within the grace
+        self.io.start_timer(
+            grace * 6 // 10, check_read
+        )  # early enough for the reset to arrive within the grace
 
-    # ---- others ----
+    # ---- centre, peers and shutdown ----
 
     def set_tandem_advice(self, frame: frames.Advice) -> None:
-        """The centre told its latest look."""
+        """The centre sent its latest tandem advice."""
         self.tandem_advice = list(frame.tandems)
 
-    def peer_message_received(self, peer: int, text: bytes, now: int) -> None:
-        """Another call server said something; its work at the own processor is booked there."""
-        home = self._own_office()
-        if home:
-            self.io.send_to_office(home.id, frames.ProcessStep(0, "word"))
-        self.feed(ev.PeerSaid(peer, text), now)
+    def peer_message_received(self, peer: int, payload: bytes, now: int) -> None:
+        """Another call server sent a message; the own processor is charged with the work of processing it."""
+        own_office = self._own_office()
+        if own_office:
+            self.io.send_to_office(own_office.id, frames.ProcessStep(0, "word"))
+        self.feed(ev.PeerSaid(peer, payload), now)
 
     def stop(self, now: int) -> int:
-        """Take nothing more; returns how many answers are still owed."""
+        """Accept no more dialogues; returns how many answers are still owed."""
         self.stopping = True
         return self.unanswered
 
     @property
     def unanswered(self) -> int:
-        """Dialogues taken that still wait for their answer."""
-        return sum(taken.answer_owed for taken in self.calls.values())
+        """Number of accepted dialogues that still wait for their answer."""
+        return sum(call.answer_owed for call in self.calls.values())
 
 
 def office_list_error(frame: frames.OfficeList) -> str:
-    """What is wrong with a list, or nothing."""
+    """What is wrong with an office list, or an empty string."""
     if frame.kind not in ("changes", "whole", "remembered"):
         return f"kind {frame.kind[:40]!r}"
-    for line in frame.entries:
-        if line.state not in OFFICE_STATES or not 0 <= line.number < frames.MAX_EXCHANGES:
-            return repr(line)[:200]
+    for entry in frame.entries:
+        if entry.state not in OFFICE_STATES or not 0 <= entry.number < frames.MAX_EXCHANGES:
+            return repr(entry)[:200]
     return ""
 
 
 def _fits(text: str | None) -> bool:
-    """Whether a number called or a tenant is one: they are kept for a minute, and longer ones would fill memory."""
+    """Whether a called number or a tenant is short enough. They are kept for a minute; longer ones would fill
+    memory."""
     return text is None or len(text) <= MAX_TEXT_CHARS
 
 
-def _role(taken: PendingCall) -> str:
-    """Where this call server stands in a dialogue."""
-    return "tandem" if taken.own_office is not None else "origin"
+def _role(call: PendingCall) -> str:
+    """Role of this call server in a dialogue."""
+    return "tandem" if call.own_office is not None else "origin"
