--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -121,7 +121,7 @@
     for _ in range(12):
         dripping.transport.write(b"s")
         door.loop.advance(1.0)
-    assert silent.gone and dripping.gone and not door.daemon.operators
+    assert silent.gone and dripping.gone and not door.daemon.operator_transports
 
 
 def test_an_office_of_another_number_than_the_list_says_is_not_dialled() -> None:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -405,7 +405,7 @@
 
 def test_stopping_takes_nothing_more_and_tells_what_is_owed(bench: Bench) -> None:
     bench.dial()
-    assert bench.switch.stop(0) == 1
+    assert bench.switch.stop_accepting(0) == 1
     bench.call(id=2)
     assert bench.finals == ["pushed_back"]
 
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -1,4 +1,4 @@
-"""The shell of a call server: its listeners, links and timers. It decides nothing; `Switch` is told what came."""
+"""The transport layer of a call server: listeners, connections and timers. All events go to `Switch`, which decides."""
 
 import asyncio
 import random
@@ -23,19 +23,19 @@
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel, PersistentChannel
 
-MAX_REQUEST_BYTES = (
-    2_000  # bytes of an operator's request: a correction with who and why of 200 characters has up to 1,700
+# Of an operator's request: a correction whose author and reason have 200 characters each takes up to 1,700 bytes.
+MAX_REQUEST_BYTES = 2_000
+REQUEST_TIMEOUT_S = (
+    10.0  # for an operator to send a request and read the reply; over loopback both are immediate
 )
-REQUEST_TIMEOUT_S = 10.0  # for an operator to ask and to read the answer; over loopback a moment is enough
-MAX_CONNECTIONS = (
-    500  # from callers and peers together: half of the 1,024 descriptors that a process has by default; the
-)
-# others are for its own links to offices, guides and peers, and for files
-STOP_POLL_INTERVAL_S = 0.02  # s between looks at what is still owed while stopping
+# From callers and peers together: half of the 1,024 descriptors that a process has by default. The others are for
+# outgoing connections to offices, register, centre and peers, and for files.
+MAX_CONNECTIONS = 500
+STOP_POLL_INTERVAL_S = 0.02  # between checks for unanswered dialogues during shutdown
 
 
 class Log(Protocol):
-    """Takes one event of the log with its facts."""
+    """Writes one event with its fields to the log."""
 
     def __call__(self, event: str, **facts: Any) -> None: ...
 
@@ -45,7 +45,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerAddresses:
-    """Where a call server listens and whom it follows, as host:port; empty for none."""
+    """Addresses, as host:port, at which a call server listens (callers, peers, operators) and to which it connects
+    (register, centre). An empty one is not used."""
 
     callers: str
     peers: str
@@ -55,7 +56,7 @@
 
 
 class Daemon:
-    """One running call server on a loop and a network, real or emulated."""
+    """One running call server on an event loop and a network, real or emulated."""
 
     def __init__(
         self,
@@ -87,15 +88,17 @@
         self.listeners: dict[str, Listener] = {}
         self.control_connections: list[PersistentChannel] = []
         self.accepted_channels: dict[Channel, None] = {}
-        self.operators: dict[asyncio.Transport, None] = {}
+        self.operator_transports: dict[asyncio.Transport, None] = {}
         self.read_hooks = read_hooks
         self.parser: Parser | None = None
         self.previous_versions: list[Version] = []
         if hooks:
             self.parser = Parser()
             use_cases = frozenset(use.name for use in configuration.use_cases)
-            made = Hooks(load_version(hooks, self.parser), use_cases, log, self.switch.counts)
-            self.switch.hook_runner = HookRunner(made, self.switch.exchange, self.switch.number, clock)
+            hook_service = Hooks(load_version(hooks, self.parser), use_cases, log, self.switch.counts)
+            self.switch.hook_runner = HookRunner(
+                hook_service, self.switch.exchange, self.switch.number, clock
+            )
         self.sends_peer_messages = (
             configuration.permissions.may_tell_peers and not configuration.place.advised
         )
@@ -104,7 +107,7 @@
         self.switch.ledger = self.settlement
 
     def start(self) -> None:
-        """Listen, follow the register, begin to decide."""
+        """Open the listeners, connect to register and centre, start the decision function."""
         self.write_log(
             "started", number=self.switch.number, boot=self.hello.boot, seed=self.switch.configuration.seed
         )
@@ -137,32 +140,32 @@
                 )
 
     def ledger_closed(self) -> None:
-        """All of the ledger that waited is on disk."""
+        """Called when all pending ledger writes are on disk. May be replaced before `start`."""
 
     def now(self) -> int:
-        """The loop's time in us."""
+        """The event loop's time in us."""
         return now_us(self.loop)
 
     def _fork_rng(self, name: str) -> random.Random:
-        """A generator of its own for each link, so that none disturbs another's draws."""
+        """A separate generator for each connection, so that one does not affect the sequence of another."""
         return random.Random(f"{self.switch.configuration.seed} {self.hello.boot} {name}")
 
     def _make_channel(self, owner: Any, accepted_roles: tuple[str, ...]) -> Channel:
-        port: Channel
-        port = Channel(
+        channel: Channel
+        channel = Channel(
             self.loop,
             owner,
             self.hello,
             accepted_roles,
-            on_closed=lambda why: self.accepted_channels.pop(port, None),
+            on_closed=lambda reason: self.accepted_channels.pop(channel, None),
         )
         if len(self.accepted_channels) >= MAX_CONNECTIONS:
-            # Guards the links that stand, and those that this call server itself must open, against one too many.
-            port.refusal_reason = f"{MAX_CONNECTIONS} links stand here already"
+            # Guards against running out of descriptors for the open connections and for those this server must open.
+            channel.refusal_reason = f"{MAX_CONNECTIONS} links stand here already"
             self.switch.counts["links_refused"] += 1
         else:
-            self.accepted_channels[port] = None
-        return port
+            self.accepted_channels[channel] = None
+        return channel
 
     def _listen(self, name: str, address: str, factory: Callable[[], asyncio.BufferedProtocol]) -> None:
         def ready(listener: Listener) -> None:
@@ -172,96 +175,96 @@
         self.network.listen(address, factory, ready)
 
     def stop(self, timeout: int, on_stopped: Callable[[], None]) -> None:
-        """Take nothing more, wait `within` us at most for what is owed, then close all links."""
-        owed = self.switch.stop(self.now())
+        """Accept no more dialogues, wait up to `timeout` us for the answers still owed, then close everything."""
+        owed = self.switch.stop_accepting(self.now())
         self.write_log("stopping", owed=owed)
-        until = self.now() + timeout
+        deadline = self.now() + timeout
 
-        def look() -> None:
-            if self.switch.unanswered and self.now() < until:
-                self.loop.call_later(STOP_POLL_INTERVAL_S, look)
+        def check_unanswered() -> None:
+            if self.switch.unanswered and self.now() < deadline:
+                self.loop.call_later(STOP_POLL_INTERVAL_S, check_unanswered)
                 return
             self.write_log("stopped", owed=self.switch.unanswered)
             self.kill()
             on_stopped()
 
-        look()
+        check_unanswered()
 
     def kill(self) -> None:
-        """Close everything at once, whatever is owed."""
+        """Close everything at once, even if answers are owed."""
         self.stopped = self.switch.stopping = True
         if self.settlement:
             self.settlement.close(self.ledger_closed)
         for listener in self.listeners.values():
             listener.close()
-        for link in [
+        for connection in [
             *self.control_connections,
             *self.peer_connections.values(),
             *(office.connection for office in self.office_channels.values()),
         ]:
-            link.close()
-        for port in list(self.accepted_channels):
-            port.close()
-        for transport in list(self.operators):
+            connection.close()
+        for channel in list(self.accepted_channels):
+            channel.close()
+        for transport in list(self.operator_transports):
             transport.close()
 
-    # -- Outlet --
+    # -- ServerIO --
 
     def send_to_caller(self, connection: Hashable, frame: frames.AnyFrame) -> bool:
-        """As `Outlet`."""
+        """See `ServerIO`."""
         return cast(Channel, connection).send(frame)
 
-    def send_to_office(self, office: str, frame: frames.AnyFrame) -> bool:
-        """As `Outlet`."""
-        port = self._office_channel(office)
-        return port.send(frame) if port else False
-
-    def _office_channel(self, office: str) -> Channel | None:
-        kept = self.office_channels.get(office)
-        return kept.connection.current if kept else None
-
-    def withdraw(self, office: str, matches: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
-        """As `Outlet`."""
-        port = self._office_channel(office)
-        return port.withdraw(matches) if port else []
-
-    def send_mark(self, office: str) -> int:
-        """As `Outlet`."""
-        port = self._office_channel(office)
-        return port.send_mark() if port else 0
-
-    def mark_confirmed(self, office: str, sequence: int) -> bool:
-        """As `Outlet`."""
-        port = self._office_channel(office)
-        return port is None or port.mark_confirmed(sequence)
-
-    def reset_connection(self, office: str, reason: str) -> None:
-        """As `Outlet`."""
-        port = self._office_channel(office)
-        if port:
-            port.fail(reason, notify_peer=False)
-
-    def keep_connection(self, office: str, address: str) -> None:
-        """As `Outlet`."""
-        if office not in self.office_channels and not self.stopped:
-            self.office_channels[office] = _OfficeChannel(self, office, address)
-
-    def drop_connection(self, office: str) -> None:
-        """As `Outlet`."""
-        kept = self.office_channels.pop(office, None)
-        if kept:
-            kept.connection.close()
-            self.switch.office_disconnected(office, "gone from the list", self.now())
-
-    def send_to_peers(self, text: bytes) -> None:
-        """As `Outlet`."""
-        word = frames.PeerMessage(text)
-        for kept in self.peer_connections.values():
-            if kept.current:
-                kept.current.send(word)
+    def send_to_office(self, office_id: str, frame: frames.AnyFrame) -> bool:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        return channel.send(frame) if channel else False
+
+    def _office_channel(self, office_id: str) -> Channel | None:
+        office_channel = self.office_channels.get(office_id)
+        return office_channel.connection.current if office_channel else None
+
+    def withdraw(self, office_id: str, matches: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        return channel.withdraw(matches) if channel else []
+
+    def send_mark(self, office_id: str) -> int:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        return channel.send_mark() if channel else 0
+
+    def mark_confirmed(self, office_id: str, sequence: int) -> bool:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        return channel is None or channel.mark_confirmed(sequence)
+
+    def reset_connection(self, office_id: str, reason: str) -> None:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        if channel:
+            channel.fail(reason, notify_peer=False)
+
+    def keep_connection(self, office_id: str, address: str) -> None:
+        """See `ServerIO`."""
+        if office_id not in self.office_channels and not self.stopped:
+            self.office_channels[office_id] = _OfficeChannel(self, office_id, address)
+
+    def drop_connection(self, office_id: str) -> None:
+        """See `ServerIO`."""
+        office_channel = self.office_channels.pop(office_id, None)
+        if office_channel:
+            office_channel.connection.close()
+            self.switch.office_disconnected(office_id, "removed from the office list", self.now())
+
+    def send_to_peers(self, payload: bytes) -> None:
+        """See `ServerIO`."""
+        message = frames.PeerMessage(payload)
+        for connection in self.peer_connections.values():
+            if connection.current:
+                connection.current.send(message)
 
     def start_timer(self, delay: int, callback: Callable[[int], None]) -> asyncio.TimerHandle:
-        """As `Outlet`."""
+        """See `ServerIO`."""
         return self.loop.call_later(delay / 1e6, self._run_callback, callback)
 
     def _run_callback(self, callback: Callable[[int], None]) -> None:
@@ -269,24 +272,24 @@
             callback(self.now())
 
     def log(self, event: str, **facts: Any) -> None:
-        """As `Outlet`."""
+        """See `ServerIO`."""
         self.write_log(event, **facts)
 
-    # -- what the register names --
+    # -- peers --
 
     def connect_peers(self, entries: list[frames.OfficeListEntry]) -> None:
-        """Keep a link to each peer that the list names, where words are told at all or a ledger is kept."""
+        """Keep a connection to each peer in the office list, if peer messages are sent or a ledger is kept."""
         if not self.sends_peer_messages and not self.settlement:
             return
-        for line in entries:
-            address = line.peer_address
+        for entry in entries:
+            address = entry.peer_address
             if address:
-                before = self.peer_addresses.get(line.number, address)
-                self.peer_addresses[line.number] = address
-                if before != address and before in self.peer_connections:
-                    # Guards against links to where a peer was, each tried for ever.
-                    self.peer_connections.pop(before).close()
-            if line.number != self.switch.number and address and address not in self.peer_connections:
+                previous_address = self.peer_addresses.get(entry.number, address)
+                self.peer_addresses[entry.number] = address
+                if previous_address != address and previous_address in self.peer_connections:
+                    # Guards against reconnecting for ever to a former address of the peer.
+                    self.peer_connections.pop(previous_address).close()
+            if entry.number != self.switch.number and address and address not in self.peer_connections:
                 self.peer_connections[address] = PersistentChannel(
                     self.loop,
                     self.network,
@@ -298,68 +301,69 @@
                 )
 
     def send_ledger_message(self, number: int, payload: bytes) -> bool:
-        """Carry a message of the ledger's to another call server; False where no link stands. One that is lost is
-        asked for again."""
-        kept = self.peer_connections.get(self.peer_addresses.get(number, ""))
-        port = (kept.current if kept else None) or self.channels_by_peer.get(number)
-        return port.send(frames.LedgerMessage(payload)) if port else False
+        """Send a ledger message to another call server; False where there is no connection. The ledger asks again for
+        a message that is lost."""
+        connection = self.peer_connections.get(self.peer_addresses.get(number, ""))
+        channel = (connection.current if connection else None) or self.channels_by_peer.get(number)
+        return channel.send(frames.LedgerMessage(payload)) if channel else False
 
     def ledger_request(self, request: str) -> str:
-        """An operator's word about the ledger: `close PERIOD` states it early, `correct DIALOGUE US WHO WHY` (names and
-        reasons without blanks, or quoted), `snapshot NAME`; else how it is."""
+        """Run an operator's ledger request: `close PERIOD` states a period early, `correct DIALOGUE US WHO WHY` (names
+        and reasons without blanks, or quoted), `snapshot NAME`; any other request returns the ledger's status."""
         if self.settlement is None:
             return "no ledger: the sheet names none"
         try:
             return self.settlement.run_command(request)
-        except ValueError as fault:
-            return f"not done: {fault}"
+        except ValueError as error:
+            return f"not done: {error}"
 
     def dump_hooks_state(self) -> bytes:
-        """What hooks remember, for a file."""
-        hooked = self.switch.hook_runner
-        return encode_state(hooked.hooks.states, self.now()) if hooked else b""
+        """The state that hooks remember, encoded for a file."""
+        hook_runner = self.switch.hook_runner
+        return encode_state(hook_runner.hooks.states, self.now()) if hook_runner else b""
 
     def restore_hooks_state(self, data: bytes) -> None:
-        """Take what an earlier process remembered; what is damaged or too large is dropped with a word in the log."""
+        """Restore the hook state of an earlier process; what is damaged or too large is dropped and logged."""
         if self.switch.hook_runner:
-            kept, words = decode_state(data, self.now())
-            self.switch.hook_runner.hooks.states.update(kept)
-            for word in words:
+            states, problems = decode_state(data, self.now())
+            self.switch.hook_runner.hooks.states.update(states)
+            for problem in problems:
                 self.switch.counts["hooks_state_dropped"] += 1
-                self.write_log("hooks_state_dropped", why=word)
+                self.write_log("hooks_state_dropped", why=problem)
 
     def hooks_request(self, request: str) -> str:
-        """An operator's word about hooks. `reload` takes the files as they are now, as a whole or not at all;
-        `shadow` runs them beside; `canary N` lets the shadow decide for N percent of called numbers; `take` makes the
-        shadow the version, `drop` lets it go; `back` returns to the version before; else what runs is shown."""
-        hooked = self.switch.hook_runner
-        if hooked is None or self.parser is None:
+        """Run an operator's hooks request. `reload` loads all files as they are now, or none if one is invalid;
+        `shadow` runs them in parallel without effect; `canary N` lets the shadow decide for N percent of called
+        numbers; `take` makes the shadow the active version, `drop` stops it; `back` returns to the previous version;
+        any other request returns the status."""
+        hook_runner = self.switch.hook_runner
+        if hook_runner is None or self.parser is None:
             return "no hooks: the sheet names none"
-        hooks, word, number = hooked.hooks, request.split(" ")[0], request.partition(" ")[2]
-        if word in ("reload", "shadow"):
+        hooks, command, argument = hook_runner.hooks, request.split(" ")[0], request.partition(" ")[2]
+        if command in ("reload", "shadow"):
             try:
                 version = load_version(self.read_hooks(), self.parser) if self.read_hooks else hooks.version
-            except (InvalidHooks, Faults) as bad:
-                return f"not taken, {hooks.version.digest} runs on\n{bad}"
+            except (InvalidHooks, Faults) as error:
+                return f"not taken, {hooks.version.digest} runs on\n{error}"
             if version.digest == hooks.version.digest:
                 return f"{version.digest} runs already"
-            if word == "shadow":
+            if command == "shadow":
                 hooks.start_shadow(version)
                 return f"{version.digest} runs beside {hooks.version.digest} and decides nothing"
             return self._swap_hooks(hooks, version)
-        if word in ("canary", "take", "drop") and hooks.shadow is None:
+        if command in ("canary", "take", "drop") and hooks.shadow is None:
             return "no shadow runs: hooks shadow begins one"
-        if word == "canary":
-            if not re.fullmatch("[0-9]{1,3}", number) or int(number) > 100:
-                return f"canary {number[:20]!r}: a percentage from 0 to 100"
-            hooks.canary = int(number) * CANARY_BUCKETS // 100
-            return f"the shadow decides for {number}% of called numbers"
-        if word == "take" and hooks.shadow is not None:
+        if command == "canary":
+            if not re.fullmatch("[0-9]{1,3}", argument) or int(argument) > 100:
+                return f"canary {argument[:20]!r}: a percentage from 0 to 100"
+            hooks.canary = int(argument) * CANARY_BUCKETS // 100
+            return f"the shadow decides for {argument}% of called numbers"
+        if command == "take" and hooks.shadow is not None:
             return self._swap_hooks(hooks, hooks.shadow.version)
-        if word == "drop":
+        if command == "drop":
             hooks.drop_shadow()
             return f"{hooks.version.digest} runs alone"
-        if word == "back":
+        if command == "back":
             if not self.previous_versions:
                 return f"nothing before {hooks.version.digest}"
             hooks.swap(self.previous_versions.pop())
@@ -378,40 +382,47 @@
             "shadow": hooks.shadow.version.digest if hooks.shadow else None,
             "canary_percent": hooks.canary * 100 / CANARY_BUCKETS,
             "benched": {
-                name: {"all_until": one.all_keys.until, "keys": list(one.keys)}
-                for name, one in hooks.suspensions.items()
-                if one.all_keys.until or one.keys
+                name: {"all_until": suspension.all_keys.until, "keys": list(suspension.keys)}
+                for name, suspension in hooks.suspensions.items()
+                if suspension.all_keys.until or suspension.keys
             },
-            "remembered": {name: len(kept.values) for name, kept in hooks.states.items()},
+            "remembered": {name: len(state.values) for name, state in hooks.states.items()},
             "counts": {
                 name: count for name, count in sorted(hooks.counts.items()) if name.startswith("hooks")
             },
         }
 
     def status(self) -> dict[str, Any]:
-        """What an operator sees: state as it is."""
+        """The current state, for operators."""
         switch = self.switch
-        x = switch.exchange
+        exchange = switch.exchange
         return {
             "number": switch.number,
             "held": len(switch.calls),
             "owed": switch.unanswered,
-            "own_price": round(x.own_price, 4),
+            "own_price": round(exchange.own_price, 4),
             "revision": switch.revision,
             "offices": [
                 {
-                    "id": end.id,
-                    "number": end.number,
-                    "standing": end.state.name.lower(),
-                    "up": end.connected,
-                    "dials": len(end.dials),
-                    "price": round(x.offices[end.id].price, 4) if end.id in x.offices else None,
+                    "id": office.id,
+                    "number": office.number,
+                    "standing": office.state.name.lower(),
+                    "up": office.connected,
+                    "dials": len(office.dials),
+                    "price": round(exchange.offices[office.id].price, 4)
+                    if office.id in exchange.offices
+                    else None,
                 }
-                for end in switch.offices.values()
+                for office in switch.offices.values()
             ],
             "groups": {
-                str(number): {"size": g.size, "free": g.free, "ours": g.local_count, "theirs": g.remote_count}
-                for number, g in sorted(switch.groups.items())
+                str(number): {
+                    "size": group.size,
+                    "free": group.free,
+                    "ours": group.local_count,
+                    "theirs": group.remote_count,
+                }
+                for number, group in sorted(switch.groups.items())
             },
             "counts": dict(sorted(switch.counts.items())),
             **({"ledger": self.settlement.status()} if self.settlement else {}),
@@ -419,63 +430,63 @@
 
 
 class _ChannelOwnerBase:
-    """What the owners of links share: heartbeats without circuits."""
+    """Base of channel owners without circuits: their heartbeats report none."""
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
-    def channel_opened(self, port: Channel) -> None:
-        """A link stands."""
+    def channel_opened(self, channel: Channel) -> None:
+        """A connection is up."""
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """A link is gone."""
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """A connection is closed."""
 
-    def circuits_held(self, port: Channel) -> int:
-        """Nothing is held on these links."""
+    def circuits_held(self, channel: Channel) -> int:
+        """No circuits are held on these connections."""
         return 0
 
 
 class _CallerChannels(_ChannelOwnerBase):
-    """Links from callers."""
+    """Connections from callers."""
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """A caller says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from a caller."""
         now = self.daemon.now()
         if isinstance(frame, frames.Call):
-            self.daemon.switch.call_received(port, frame, now)
+            self.daemon.switch.call_received(channel, frame, now)
         elif isinstance(frame, frames.HangUp):
-            self.daemon.switch.caller_hung_up(port, frame.id, now)
+            self.daemon.switch.caller_hung_up(channel, frame.id, now)
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """A caller's link is gone."""
-        self.daemon.switch.caller_disconnected(port, self.daemon.now())
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """A caller's connection is closed."""
+        self.daemon.switch.caller_disconnected(channel, self.daemon.now())
 
 
 class _PeerChannels(_ChannelOwnerBase):
-    """Links with other call servers."""
+    """Connections with other call servers."""
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """A peer says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from a peer."""
         if isinstance(frame, frames.PeerMessage):
-            self.daemon.switch.peer_message_received(port.peer.number, frame.payload, self.daemon.now())
+            self.daemon.switch.peer_message_received(channel.peer.number, frame.payload, self.daemon.now())
         elif isinstance(frame, frames.LedgerMessage) and self.daemon.settlement:
-            self.daemon.settlement.receive(port.peer.number, frame.payload)
+            self.daemon.settlement.receive(channel.peer.number, frame.payload)
 
-    def channel_opened(self, port: Channel) -> None:
-        """A peer is there: either end may have opened the link."""
-        self.daemon.channels_by_peer[port.peer.number] = port
+    def channel_opened(self, channel: Channel) -> None:
+        """A connection with a peer is up; either end may have opened it."""
+        self.daemon.channels_by_peer[channel.peer.number] = channel
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """It is gone."""
-        if port.connection.peer and self.daemon.channels_by_peer.get(port.peer.number) is port:
-            del self.daemon.channels_by_peer[port.peer.number]
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """A connection with a peer is closed."""
+        if channel.connection.peer and self.daemon.channels_by_peer.get(channel.peer.number) is channel:
+            del self.daemon.channels_by_peer[channel.peer.number]
 
 
 class _ControlChannels(_ChannelOwnerBase):
-    """Links to the register and the centre."""
+    """Connections to the register and the centre."""
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """The register or the centre says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from the register or the centre."""
         if isinstance(frame, frames.OfficeList):
             if self.daemon.switch.office_list_received(frame, self.daemon.now()):
                 self.daemon.connect_peers(frame.entries)
@@ -484,60 +495,63 @@
 
 
 class _OfficeChannel:
-    """The link to one office."""
+    """The connection to one office."""
 
-    def __init__(self, daemon: Daemon, office: str, address: str) -> None:
-        self.daemon, self.office = daemon, office
+    def __init__(self, daemon: Daemon, office_id: str, address: str) -> None:
+        self.daemon, self.office_id = daemon, office_id
         self.connection = PersistentChannel(
-            daemon.loop, daemon.network, address, self, daemon.hello, ("office",), daemon._fork_rng(office)
+            daemon.loop, daemon.network, address, self, daemon.hello, ("office",), daemon._fork_rng(office_id)
         )
 
-    def channel_opened(self, port: Channel) -> None:
-        """The office answers."""
-        peer = port.peer
-        unwanted = self.daemon.switch.office_connected(self.office, peer.number, peer.boot, self.daemon.now())
-        if unwanted:
-            port.fail(unwanted)
+    def channel_opened(self, channel: Channel) -> None:
+        """The connection to the office is up."""
+        peer = channel.peer
+        refusal = self.daemon.switch.office_connected(
+            self.office_id, peer.number, peer.boot, self.daemon.now()
+        )
+        if refusal:
+            channel.fail(refusal)
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """The office is lost."""
-        if self.daemon.office_channels.get(self.office) is self:
-            self.daemon.switch.office_disconnected(self.office, why, self.daemon.now())
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """The connection to the office is lost."""
+        if self.daemon.office_channels.get(self.office_id) is self:
+            self.daemon.switch.office_disconnected(self.office_id, reason, self.daemon.now())
 
-    def circuits_held(self, port: Channel) -> int:
-        """Circuits that our dials hold there."""
-        return self.daemon.switch.circuits_held(self.office)
+    def circuits_held(self, channel: Channel) -> int:
+        """Circuits that our dials hold at the office."""
+        return self.daemon.switch.circuits_held(self.office_id)
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """The office says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from the office."""
         switch, now = self.daemon.switch, self.daemon.now()
         match frame:
             case frames.StepProcessed():
-                switch.step_processed(self.office, frame, now)
+                switch.step_processed(self.office_id, frame, now)
             case frames.Answer():
-                switch.setup_answered(self.office, frame, now)
+                switch.setup_answered(self.office_id, frame, now)
             case frames.Reject():
-                switch.setup_rejected(self.office, frame, now)
-            case frames.Cut(ref):
-                switch.dial_cut(self.office, ref, now)
+                switch.setup_rejected(self.office_id, frame, now)
+            case frames.Cut(dial_ref):
+                switch.dial_cut(self.office_id, dial_ref, now)
             case frames.Released():
-                switch.dial_released(self.office, frame, now)
+                switch.dial_released(self.office_id, frame, now)
             case frames.Setup():
-                switch.transit_setup(self.office, frame, now)
-            case frames.Cancel(ref) | frames.Release(ref):
-                switch.transit_ended(self.office, ref, now)
+                switch.transit_setup(self.office_id, frame, now)
+            case frames.Cancel(dial_ref) | frames.Release(dial_ref):
+                switch.transit_ended(self.office_id, dial_ref, now)
             case frames.GroupState():
-                switch.group_state_received(self.office, frame, now)
+                switch.group_state_received(self.office_id, frame, now)
             case frames.LoadReport():
-                switch.load_reported(self.office, frame, now)
+                switch.load_reported(self.office_id, frame, now)
             case frames.CarriedDialogue():
-                switch.carried_dialogue_ended(self.office, frame)
+                switch.carried_dialogue_ended(self.office_id, frame)
             case frames.Heartbeat(held):
-                switch.compare_counts(self.office, held, now)
+                switch.compare_counts(self.office_id, held, now)
 
 
 class _OperatorConnection(asyncio.BufferedProtocol):
-    """An operator's line: `status`, `metrics`, `hooks`, `hooks reload` or `hooks back`, answered and closed."""
+    """An operator's connection: takes one request line (`status`, `metrics`, `hooks ...`, `ledger ...`), replies and
+    closes."""
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
@@ -547,25 +561,25 @@
         self.timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Somebody asks."""
+        """Start the timeout of the request."""
         self.transport = cast(asyncio.Transport, transport)
-        self.daemon.operators[self.transport] = None
-        # Guards against one who asks nothing, or reads no answer: the line was kept for ever.
+        self.daemon.operator_transports[self.transport] = None
+        # Guards against clients that send no request or read no reply: their connections were kept for ever.
         self.timeout = self.daemon.loop.call_later(REQUEST_TIMEOUT_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """They left."""
+        """Forget the connection."""
         if self.timeout:
             self.timeout.cancel()
         if self.transport:
-            self.daemon.operators.pop(self.transport, None)
+            self.daemon.operator_transports.pop(self.transport, None)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Room for the rest of the line."""
+        """Buffer space for the rest of the request."""
         return memoryview(self.buffer)[self.filled :]
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Part of a line came."""
+        """Reply once the whole request line is here."""
         self.filled += nbytes
         line, newline, _ = bytes(self.buffer[: self.filled]).partition(b"\n")
         if (
@@ -575,25 +589,25 @@
         ):
             return
         try:
-            said = self._answer(line.strip().decode("utf-8", "replace")) if newline else REQUEST_TOO_LONG
-        except Exception as fault:  # one who asks is answered, whatever is wrong
-            self.daemon.write_log("operator_fault", fault=f"{type(fault).__name__}: {fault}")
-            said = f"not done: {type(fault).__name__}: {fault}\n".encode()
-        self.transport.write(said)
+            reply = self._reply_to(line.strip().decode("utf-8", "replace")) if newline else REQUEST_TOO_LONG
+        except Exception as error:  # every request gets a reply
+            self.daemon.write_log("operator_fault", fault=f"{type(error).__name__}: {error}")
+            reply = f"not done: {type(error).__name__}: {error}\n".encode()
+        self.transport.write(reply)
         self.transport.close()
 
-    def _answer(self, asked: str) -> bytes:
-        daemon, (what, _, rest) = self.daemon, asked.partition(" ")
-        if asked == "status":
+    def _reply_to(self, request: str) -> bytes:
+        daemon, (command, _, argument) = self.daemon, request.partition(" ")
+        if request == "status":
             return msgspec.json.format(msgspec.json.encode(daemon.status()), indent=2) + b"\n"
-        if asked == "metrics":
+        if request == "metrics":
             return exposition(daemon.switch)
-        if what == "hooks":
-            return daemon.hooks_request(rest).encode() + b"\n"
-        if what == "ledger":
-            return daemon.ledger_request(rest).encode() + b"\n"
-        return f"unknown request {asked[:40]!r}: status, metrics, hooks or ledger\n".encode()
+        if command == "hooks":
+            return daemon.hooks_request(argument).encode() + b"\n"
+        if command == "ledger":
+            return daemon.ledger_request(argument).encode() + b"\n"
+        return f"unknown request {request[:40]!r}: status, metrics, hooks or ledger\n".encode()
 
 
 REQUEST_TOO_LONG = f"a request over {MAX_REQUEST_BYTES} bytes is not taken\n".encode()
-"""What was cut there used to be carried out as it stood."""
+"""Guards against carrying out a request that was truncated at the limit."""
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -945,7 +945,7 @@
             self.io.send_to_office(own_office.id, frames.ProcessStep(0, "word"))
         self.feed(ev.PeerSaid(peer, payload), now)
 
-    def stop(self, now: int) -> int:
+    def stop_accepting(self, now: int) -> int:
         """Accept no more dialogues; returns how many answers are still owed."""
         self.stopping = True
         return self.unanswered
