--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -18,6 +18,19 @@
     250_000  # us until the interval rings again where the decision that arms it raised: its own length
 )
 
+# Names of the event counters in the metrics; operators' tools match them.
+COUNTER_NAMES: dict[type[ev.Event], str] = {
+    ev.Opened: "Opened",
+    ev.Listed: "Listed",
+    ev.Arrived: "Arrived",
+    ev.Stood: "Stood",
+    ev.DialEnded: "DialEnded",
+    ev.Reported: "Reported",
+    ev.WentAway: "WentAway",
+    ev.Rang: "Rang",
+    ev.PeerSaid: "PeerSaid",
+}
+
 
 class Server(Protocol):
     """What the runner needs of the server that holds it."""
@@ -56,7 +69,7 @@
         try:
             while self._events:
                 event = self._events.popleft()
-                self._counts[f"event.{type(event).__name__}"] += 1
+                self._counts[f"event.{COUNTER_NAMES[type(event)]}"] += 1
                 try:
                     wanted = decide(self.exchange, event, now)
                 except Exception as fault:  # the call server outlives a fault in one decision
