--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,17 +5,19 @@
 import pytest
 
 from wellhitch.interface.events import Standing
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
 SECOND = 1_000_000
-CHEAP = UseCase("cheap", 1.0, 0.2, 2 * SECOND, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
-DEAR = UseCase("dear", 5.0, 0.2, SECOND, 6 * SECOND, 1, 8 * SECOND, (), True, 0)
+CHEAP = TrafficClass("cheap", 1.0, 0.2, 2 * SECOND, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
+DEAR = TrafficClass("dear", 5.0, 0.2, SECOND, 6 * SECOND, 1, 8 * SECOND, (), True, 0)
 
 
 @pytest.fixture
 def exchange() -> Exchange:
-    x = Exchange(chance=7, use_cases={"cheap": CHEAP, "dear": DEAR}, unit=1.0, top=5.0, bound_delay=400_000)
+    x = Exchange(
+        chance=7, traffic_classes={"cheap": CHEAP, "dear": DEAR}, unit=1.0, top=5.0, bound_delay=400_000
+    )
     x.place = Place(0, 2, False, 0)
     x.permissions = Permissions(4, True, False, False, 2 * SECOND, True)
     x.release = ReleaseRule(300_000, SECOND)
@@ -29,7 +31,7 @@
 @pytest.fixture
 def new_dialogue(exchange: Exchange) -> Callable[..., Dialogue]:
     def make(
-        use: UseCase = CHEAP, destination: int = 1, transit: bool = False, chance: float = 0.5
+        use: TrafficClass = CHEAP, destination: int = 1, transit: bool = False, chance: float = 0.5
     ) -> Dialogue:
         number = len(exchange.dialogues) + 10
         made = Dialogue(number, use, destination, CalledNumber(), 1, 0, 3 * SECOND, None, transit, chance)
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -8,7 +8,7 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
 from wellhitch.net.seam import now_us
 from wellhitch.platform.configuration import Place as Where
 from wellhitch.platform.configuration import Told
@@ -18,8 +18,8 @@
 SECOND = 1_000_000
 UNIX = 1_796_000_000 * SECOND  # Unix time at nought of the loop's clock
 USES = (
-    UseCase("cheap", 1.0, 0.25, 380_000, 3 * SECOND, 1, 2 * SECOND, (), True, 0),
-    UseCase("dear", 6.0, 0.25, 300_000, 2 * SECOND, 1, 2 * SECOND, (), True, 0),
+    TrafficClass("cheap", 1.0, 0.25, 380_000, 3 * SECOND, 1, 2 * SECOND, (), True, 0),
+    TrafficClass("dear", 6.0, 0.25, 300_000, 2 * SECOND, 1, 2 * SECOND, (), True, 0),
 )
 HERE = "10.0.0.1"
 BOARD = "10.2.0.1:8500"
@@ -38,7 +38,7 @@
     """What a start is told."""
     opened = ev.Opened(
         seed=7,
-        use_cases=USES,
+        traffic_classes=USES,
         place=Place(0, 2, False, 0, True),
         permissions=Permissions(5, True, False, True, 0, False),
         release=ReleaseRule(100_000, 250_000),
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -15,8 +15,8 @@
 
 def stopping(longest_s: float = 3.0) -> World:
     """A call server whose longest deadline is `longest_s`."""
-    uses = tuple(replace(use, outer_limit=int(longest_s * S)) for use in USES)
-    return World(opened=replace(told().opened, use_cases=uses))
+    uses = tuple(replace(use, deadline=int(longest_s * S)) for use in USES)
+    return World(opened=replace(told().opened, traffic_classes=uses))
 
 
 @pytest.mark.parametrize("longest", [0, 100_000, 300_000, S, 3 * S, 9 * S])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,7 @@
     Stood,
     WentAway,
 )
-from wellhitch.interface.facts import Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import Permissions, Place, ReleaseRule, TrafficClass
 from wellhitch.interface.state import Exchange
 
 NOTHING = Report()
@@ -37,7 +37,7 @@
 
 def test_given_up_dialogue_is_answered_once_and_forgotten(exchange, new_dialogue):
     dialogue = new_dialogue()
-    assert rules.give_up(exchange, dialogue, SECOND) == [PushBack(dialogue.id, CHEAP.agreed_time // 4)]
+    assert rules.give_up(exchange, dialogue, SECOND) == [PushBack(dialogue.id, CHEAP.target_latency // 4)]
     assert dialogue.id not in exchange.dialogues
 
 
@@ -59,7 +59,7 @@
 
 
 def test_a_use_case_that_may_have_run_is_not_dialled_again(exchange, new_dialogue, dial_out):
-    once = UseCase("once", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (), False, 0)
+    once = TrafficClass("once", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (), False, 0)
     dialogue = new_dialogue(once)
     dial_out(dialogue)
     out = rules.dial_ended(exchange, ended(dialogue, "office-1", Ending.FAULT), SECOND)
@@ -366,7 +366,7 @@
 
 def test_pools_prefer_the_first_choice_and_keep_to_the_use_case(exchange, new_dialogue):
     exchange.place = Place(None, 2, False, 0)
-    skilled = UseCase("skilled", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1, 2), True, 0)
+    skilled = TrafficClass("skilled", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1, 2), True, 0)
     assert rules.best_route(exchange, new_dialogue(skilled), 0).number == 1
     exchange.by_number[1].free = 0
     assert rules.best_route(exchange, new_dialogue(skilled), 0).number == 2
@@ -388,12 +388,12 @@
 
 def test_redial_counts_from_the_first_try_and_late_ones_leave_circuits(exchange, new_dialogue):
     dialogue = new_dialogue()
-    assert rules.payoff_now(exchange, dialogue, CHEAP.agreed_time) == CHEAP.payoff
+    assert rules.payoff_now(exchange, dialogue, CHEAP.target_latency) == CHEAP.value
     exchange.own_price = 0.1
-    assert rules.payoff_now(exchange, dialogue, CHEAP.agreed_time) < CHEAP.payoff
+    assert rules.payoff_now(exchange, dialogue, CHEAP.target_latency) < CHEAP.value
     exchange.by_number[1].free = exchange.by_number[2].free = 3
     assert rules.best_route(exchange, dialogue, 0) is not None
-    assert rules.best_route(exchange, dialogue, CHEAP.agreed_time + 1) is None
+    assert rules.best_route(exchange, dialogue, CHEAP.target_latency + 1) is None
 
 
 def test_unmarked_redial_is_known_by_the_number_called():
@@ -402,7 +402,7 @@
     called.first_try = 0
     assert not rules.is_first_try(called, CHEAP, False, False, SECOND)
     assert rules.is_first_try(called, CHEAP, False, True, SECOND)
-    assert rules.is_first_try(called, CHEAP, False, False, CHEAP.outer_limit + 1)
+    assert rules.is_first_try(called, CHEAP, False, False, CHEAP.deadline + 1)
 
 
 # words between call servers
@@ -463,7 +463,7 @@
 def test_extreme_settings_end_in_one_answer(exchange, new_dialogue, most_dials, wait, payoff, width):
     exchange.permissions = Permissions(most_dials, True, False, False, 0, False)
     exchange.release = ReleaseRule(wait, 0)
-    dialogue = new_dialogue(UseCase("any", payoff, 0.0, SECOND, 3 * SECOND, width, SECOND, (), True, 0))
+    dialogue = new_dialogue(TrafficClass("any", payoff, 0.0, SECOND, 3 * SECOND, width, SECOND, (), True, 0))
     dialogue.width = width
     out, dial, now = rules.place_dialogue(exchange, dialogue, 0), 0, 0
     while not isinstance(out[0], PushBack | Forfeit):
@@ -507,7 +507,7 @@
 
 def test_a_shortest_agreed_time_of_nothing_leaves_a_bound(exchange):
     """A quarter of it is the bound of a delay, by which is divided."""
-    use = UseCase("at-once", 1.0, 0.0, 0, SECOND, 1, SECOND, (), True, 0)
+    use = TrafficClass("at-once", 1.0, 0.0, 0, SECOND, 1, SECOND, (), True, 0)
     opened = Opened(1, (use,), exchange.place, exchange.permissions, exchange.release, exchange.cold)
     x = Exchange()
     rules.decide(x, opened, 0)
@@ -518,7 +518,7 @@
 def test_a_destination_under_nought_is_in_nobodys_words(exchange, new_dialogue, told):
     """Counted from the end it would be another's, or none: an IndexError in the middle of a dial."""
     exchange.place = Place(None, 2, False, 0)
-    use = UseCase("any", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1,), True, 0)
+    use = TrafficClass("any", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1,), True, 0)
     exchange.by_number[1].told, exchange.by_number[1].told_at = list(told), 0
     dialogue = new_dialogue(use, destination=-1)
     [sent] = rules.place_dialogue(exchange, dialogue, 0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -29,7 +29,7 @@
 
 def test_a_sheet_is_read_with_times_in_whole_microseconds() -> None:
     made = sheet.opened(checked.read(SHEET, sheet.Sheet, "x"))
-    assert made.use_cases[0].agreed_time == 1_500_000 and made.release.release_wait == 200_000
+    assert made.traffic_classes[0].target_latency == 1_500_000 and made.release.release_wait == 200_000
     assert made.place.number == 3 and not made.place.advised
 
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -439,7 +439,7 @@
 def test_a_time_without_end_holds_a_place_no_longer_than_the_outer_limit(bench: Bench) -> None:
     """The office answers nothing; the dialogue and its circuits were held for ever."""
     bench.dial(left=1 << 62)
-    bench.run(CHEAP.outer_limit + SECOND)
+    bench.run(CHEAP.deadline + SECOND)
     assert bench.finals == ["forfeited"] and not bench.switch.taken and bench.free() == 10
 
 
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -88,12 +88,12 @@
     for at, row in enumerate(told.get("classes") or []):
         semantics = row.get("semantics", "retryable")
         use_cases.append(
-            facts.UseCase(
+            facts.TrafficClass(
                 name=row["name"],
-                payoff=float(row.get("importance", 1.0)),
+                value=float(row.get("importance", 1.0)),
                 late_share=float(row.get("late_value", 0.0)),
-                agreed_time=micros(row.get("objective_ns")),
-                outer_limit=micros(row.get("deadline_ns")),
+                target_latency=micros(row.get("objective_ns")),
+                deadline=micros(row.get("deadline_ns")),
                 width=int(widths[at]) if at < len(widths) else 1,
                 hold=micros(holds[at]) if at < len(holds) else 0,
                 pools=tuple(pools[at]) if at < len(pools) and pools[at] else (),
@@ -104,7 +104,7 @@
     meshed = family.get("topology", "meshed") == "meshed"
     return events.Opened(
         seed=int(seed or 0),
-        use_cases=tuple(use_cases),
+        traffic_classes=tuple(use_cases),
         place=facts.Place(
             number=int(family.get("self_no", -1)) if meshed else None,
             peers=max(0, int(told.get("balancers", 1)) - 1),
@@ -143,7 +143,7 @@
     marks, advised = int(m[11] or 0), m[6]
     return events.Arrived(
         dialogue=m[2],
-        use_case=m[7],
+        traffic_class=m[7],
         destination=int(m[10] if m[10] is not None else -1),
         called=m[5],
         left=micros(m[8]),
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -116,7 +116,7 @@
 def _shown(dialogue: Dialogue) -> dict[str, Any]:
     """A dialogue's record for the log, without the records that it points to."""
     return {
-        "use_case": dialogue.use_case.name,
+        "use_case": dialogue.traffic_class.name,
         "destination": dialogue.destination,
         "transit": dialogue.transit,
         "give_up": dialogue.give_up,
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
 
 
 class Ending(Enum):
@@ -74,7 +74,7 @@
     """The call server has started and knows nothing else yet."""
 
     seed: int
-    use_cases: tuple[UseCase, ...]
+    traffic_classes: tuple[TrafficClass, ...]
     place: Place
     permissions: Permissions
     release: ReleaseRule
@@ -95,7 +95,7 @@
     as the operators' hooks say."""
 
     dialogue: int
-    use_case: str
+    traffic_class: str
     destination: int
     called: str | None
     left: int
--- a/wellhitch/interface/facts.py
+++ b/wellhitch/interface/facts.py
@@ -4,14 +4,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UseCase:
+class TrafficClass:
     """One kind of dialogue; the agreed time and the outer limit count from its first try."""
 
     name: str
-    payoff: float
+    value: float
     late_share: float
-    agreed_time: int
-    outer_limit: int
+    target_latency: int
+    deadline: int
     width: int
     hold: int
     pools: tuple[int, ...]
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from wellhitch.interface.events import Standing
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
 
 
 @dataclass(slots=True, eq=False)
@@ -25,7 +25,7 @@
     """One dialogue, from hand-over to its final answer or its end."""
 
     id: int
-    use_case: UseCase
+    traffic_class: TrafficClass
     destination: int
     called: CalledNumber
     width: int
@@ -87,7 +87,7 @@
     """All that one call server knows, from its start until it is stopped."""
 
     chance: int = 0
-    use_cases: dict[str, UseCase] = field(default_factory=dict)
+    traffic_classes: dict[str, TrafficClass] = field(default_factory=dict)
     place: Place = Place(None, 0, False, 0)
     permissions: Permissions = Permissions(0, False, False, False, 0, False)
     release: ReleaseRule = ReleaseRule(0, 0)
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -19,7 +19,7 @@
 from hdrh.histogram import HdrHistogram
 
 from wellhitch.interface import events as ev
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
 from wellhitch.interface.state import Exchange
 from wellhitch.ledger.desk import Desk
 from wellhitch.ledger.entries import NumberKeys
@@ -32,7 +32,7 @@
 from wellhitch.trunk.port import KeptLink, Port
 
 SECOND = 1_000_000
-USE = UseCase("measured", 1.0, 0.2, 1_500_000, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
+USE = TrafficClass("measured", 1.0, 0.2, 1_500_000, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
 GROUP = 1 << 20  # circuits: none is ever short, so that all is set up
 
 
@@ -40,7 +40,7 @@
     """Start facts of a measured call server."""
     return ev.Opened(
         seed=1,
-        use_cases=(USE,),
+        traffic_classes=(USE,),
         place=Place(number, offices - 1, False, 0),
         permissions=Permissions(5, True, False, False, 0, True),
         release=ReleaseRule(200_000, 250_000),
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -148,7 +148,7 @@
         raise Faults(path, [f"limits.sockets = {told.limits.sockets}: under {FEWEST_SOCKETS}"])
     settings = read_open({"settings": told.settings}, _Settings, path).settings
     opened = read_opened(seed, msgspec.to_builtins(settings))
-    if not opened.use_cases:
+    if not opened.traffic_classes:
         raise Faults(path, ["settings.classes = []: no use case"])
     number, known = board.read_known(told.known, path)
     for notice in known:
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -67,7 +67,7 @@
         # A while after the start callers have named the calls that were up before it.
         self._callers_named_calls = False
         self._next_id = 0
-        self._use_cases = {use.name: use for use in opened.use_cases}
+        self._use_cases = {use.name: use for use in opened.traffic_classes}
 
     def start(self, known: Iterable[Notice], now: int) -> None:
         """Begin with the facts of the place and the list so far. Connections are opened once all of it is known, and to
@@ -202,11 +202,11 @@
         self.by_link.setdefault(link, {})[taken.ref] = taken
         self.counts["taken"] += 1
         # Guards against a time without end: past the outer limit a dialogue is worth nothing to anybody.
-        left = min(set_up.left, self._use_cases[set_up.use_case].outer_limit or set_up.left)
+        left = min(set_up.left, self._use_cases[set_up.use_case].deadline or set_up.left)
         self.feed(
             ev.Arrived(
                 dialogue=taken.id,
-                use_case=set_up.use_case,
+                traffic_class=set_up.use_case,
                 destination=set_up.destination,
                 called=set_up.key,
                 left=max(0, left - ANSWER_MARGIN_US),
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -111,7 +111,7 @@
         if self.stopping:
             return
         self.stopping = self.core.stopping = True
-        longest = max(use_case.outer_limit for use_case in self.told.opened.use_cases)
+        longest = max(use_case.deadline for use_case in self.told.opened.traffic_classes)
         self._schedule = shutdown_schedule(longest)
         self._stop_at = self.now()
         self.write_log(
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -10,7 +10,7 @@
 
 from wellhitch.interface import events as ev
 from wellhitch.interface.actions import Action, Cancel, Follow, Forfeit, PushBack, Send, TellPeers, Wake
-from wellhitch.interface.facts import ColdRule, UseCase
+from wellhitch.interface.facts import ColdRule, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
 SECOND = 1_000_000
@@ -53,13 +53,13 @@
 def opened(x: Exchange, event: ev.Opened, now: int) -> list[Action]:
     """Remember the facts and start the interval."""
     x.chance = event.seed
-    x.use_cases = {use.name: use for use in event.use_cases}
+    x.traffic_classes = {use.name: use for use in event.traffic_classes}
     x.place, x.permissions, x.release, x.cold = event.place, event.permissions, event.release, event.cold
-    x.unit = min((use.payoff for use in event.use_cases if use.payoff > 0), default=1.0)
+    x.unit = min((use.value for use in event.traffic_classes if use.value > 0), default=1.0)
     # Two processors at their bound take half the shortest agreed time; the rest is left to chance.
     # One at least: it is divided by.
-    x.bound_delay = max(1, min((use.agreed_time for use in event.use_cases), default=SECOND) // 4)
-    x.top = max((use.payoff for use in event.use_cases), default=1.0)
+    x.bound_delay = max(1, min((use.target_latency for use in event.traffic_classes), default=SECOND) // 4)
+    x.top = max((use.value for use in event.traffic_classes), default=1.0)
     x.tell_at = now + int(draw(x) * tell_period(event.place.peers))  # not all at once
     return [Wake(INTERVAL, TICK), *([Follow()] if event.place.must_ask else [])]
 
@@ -119,7 +119,7 @@
 
 def arrived(x: Exchange, event: ev.Arrived, now: int) -> list[Action]:
     """Take a dialogue over and decide on it at once."""
-    use = x.use_cases[event.use_case]
+    use = x.traffic_classes[event.traffic_class]
     called = x.called.get(event.called or "") or CalledNumber()
     if event.called and not event.transit:
         x.called[event.called] = called
@@ -127,7 +127,7 @@
             called.first_try = now
     dialogue = Dialogue(
         id=event.dialogue,
-        use_case=use,
+        traffic_class=use,
         destination=event.destination,
         called=called,
         width=event.width,
@@ -143,11 +143,11 @@
     return place_dialogue(x, dialogue, now)
 
 
-def is_first_try(called: CalledNumber, use: UseCase, redialled: bool, marked: bool, now: int) -> bool:
+def is_first_try(called: CalledNumber, use: TrafficClass, redialled: bool, marked: bool, now: int) -> bool:
     """Whether a dialogue is its caller's first try. Where callers do not mark redials (exception), one to a
     number that was called within the outer limit and has not stood since is taken for a redial: its payoff is
     due only within the agreed time of the first try, or redials would shut first tries out."""
-    if called.first_try is None or now - called.first_try > use.outer_limit:
+    if called.first_try is None or now - called.first_try > use.deadline:
         return True
     return marked and not redialled
 
@@ -157,8 +157,10 @@
     pressed processor of its ends, only the late share is left."""
     destination = x.by_number.get(dialogue.destination)
     pressed = (x.own_price > 0) + (destination is not None and destination.price > 0)
-    late = now + pressed * x.bound_delay - dialogue.first_try > dialogue.use_case.agreed_time
-    return dialogue.use_case.payoff * dialogue.favour * (dialogue.use_case.late_share if late else 1.0)
+    late = now + pressed * x.bound_delay - dialogue.first_try > dialogue.traffic_class.target_latency
+    return (
+        dialogue.traffic_class.value * dialogue.favour * (dialogue.traffic_class.late_share if late else 1.0)
+    )
 
 
 def felt(dialogue: Dialogue, price: float) -> float:
@@ -178,7 +180,7 @@
     if office.size is None:
         return True
     kept = kept_back(office, x.linked) if alternate else 0
-    if dialogue.use_case.payoff * dialogue.favour < 2 * x.unit:
+    if dialogue.traffic_class.value * dialogue.favour < 2 * x.unit:
         kept += min(1, office.size // 20)
     return office.free >= dialogue.width + kept
 
@@ -233,7 +235,7 @@
     best, best_rank = None, (0.0, False, 0)
     for office in x.by_number.values():
         first = office.number == dialogue.destination
-        if not first and office.number not in dialogue.use_case.pools:
+        if not first and office.number not in dialogue.traffic_class.pools:
             continue
         if office in dialogue.tried or not room(x, office, dialogue, late):
             continue
@@ -283,7 +285,7 @@
     destination = x.by_number.get(dialogue.destination)
     if destination is None or x.own_price or dial.office.price or destination.price:
         return False
-    agreed = dialogue.first_try + dialogue.use_case.agreed_time
+    agreed = dialogue.first_try + dialogue.traffic_class.target_latency
     half = (agreed - dial.sent - x.release.release_wait) // 2
     if now - dial.sent < max(4 * x.usual_delay, half - INTERVAL // 2, x.bound_delay):
         return False
@@ -292,7 +294,7 @@
 
 def may_repeat(dialogue: Dialogue, now: int) -> bool:
     """Whether a use case that must not run twice may be dialled again."""
-    use = dialogue.use_case
+    use = dialogue.traffic_class
     if dialogue.may_have_run is None or (use.repeatable and not use.repeat_within):
         return True
     return use.repeatable and now - dialogue.may_have_run < use.repeat_within
@@ -301,10 +303,16 @@
 def give_up(x: Exchange, dialogue: Dialogue, now: int) -> list[Action]:
     """Rule 1: the one final answer, at once; the dialogue is forgotten with it, so nothing can follow."""
     x.dialogues.pop(dialogue.id, None)
-    if now >= dialogue.give_up or (dialogue.may_have_run is not None and not dialogue.use_case.repeatable):
+    if now >= dialogue.give_up or (
+        dialogue.may_have_run is not None and not dialogue.traffic_class.repeatable
+    ):
         return [Forfeit(dialogue.id)]
     # Come back soon enough that two more tries still fall within the agreed time, where callers heed it.
-    return [PushBack(dialogue.id, min(x.permissions.longest_retry_after, dialogue.use_case.agreed_time // 4))]
+    return [
+        PushBack(
+            dialogue.id, min(x.permissions.longest_retry_after, dialogue.traffic_class.target_latency // 4)
+        )
+    ]
 
 
 def went_away(x: Exchange, event: ev.WentAway, now: int) -> None:
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -93,7 +93,7 @@
         self.past: list[Version] = []
         if hooks:
             self.parser = Parser()
-            use_cases = frozenset(use.name for use in opened.use_cases)
+            use_cases = frozenset(use.name for use in opened.traffic_classes)
             made = Hooks(load(hooks, self.parser), use_cases, log, self.switch.counts)
             self.switch.hooked = Hooked(made, self.switch.exchange, self.switch.number, clock)
         self.tells = opened.permissions.may_tell_peers and not opened.place.advised
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -119,7 +119,7 @@
         self._next_id = 0
         self._untold: set[int] = set()
         self._tell_timer: Timer | None = None
-        self._outer_limits = {use.name: use.outer_limit for use in opened.use_cases}
+        self._outer_limits = {use.name: use.deadline for use in opened.traffic_classes}
 
     # ---- the decisions ----
 
@@ -242,7 +242,7 @@
         self.feed(
             ev.Arrived(
                 dialogue=taken.id,
-                use_case=taken.use_case,
+                traffic_class=taken.use_case,
                 destination=taken.destination,
                 called=taken.called,
                 left=max(0, left - ANSWER_MARGIN_US),
--- a/wellhitch/settings/sheet.py
+++ b/wellhitch/settings/sheet.py
@@ -163,13 +163,13 @@
     limits, rules = sheet.limits, sheet.rules
     return events.Opened(
         seed=sheet.seed,
-        use_cases=tuple(
-            facts.UseCase(
+        traffic_classes=tuple(
+            facts.TrafficClass(
                 name=use.name,
-                payoff=use.payoff,
+                value=use.payoff,
                 late_share=use.late_share,
-                agreed_time=span(use.agreed_time),
-                outer_limit=span(use.outer_limit),
+                target_latency=span(use.agreed_time),
+                deadline=span(use.outer_limit),
                 width=use.width,
                 hold=span(use.hold),
                 pools=(),
--- a/wellhitch/stand_ins/callers.py
+++ b/wellhitch/stand_ins/callers.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from wellhitch.interface.facts import UseCase
+from wellhitch.interface.facts import TrafficClass
 from wellhitch.net.seam import Network, now_us
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
@@ -44,7 +44,7 @@
     `hot_at`, is called by `hot_share` of all."""
 
     to: dict[int, float]
-    use_cases: list[tuple[UseCase, float]]
+    use_cases: list[tuple[TrafficClass, float]]
     times: float = 1.0
     shape: list[tuple[float, float]] = field(default_factory=list)
     drift: tuple[int, float] | None = None
@@ -59,7 +59,7 @@
     """One caller's wish, over all its tries."""
 
     number: int
-    use_case: UseCase
+    use_case: TrafficClass
     destination: int
     called: str
     began: int
@@ -174,7 +174,7 @@
         self.call(use, destination, called)
         self._schedule()
 
-    def call(self, use: UseCase, destination: int, called: str) -> Case:
+    def call(self, use: TrafficClass, destination: int, called: str) -> Case:
         """One caller begins to try."""
         self._next_case += 1
         case = Case(self._next_case, use, destination, called, self.now())
@@ -196,7 +196,7 @@
                 patience *= to
                 case.once = True
         # The outer limit runs from the first try.
-        left = min(int(use.outer_limit * patience), case.began + use.outer_limit - self.now())
+        left = min(int(use.deadline * patience), case.began + use.deadline - self.now())
         if left <= 0:
             self._done(case, "out_of_time")
             return
--- a/wellhitch/stand_ins/town.py
+++ b/wellhitch/stand_ins/town.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any, BinaryIO, Protocol
 
-from wellhitch.interface.facts import UseCase
+from wellhitch.interface.facts import TrafficClass
 from wellhitch.net.seam import Network, now_us
 from wellhitch.settings.day import Day, ExchangeLine
 from wellhitch.settings.sheet import span
@@ -258,11 +258,11 @@
             1,
         )
 
-    def use_cases(self) -> list[tuple[UseCase, float]]:
+    def use_cases(self) -> list[tuple[TrafficClass, float]]:
         """Use cases as the callers know them, with their shares."""
         return [
             (
-                UseCase(
+                TrafficClass(
                     u.name,
                     u.payoff,
                     u.late_share,
