--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wellhitch.interface.events import Standing
+from wellhitch.interface.events import OfficeState
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
@@ -23,7 +23,7 @@
     x.release = ReleaseRule(300_000, SECOND)
     x.cold = ColdRule(0.4, 10 * SECOND, 2.5, 3 * SECOND)
     for number in (0, 1, 2):
-        office = Office(f"office-{number}", number, Standing.READY, None, free=30, size=30)
+        office = Office(f"office-{number}", number, OfficeState.READY, None, free=30, size=30)
         x.offices[office.id] = x.by_number[number] = office
     return x
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -581,7 +581,7 @@
     world.run(0.5)
     trouble(world)
     world.run(3.5)
-    assert world.core.offices["s-00000001"].standing is ev.Standing.DRAINING
+    assert world.core.offices["s-00000001"].standing is ev.OfficeState.DRAINING
     assert world.service.discovery.revision == world.board.events[-1].number
     drains = [facts for event, facts in world.log if event == "office" and facts["standing"] == "DRAINING"]
     assert len(drains) == 1
@@ -854,7 +854,7 @@
     assert [number for _, number in moved.asked] == [2]
     moved.tell(row(1, DRAINING))
     world.run(0.2)
-    assert world.core.offices["s-00000001"].standing is ev.Standing.DRAINING
+    assert world.core.offices["s-00000001"].standing is ev.OfficeState.DRAINING
     assert A in world.core.calls and not caller.byes(A)
     world.run(5)
     assert len(moved.asked) == 1  # an old connection that ends late disturbs nothing
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -20,7 +20,7 @@
 
 
 def drained(world: World) -> bool:
-    return world.core.offices["s-00000001"].standing is ev.Standing.DRAINING
+    return world.core.offices["s-00000001"].standing is ev.OfficeState.DRAINING
 
 
 # ---- the pure part ----
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,12 +13,12 @@
     Entry,
     Heard,
     Listed,
+    OfficeState,
     Opened,
     PeerSaid,
     Rang,
     Report,
     Reported,
-    Standing,
     Stood,
     WentAway,
 )
@@ -96,7 +96,7 @@
 # rule 3: drains
 
 
-@pytest.mark.parametrize("standing", [Standing.DRAINING, Standing.GONE])
+@pytest.mark.parametrize("standing", [OfficeState.DRAINING, OfficeState.GONE])
 def test_nothing_new_to_an_office_that_drains_or_is_gone(exchange, new_dialogue, standing):
     rules.listed(exchange, Listed(Heard.CHANGES, (Entry("office-1", 1, standing, None),)))
     assert rules.best_route(exchange, new_dialogue(), 0) is None
@@ -105,10 +105,10 @@
 
 def test_office_missing_from_a_whole_list_is_gone_and_a_new_one_takes_its_number(exchange):
     exchange.offices["office-1"].usual = 4.0
-    rules.listed(exchange, Listed(Heard.CHANGES, (Entry("office-1", 1, Standing.DRAINING, None),)))
-    entries = (Entry("office-0", 0, Standing.READY, None), Entry("fresh", 1, Standing.READY, SECOND))
+    rules.listed(exchange, Listed(Heard.CHANGES, (Entry("office-1", 1, OfficeState.DRAINING, None),)))
+    entries = (Entry("office-0", 0, OfficeState.READY, None), Entry("fresh", 1, OfficeState.READY, SECOND))
     rules.listed(exchange, Listed(Heard.WHOLE, entries))
-    assert exchange.offices["office-1"].standing is Standing.GONE
+    assert exchange.offices["office-1"].state is OfficeState.GONE
     assert exchange.by_number[1].id == "fresh" and exchange.by_number[1].usual == 4.0
     assert 2 not in exchange.by_number
 
@@ -129,7 +129,7 @@
 
 
 def test_first_dials_of_many_servers_to_a_cold_office_come_spread(exchange):
-    offices = [rules.Office(f"o{n}", n, Standing.READY, SECOND, first_budget=n / 60) for n in range(60)]
+    offices = [rules.Office(f"o{n}", n, OfficeState.READY, SECOND, first_budget=n / 60) for n in range(60)]
     at_once = [office for office in offices if rules.cold_room(exchange.cold, office, SECOND)]
     later = [office for office in offices if rules.cold_room(exchange.cold, office, 3 * SECOND)]
     assert len(at_once) == 0 and 15 < len(later) < 45
@@ -351,7 +351,7 @@
 
 
 def test_tandem_that_turned_back_rests_and_one_that_led_on_is_preferred(exchange, new_dialogue, dial_out):
-    third = rules.Office("office-3", 3, Standing.READY, None, free=20, size=30)
+    third = rules.Office("office-3", 3, OfficeState.READY, None, free=20, size=30)
     exchange.offices["office-3"] = exchange.by_number[3] = third
     exchange.by_number[1].free = 0
     assert rules.best_route(exchange, new_dialogue(), 0).number == 2
@@ -409,7 +409,7 @@
 
 
 def test_word_of_a_peer_steers_tandems(exchange, new_dialogue):
-    third = rules.Office("office-3", 3, Standing.READY, None, free=20, size=30)
+    third = rules.Office("office-3", 3, OfficeState.READY, None, free=20, size=30)
     exchange.offices["office-3"] = exchange.by_number[3] = third
     exchange.by_number[1].free = 0
     rules.take_word(exchange, PeerSaid(9, bytes((rules.FORM, 2, 0, 0))), SECOND)
@@ -440,7 +440,7 @@
 def test_office_back_under_its_id_with_a_new_start_is_cold_and_unpriced(exchange):
     office = exchange.by_number[1]
     office.price, office.usual = 2.0, 4.0
-    rules.listed(exchange, Listed(Heard.CHANGES, (Entry("office-1", 1, Standing.READY, SECOND),)))
+    rules.listed(exchange, Listed(Heard.CHANGES, (Entry("office-1", 1, OfficeState.READY, SECOND),)))
     assert exchange.by_number[1] is office and office.price == 0.0 and office.usual == 4.0
     assert rules.cold(exchange.cold, office, 2 * SECOND)
     assert not rules.cold_room(exchange.cold, office, SECOND)
@@ -448,7 +448,7 @@
 
 def test_many_peers_and_no_trunk_groups_push_back_at_once(exchange, new_dialogue):
     for number in range(3, 300):
-        exchange.by_number[number] = rules.Office(f"o{number}", number, Standing.READY, None, size=0)
+        exchange.by_number[number] = rules.Office(f"o{number}", number, OfficeState.READY, None, size=0)
     exchange.by_number[1].free = exchange.by_number[2].free = -1  # shrunk below what is in use
     for destination in (1, 3, 299, 999, -1):
         dialogue = new_dialogue(destination=destination)
@@ -497,7 +497,7 @@
         x = Exchange()
         facts = (exchange.place, exchange.permissions, exchange.release, exchange.cold)
         rules.decide(x, Opened(11, (CHEAP,), *facts), 0)
-        entries = tuple(Entry(f"o{n}", n, Standing.READY, None) for n in range(4))
+        entries = tuple(Entry(f"o{n}", n, OfficeState.READY, None) for n in range(4))
         rules.decide(x, Listed(Heard.REMEMBERED, entries), 0)
         arrivals = (Arrived(n, "cheap", 1 + n % 3, None, SECOND, 1, None, False, False) for n in range(50))
         return [rules.decide(x, arrival, n) for n, arrival in enumerate(arrivals)]
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -249,7 +249,7 @@
 def test_a_list_that_goes_back_is_skipped(bench: Bench) -> None:
     bench.told("ready", "draining", "ready", revision=5)
     bench.told("ready", "ready", "ready", revision=4)
-    assert bench.switch.offices["o1"].standing is ev.Standing.DRAINING
+    assert bench.switch.offices["o1"].standing is ev.OfficeState.DRAINING
     assert bench.switch.counts["lists_skipped"] == 1
 
 
@@ -257,9 +257,9 @@
     """A register that restarted counts from an old revision; its news of a drain is news all the same."""
     bench.told("ready", "ready", "draining", revision=9)
     bench.told("ready", "draining", "ready", revision=3)
-    assert bench.switch.offices["o1"].standing is ev.Standing.DRAINING
-    assert bench.switch.offices["o2"].standing is ev.Standing.DRAINING
-    assert bench.switch.offices["o0"].standing is ev.Standing.READY and bench.switch.revision == 9
+    assert bench.switch.offices["o1"].standing is ev.OfficeState.DRAINING
+    assert bench.switch.offices["o2"].standing is ev.OfficeState.DRAINING
+    assert bench.switch.offices["o0"].standing is ev.OfficeState.READY and bench.switch.revision == 9
     bench.call()
     assert bench.finals == ["pushed_back"]
 
@@ -270,12 +270,12 @@
     bench.switch.listed(frames.List("changes", 9, fresh), bench.out.now)
     old = [frames.ListLine("o1", 1, "gone", 50 * SECOND, "o1:1")]
     bench.switch.listed(frames.List("changes", 3, old), bench.out.now)
-    assert bench.switch.offices["o1"].standing is ev.Standing.READY
+    assert bench.switch.offices["o1"].standing is ev.OfficeState.READY
 
 
 def test_a_malformed_list_leaves_the_last_good_one(bench: Bench) -> None:
     bench.told("gone", "sleeping", "gone", revision=5)
-    assert bench.switch.offices["o0"].standing is ev.Standing.READY and bench.switch.revision == 1
+    assert bench.switch.offices["o0"].standing is ev.OfficeState.READY and bench.switch.revision == 1
 
 
 def test_full_groups_and_a_dead_own_office_are_told_as_not_sent() -> None:
@@ -565,7 +565,7 @@
 def test_a_revision_that_jumps_or_goes_back_shuts_and_never_opens(bench: Bench, revision: int) -> None:
     bench.told("ready", "draining", "ready", revision=5)
     bench.told("ready", "ready", "ready", revision=revision)
-    opened = bench.switch.offices["o1"].standing is ev.Standing.READY
+    opened = bench.switch.offices["o1"].standing is ev.OfficeState.READY
     assert opened == (revision > 5)
 
 
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -26,9 +26,9 @@
 MARK_REDIALLED = 2
 MARK_TRANSIT = 8
 STANDINGS = {
-    "Ready": events.Standing.READY,
-    "Terminating": events.Standing.DRAINING,
-    "Gone": events.Standing.GONE,
+    "Ready": events.OfficeState.READY,
+    "Terminating": events.OfficeState.DRAINING,
+    "Gone": events.OfficeState.GONE,
 }
 LISTS = {
     "Partial": events.Heard.CHANGES,
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -30,7 +30,7 @@
     LINES_BUSY = auto()
 
 
-class Standing(Enum):
+class OfficeState(Enum):
     """What the list says of an office."""
 
     READY = auto()
@@ -65,7 +65,7 @@
 
     office: str
     number: int
-    standing: Standing
+    state: OfficeState
     started: int | None
 
 
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from wellhitch.interface.events import Standing
+from wellhitch.interface.events import OfficeState
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
 
 
@@ -59,7 +59,7 @@
 
     id: str
     number: int
-    standing: Standing
+    state: OfficeState
     started: int | None
     free: int = 0
     size: int | None = None
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -404,7 +404,7 @@
     x = Exchange()
     now = 0
     decide(x, facts(0, offices), now)
-    entries = tuple(ev.Entry(f"o{n}", n, ev.Standing.READY, None) for n in range(offices))
+    entries = tuple(ev.Entry(f"o{n}", n, ev.OfficeState.READY, None) for n in range(offices))
     decide(x, ev.Listed(ev.Heard.WHOLE, entries), now)
     report = ev.Report(GROUP, GROUP)
     for n in range(1, offices):
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -43,7 +43,7 @@
     "overload": ev.Blame.PROCESSOR_FULL,
     "lines_busy": ev.Blame.LINES_BUSY,
 }
-STANDINGS = (ev.Standing.READY, ev.Standing.DRAINING, ev.Standing.GONE)  # by the board's states
+STANDINGS = (ev.OfficeState.READY, ev.OfficeState.DRAINING, ev.OfficeState.GONE)  # by the board's states
 
 
 class Core:
@@ -77,7 +77,7 @@
             self._take_notice(notice, ev.Heard.REMEMBERED, now)
         for end in list(self.offices.values()):
             self._follow_standing(end, now)
-            if end.standing is ev.Standing.DRAINING and end.number != self.number:
+            if end.standing is ev.OfficeState.DRAINING and end.number != self.number:
                 self.outlet.keep_links(end)
         self.outlet.timer(CALLS_NAMED_WITHIN_US, self._calls_named)
 
@@ -316,7 +316,7 @@
         self.counts["sends"] += 1
         if (
             end is None
-            or end.standing is not ev.Standing.READY
+            or end.standing is not ev.OfficeState.READY
             or end.number == self.number
             or (taken.transit and end.number != taken.destination)
         ):
@@ -366,7 +366,7 @@
         if dial.step is not Step.OUT:
             return
         self._over(dial)
-        if reached and dial.office.standing is not ev.Standing.GONE:
+        if reached and dial.office.standing is not ev.OfficeState.GONE:
             dial.office.remember_given_up(dial.taken.ref, now)
             self.outlet.to_office(dial.office, lines.down(dial.taken.ref, CAUSE_OVER), None)
         ending = ev.Ending.RESET if reached else ev.Ending.UNREACHABLE
@@ -518,7 +518,7 @@
             named = {row.id for row in notice.rows}
             for end in self.offices.values():
                 if end.id not in named:
-                    end.standing = ev.Standing.GONE
+                    end.standing = ev.OfficeState.GONE
         ends = [self.offices[row.id] for row in notice.rows]
         entries = tuple(ev.Entry(end.id, end.number, end.standing, end.started) for end in ends)
         self.feed(ev.Listed(whole if notice.whole else ev.Heard.CHANGES, entries), now)
@@ -555,7 +555,7 @@
     def _follow_standing(self, end: OfficeEnd, now: int) -> None:
         if end.number == self.number:
             return
-        if end.standing is ev.Standing.READY:
+        if end.standing is ev.OfficeState.READY:
             self.outlet.keep_links(end)
             return
         self.outlet.unsent_stays(end)  # guards rule 3, against an office that does not read
@@ -565,18 +565,18 @@
                 self.counts["kept_back.drained"] += 1
                 self._over(dial)
                 self._dial_ended(dial, ev.Ending.NOT_SENT, ev.Blame.NONE, ev.Report(), now)
-        if end.standing is ev.Standing.GONE and end.calls:
+        if end.standing is ev.OfficeState.GONE and end.calls:
             self.established.endpoint_gone(end)
         self._let_go(end)
 
     def _let_go(self, end: OfficeEnd) -> None:
         """Close the links of an office that drains or is gone once nothing is left there. One that is gone is
         forgotten with that: replaced ones must not pile up."""
-        if end.standing is ev.Standing.READY or end.calls or end.dials:
+        if end.standing is ev.OfficeState.READY or end.calls or end.dials:
             return
-        if end.standing is ev.Standing.DRAINING and self._callers_named_calls:
+        if end.standing is ev.OfficeState.DRAINING and self._callers_named_calls:
             self.outlet.rest_links(end)
-        if end.standing is ev.Standing.GONE:
+        if end.standing is ev.OfficeState.GONE:
             self.outlet.drop_links(end, False)
             if end.cut is not None:
                 end.cut.cancel()
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Callable, Hashable
 
-from wellhitch.interface.events import Ending, Report, Standing
+from wellhitch.interface.events import Ending, OfficeState, Report
 from wellhitch.net.seam import Timer
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.liveness import CallsLost, LivenessTest
@@ -82,7 +82,7 @@
         call = Call(ref, end, caller, None, 0, SINCE_UNKNOWN)
         self._hold(call)
         end.liveness.call_named(call, now)
-        if end.standing is Standing.GONE:
+        if end.standing is OfficeState.GONE:
             self.endpoint_gone(end)
         else:
             self._outlet.keep_links(end)
@@ -146,7 +146,7 @@
         end.liveness.connection_opened(connection, now)
         if end.liveness.under_test(connection):
             self._test(end, connection)
-        if end.cut is not None and end.standing is not Standing.GONE:
+        if end.cut is not None and end.standing is not OfficeState.GONE:
             end.cut.cancel()
             end.cut = None
 
--- a/wellhitch/platform/records.py
+++ b/wellhitch/platform/records.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from wellhitch.interface.events import Standing
+from wellhitch.interface.events import OfficeState
 from wellhitch.net.seam import Timer
 from wellhitch.platform.liveness import EndpointLiveness
 
@@ -29,7 +29,7 @@
     id: str
     number: int
     address: str
-    standing: Standing
+    standing: OfficeState
     started: int | None
     dials: dict[str, DialOut] = field(default_factory=dict)
     calls: dict[str, Call] = field(default_factory=dict)
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -168,7 +168,7 @@
         offices = {
             office.id: {
                 "number": office.number,
-                "standing": office.standing.name.lower(),
+                "standing": office.state.name.lower(),
                 "free": office.free,
                 "size": office.size,
                 "price": round(office.price, 3),
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -75,7 +75,7 @@
         named = {entry.office for entry in event.entries}
         for office in x.offices.values():
             if office.id not in named:
-                office.standing = ev.Standing.GONE
+                office.state = ev.OfficeState.GONE
     x.by_number = {}
     for office in x.offices.values():
         if usable(office):
@@ -89,7 +89,7 @@
     """One line of the list. A fresh start forgets the price and the silence of the processor before it."""
     office = x.offices.get(entry.office)
     if office is None:
-        office = x.offices[entry.office] = Office(entry.office, entry.number, entry.standing, entry.started)
+        office = x.offices[entry.office] = Office(entry.office, entry.number, entry.state, entry.started)
         office.first_budget = draw(x)
         for before in x.offices.values():  # the one replaced has left `by_number` when it drained
             if before.number == entry.number and before is not office:
@@ -97,12 +97,12 @@
                 office.free, office.size = before.free, before.size
     elif entry.started != office.started:
         office.price, office.recent = 0.0, []
-    office.standing, office.started = entry.standing, entry.started
+    office.state, office.started = entry.state, entry.started
 
 
 def usable(office: Office) -> bool:
     """Rule 3: nothing new goes to an office that drains or is gone, from the moment this is heard."""
-    return office.standing is ev.Standing.READY
+    return office.state is ev.OfficeState.READY
 
 
 # ---- chance ----
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -7,7 +7,7 @@
 from enum import Enum, auto
 from math import inf
 
-from wellhitch.interface.events import Blame, Ending, Standing
+from wellhitch.interface.events import Blame, Ending, OfficeState
 from wellhitch.net.seam import Timer
 from wellhitch.trunk import frames
 
@@ -64,7 +64,7 @@
     id: str
     number: int
     address: str
-    standing: Standing
+    standing: OfficeState
     started: int | None
     up: bool = False
     boot: int = 0
@@ -152,7 +152,7 @@
 }
 """What a PushBack's reason means to the decisions."""
 
-STANDINGS = {"ready": Standing.READY, "draining": Standing.DRAINING, "gone": Standing.GONE}
+STANDINGS = {"ready": OfficeState.READY, "draining": OfficeState.DRAINING, "gone": OfficeState.GONE}
 
 
 def turned_back_reason(taken: Taken) -> str:
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -384,7 +384,7 @@
     def _home(self) -> OfficeEnd | None:
         """The own office whose link is up, the newest that the list calls ready first."""
         own = [end for end in self.offices.values() if end.number == self.number and end.up]
-        ready = [end for end in own if end.standing is ev.Standing.READY]
+        ready = [end for end in own if end.standing is ev.OfficeState.READY]
         return max(ready or own, key=lambda end: end.started or 0, default=None)
 
     def _send(self, dialogue: int, office: str, within: int, now: int) -> None:
@@ -455,7 +455,7 @@
             self._stop_timer(dial)
             self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
             return
-        if end.standing is not ev.Standing.READY or not end.up:
+        if end.standing is not ev.OfficeState.READY or not end.up:
             # Guards rule 3: the office drained, or its link was lost, while the set-up waited in the own
             # processor. Nothing was sent, so the decisions may dial elsewhere at once.
             self.counts["kept_back.drained" if end.up else "kept_back.unreachable"] += 1
@@ -689,7 +689,7 @@
             for home in own:
                 self.outlet.to_office(home.id, frames.GroupState(number, group.ours_count))
             for end in self.offices.values():
-                if end.number == number and end.standing is not ev.Standing.GONE:
+                if end.number == number and end.standing is not ev.OfficeState.GONE:
                     self.feed(ev.Reported(end.id, False, True, self._report(number, None)), now)
 
     def _report(self, number: int, load: frames.Load | None) -> ev.Report:
@@ -745,7 +745,7 @@
             return
         end.up = False
         self.counts["links_lost.office"] += 1
-        if end.standing is ev.Standing.READY and not self.stopping:
+        if end.standing is ev.OfficeState.READY and not self.stopping:
             self.outlet.log("office_lost", office=office, why=why, dials=len(end.dials))
         for dial in list(end.dials.values()):
             self._reset_dial(dial, now)
@@ -796,7 +796,7 @@
         if frame.kind != "changes":
             for end in self.offices.values():
                 if end.id not in named:
-                    end.standing = ev.Standing.GONE
+                    end.standing = ev.OfficeState.GONE
         heard = {"changes": ev.Heard.CHANGES, "whole": ev.Heard.WHOLE, "remembered": ev.Heard.REMEMBERED}
         entries = [self.offices[line.office] for line in frame.lines]
         lines = tuple(ev.Entry(end.id, end.number, end.standing, end.started) for end in entries)
@@ -805,14 +805,14 @@
             self._follow_standing(end, now)
             if self.hooked and before.get(end.id) is not end.standing:
                 end.mark = self.hooked.listed(end, now) or end.mark
-            if end.standing is ev.Standing.GONE and not (end.dials or end.passing or end.transits):
+            if end.standing is ev.OfficeState.GONE and not (end.dials or end.passing or end.transits):
                 del self.offices[end.id]  # replaced processors must not pile up over the weeks
         return not old
 
     def _less_usable(self, line: frames.ListLine, now: int) -> bool:
         """Whether a line says of an office held ready that it is not, and not of a processor before the present."""
         end = self.offices.get(line.office)
-        if end is None or end.standing is not ev.Standing.READY or line.standing == "ready":
+        if end is None or end.standing is not ev.OfficeState.READY or line.standing == "ready":
             return False
         started = None if line.age is None else now - max(0, line.age)  # none starts in the future
         return end.started is None or (started is not None and started >= end.started - STARTED_SLACK)
@@ -833,12 +833,12 @@
             end.address = line.address
 
     def _follow_standing(self, end: OfficeEnd, now: int) -> None:
-        if end.standing is ev.Standing.GONE:
+        if end.standing is ev.OfficeState.GONE:
             self._take_back(end, now)
             self.outlet.drop_link(end.id)
         else:
             self.outlet.keep_link(end.id, end.address)
-            if end.standing is ev.Standing.DRAINING:
+            if end.standing is ev.OfficeState.DRAINING:
                 self._take_back(end, now)
 
     def _take_back(self, end: OfficeEnd, now: int) -> None:
@@ -857,7 +857,7 @@
         n, grace = self.outlet.mark(end.id), self.opened.release.drain_grace
 
         def look(at: int) -> None:
-            if end.up and end.standing is not ev.Standing.READY and not self.outlet.marked(end.id, n):
+            if end.up and end.standing is not ev.OfficeState.READY and not self.outlet.marked(end.id, n):
                 self.counts["resets_of_drained"] += 1
                 self.outlet.reset(end.id, "drains and does not read")
 
