--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from conftest import CHEAP, DEAR, SECOND
 
 from wellhitch import rules
-from wellhitch.interface.actions import Cancel, Follow, Forfeit, PushBack, Send, TellPeers, Wake
+from wellhitch.interface.actions import Cancel, Fail, Follow, Reject, Send, TellPeers, Wake
 from wellhitch.interface.events import (
     Arrived,
     Blame,
@@ -37,7 +37,7 @@
 
 def test_given_up_dialogue_is_answered_once_and_forgotten(exchange, new_dialogue):
     dialogue = new_dialogue()
-    assert rules.give_up(exchange, dialogue, SECOND) == [PushBack(dialogue.id, CHEAP.target_latency // 4)]
+    assert rules.give_up(exchange, dialogue, SECOND) == [Reject(dialogue.id, CHEAP.target_latency // 4)]
     assert dialogue.id not in exchange.dialogues
 
 
@@ -45,7 +45,7 @@
     dialogue = new_dialogue()
     dial_out(dialogue)
     out = rules.dial_ended(exchange, ended(dialogue, "office-1", Ending.TIMED_OUT), 3 * SECOND)
-    assert out == [Forfeit(dialogue.id)]
+    assert out == [Fail(dialogue.id)]
 
 
 def test_events_without_a_living_dialogue_do_nothing(exchange, new_dialogue):
@@ -63,7 +63,7 @@
     dialogue = new_dialogue(once)
     dial_out(dialogue)
     out = rules.dial_ended(exchange, ended(dialogue, "office-1", Ending.FAULT), SECOND)
-    assert out == [Forfeit(dialogue.id)]
+    assert out == [Fail(dialogue.id)]
 
 
 # rules 2 and 5: one dial at a time, and the release wait
@@ -90,7 +90,7 @@
     for _ in range(4):
         dial_out(dialogue)
     dialogue.out = None
-    assert isinstance(rules.place_dialogue(exchange, dialogue, SECOND)[0], PushBack)
+    assert isinstance(rules.place_dialogue(exchange, dialogue, SECOND)[0], Reject)
 
 
 # rule 3: drains
@@ -257,7 +257,7 @@
     direct, round_about = new_dialogue(), new_dialogue(destination=1)
     dial_out(direct), dial_out(round_about, number=2)
     out = rules.dial_ended(exchange, ended(direct, "office-1", Ending.FAULT), SECOND)
-    assert isinstance(out[0], PushBack) and exchange.by_number[1].fulls == 1
+    assert isinstance(out[0], Reject) and exchange.by_number[1].fulls == 1
     rules.dial_ended(exchange, ended(round_about, "office-2", Ending.FAULT), SECOND)
     assert exchange.by_number[2].fulls == 0 and 1 in exchange.by_number[2].no_way_on
 
@@ -275,7 +275,7 @@
     for times, (direct, round_about) in enumerate(pairs):
         dial_out(direct), dial_out(round_about, number=2)
         assert isinstance(
-            rules.dial_ended(exchange, ended(direct, "office-1", Ending.FAULT), SECOND)[0], PushBack
+            rules.dial_ended(exchange, ended(direct, "office-1", Ending.FAULT), SECOND)[0], Reject
         )
         rules.dial_ended(exchange, ended(round_about, "office-2", Ending.FAULT), SECOND)
         assert exchange.by_number[1].fulls == times and bool(exchange.by_number[2].no_way_on) == bool(times)
@@ -378,7 +378,7 @@
     rules.dial_ended(exchange, ended(dialogue, "office-1", Ending.FAULT, Blame.LINES_BUSY), SECOND)
     other = new_dialogue()
     other.called = dialogue.called
-    assert isinstance(rules.place_dialogue(exchange, other, SECOND + 1)[0], PushBack)
+    assert isinstance(rules.place_dialogue(exchange, other, SECOND + 1)[0], Reject)
     again = new_dialogue()
     again.called = dialogue.called
     assert isinstance(rules.place_dialogue(exchange, again, dialogue.called.open_at)[0], Send)
@@ -452,7 +452,7 @@
     exchange.by_number[1].free = exchange.by_number[2].free = -1  # shrunk below what is in use
     for destination in (1, 3, 299, 999, -1):
         dialogue = new_dialogue(destination=destination)
-        assert isinstance(rules.place_dialogue(exchange, dialogue, 0)[0], PushBack)
+        assert isinstance(rules.place_dialogue(exchange, dialogue, 0)[0], Reject)
     assert len(rules.word(exchange)) == 256
 
 
@@ -466,7 +466,7 @@
     dialogue = new_dialogue(TrafficClass("any", payoff, 0.0, SECOND, 3 * SECOND, width, SECOND, (), True, 0))
     dialogue.width = width
     out, dial, now = rules.place_dialogue(exchange, dialogue, 0), 0, 0
-    while not isinstance(out[0], PushBack | Forfeit):
+    while not isinstance(out[0], Reject | Fail):
         now += out[0].after if isinstance(out[0], Wake) else SECOND // 2
         if isinstance(out[0], Wake):
             out = rules.place_dialogue(exchange, dialogue, now)
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -193,9 +193,9 @@
             return ["Assign", who, dialogue, office, nanos(within)]
         case actions.Cancel(dialogue, dial):
             return ["AbortAttempt", who, dialogue, dial]
-        case actions.PushBack(dialogue, come_back):
+        case actions.Reject(dialogue, come_back):
             return ["Refuse", who, dialogue, nanos(come_back)]
-        case actions.Forfeit(dialogue):
+        case actions.Fail(dialogue):
             return ["Fail", who, dialogue]
         case actions.Wake(after, token):
             return ["Arm", who, nanos(after), token]
--- a/wellhitch/interface/actions.py
+++ b/wellhitch/interface/actions.py
@@ -21,15 +21,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PushBack:
+class Reject:
     """Final answer: not taken; `come_back` of 0 names no time."""
 
     dialogue: int
-    come_back: int
+    retry_after: int
 
 
 @dataclass(frozen=True, slots=True)
-class Forfeit:
+class Fail:
     """Final answer: given up."""
 
     dialogue: int
@@ -55,4 +55,4 @@
     """Ask discovery for changes from now on."""
 
 
-Action = Send | Cancel | PushBack | Forfeit | Wake | TellPeers | Follow
+Action = Send | Cancel | Reject | Fail | Wake | TellPeers | Follow
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -107,11 +107,11 @@
                 taken = self.taken.get(dialogue)
                 if taken and taken.out and taken.out.number == number:
                     self._give_up_dial(taken.out, ev.Ending.CANCELLED, now)
-            case act.PushBack(dialogue, come_back):
+            case act.Reject(dialogue, come_back):
                 if dialogue in self.taken:
                     more = f"X-Cooldown: {-(-come_back // 1000)}\r\n" if come_back else ""
                     self._refuse(self.taken[dialogue], 503, "pushed_back", more, now)
-            case act.Forfeit(dialogue):
+            case act.Fail(dialogue):
                 if dialogue in self.taken:
                     self._refuse(self.taken[dialogue], 500, "forfeited", "", now)
             case act.TellPeers(text):
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -9,7 +9,7 @@
 from statistics import median_low
 
 from wellhitch.interface import events as ev
-from wellhitch.interface.actions import Action, Cancel, Follow, Forfeit, PushBack, Send, TellPeers, Wake
+from wellhitch.interface.actions import Action, Cancel, Fail, Follow, Reject, Send, TellPeers, Wake
 from wellhitch.interface.facts import ColdRule, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
@@ -306,10 +306,10 @@
     if now >= dialogue.give_up or (
         dialogue.may_have_run is not None and not dialogue.traffic_class.repeatable
     ):
-        return [Forfeit(dialogue.id)]
+        return [Fail(dialogue.id)]
     # Come back soon enough that two more tries still fall within the agreed time, where callers heed it.
     return [
-        PushBack(
+        Reject(
             dialogue.id, min(x.permissions.longest_retry_after, dialogue.traffic_class.target_latency // 4)
         )
     ]
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -156,10 +156,10 @@
                 dial = taken.dials[number] if taken and number < len(taken.dials) else None
                 if dial and dial.step in (Step.PASSING, Step.OUT, Step.ANSWERING):
                     self._give_up_dial(dial, ev.Ending.CANCELLED, now)
-            case act.PushBack(dialogue, come_back):
+            case act.Reject(dialogue, come_back):
                 if dialogue in self.taken:
                     self._answer(self.taken[dialogue], "pushed_back", come_back, now)
-            case act.Forfeit(dialogue):
+            case act.Fail(dialogue):
                 if dialogue in self.taken:
                     self._answer(self.taken[dialogue], "forfeited", 0, now)
             case act.TellPeers(text):
