--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -752,7 +752,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.Rang, ev.Reported, ev.Listed]
+    "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.TimerFired, ev.Reported, ev.Listed]
 )
 def test_a_decision_that_raises_costs_one_dialogue_and_nobody_an_answer(
     kind: type, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from conftest import CHEAP, DEAR, SECOND
 
 from wellhitch import rules
-from wellhitch.interface.actions import Cancel, Fail, Follow, Reject, Send, TellPeers, Wake
+from wellhitch.interface.actions import Cancel, Fail, Follow, Reject, Send, StartTimer, TellPeers
 from wellhitch.interface.events import (
     Arrived,
     Blame,
@@ -16,10 +16,10 @@
     OfficeState,
     Opened,
     PeerSaid,
-    Rang,
     Report,
     Reported,
     Stood,
+    TimerFired,
     WentAway,
 )
 from wellhitch.interface.facts import Permissions, Place, ReleaseRule, TrafficClass
@@ -54,7 +54,7 @@
     assert rules.decide(exchange, ended(gone, "office-1", Ending.RESET), SECOND) == []
     assert rules.decide(exchange, Stood(gone.id, 0, 5), SECOND) == []
     assert rules.decide(exchange, WentAway(gone.id), SECOND) == []
-    assert rules.decide(exchange, Rang(gone.id + 1), SECOND) == []
+    assert rules.decide(exchange, TimerFired(gone.id + 1), SECOND) == []
     assert rules.decide(exchange, Reported("nowhere", True, True, NOTHING), SECOND) == []
 
 
@@ -74,15 +74,15 @@
     dialogue = new_dialogue()
     dial_out(dialogue)
     out = rules.dial_ended(exchange, ended(dialogue, "office-1", ending), SECOND)
-    assert out == [Wake(300_000, dialogue.id + 1)]
-    assert rules.place_dialogue(exchange, dialogue, SECOND + 299_999) == [Wake(1, dialogue.id + 1)]
+    assert out == [StartTimer(300_000, dialogue.id + 1)]
+    assert rules.place_dialogue(exchange, dialogue, SECOND + 299_999) == [StartTimer(1, dialogue.id + 1)]
     assert isinstance(rules.place_dialogue(exchange, dialogue, SECOND + 300_000)[0], Send)
 
 
 def test_a_timer_does_not_dial_while_a_dial_is_out(exchange, new_dialogue, dial_out):
     dialogue = new_dialogue()
     dial_out(dialogue)
-    assert rules.decide(exchange, Rang(dialogue.id + 1), SECOND) == []
+    assert rules.decide(exchange, TimerFired(dialogue.id + 1), SECOND) == []
 
 
 def test_no_more_dials_than_allowed(exchange, new_dialogue, dial_out):
@@ -467,8 +467,8 @@
     dialogue.width = width
     out, dial, now = rules.place_dialogue(exchange, dialogue, 0), 0, 0
     while not isinstance(out[0], Reject | Fail):
-        now += out[0].after if isinstance(out[0], Wake) else SECOND // 2
-        if isinstance(out[0], Wake):
+        now += out[0].delay if isinstance(out[0], StartTimer) else SECOND // 2
+        if isinstance(out[0], StartTimer):
             out = rules.place_dialogue(exchange, dialogue, now)
         else:
             event = ended(dialogue, out[0].office, Ending.RESET, dial=dial)
@@ -483,7 +483,7 @@
     event = Opened(
         5, (CHEAP,), Place(0, 1, True, SECOND), exchange.permissions, exchange.release, exchange.cold
     )
-    assert rules.decide(Exchange(), event, 0) == [Wake(rules.INTERVAL, rules.TICK), Follow()]
+    assert rules.decide(Exchange(), event, 0) == [StartTimer(rules.INTERVAL, rules.TICK), Follow()]
 
 
 def test_failed_discovery_is_asked_again_where_it_must_be(exchange):
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -329,7 +329,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.Rang, ev.Reported, ev.Listed]
+    "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.TimerFired, ev.Reported, ev.Listed]
 )
 def test_a_decision_that_raises_costs_one_dialogue_its_chance_and_nobody_an_answer(
     bench: Bench, kind: type, monkeypatch: pytest.MonkeyPatch
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -180,7 +180,7 @@
     "HealthResult": read_reported,
     "Verdict": read_ended,
     "Left": lambda m: events.WentAway(m[2]),
-    "TickDue": lambda m: events.Rang(m[2]),
+    "TickDue": lambda m: events.TimerFired(m[2]),
     "Heard": lambda m: events.PeerSaid(m[2], read_bytes(m[3])),
 }
 LENGTHS = {"Ingress": 12, "Started": 6, "HealthResult": 6, "Left": 3, "TickDue": 3, "Heard": 4, "Verdict": 10}
@@ -197,7 +197,7 @@
             return ["Refuse", who, dialogue, nanos(come_back)]
         case actions.Fail(dialogue):
             return ["Fail", who, dialogue]
-        case actions.Wake(after, token):
+        case actions.StartTimer(after, token):
             return ["Arm", who, nanos(after), token]
         case actions.TellPeers(text):
             return ["Signal", who, -1, text.hex()]
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -27,7 +27,7 @@
     ev.DialEnded: "DialEnded",
     ev.Reported: "Reported",
     ev.WentAway: "WentAway",
-    ev.Rang: "Rang",
+    ev.TimerFired: "Rang",
     ev.PeerSaid: "PeerSaid",
 }
 
@@ -76,16 +76,16 @@
                     self._rescue(event, fault, now)
                     continue
                 for action in wanted:
-                    if isinstance(action, act.Wake):
+                    if isinstance(action, act.StartTimer):
                         self._wake(action)
                     else:
                         self._server.carry_out(action, now)
         finally:
             self._feeding = False
 
-    def _wake(self, action: act.Wake) -> None:
-        rang = ev.Rang(action.token)
-        self._timer(action.after, lambda at: self._server.feed(rang, at))
+    def _wake(self, action: act.StartTimer) -> None:
+        rang = ev.TimerFired(action.token)
+        self._timer(action.delay, lambda at: self._server.feed(rang, at))
 
     def _rescue(self, event: ev.Event, fault: Exception, now: int) -> None:
         """Guards against a decision that raises: the dialogue concerned gets its one final answer, its dial is
@@ -95,7 +95,7 @@
         while where and where.tb_next:
             where = where.tb_next
         line = where.tb_lineno if where else 0
-        about = getattr(event, "dialogue", event.token - 1 if isinstance(event, ev.Rang) else -1)
+        about = getattr(event, "dialogue", event.token - 1 if isinstance(event, ev.TimerFired) else -1)
         known = self.exchange.dialogues.get(about)
         self._log(
             "decision_fault",
@@ -106,9 +106,9 @@
             held=len(self.exchange.dialogues),
             dialogue=known and _shown(known),
         )
-        if isinstance(event, ev.Rang) and event.token == 0:
+        if isinstance(event, ev.TimerFired) and event.token == 0:
             # The interval's timer is armed by the decision that raised; without it no price would step again.
-            self._wake(act.Wake(INTERVAL_AGAIN, 0))
+            self._wake(act.StartTimer(INTERVAL_AGAIN, 0))
         self.exchange.dialogues.pop(about, None)
         self._server.rescued(about, now)
 
--- a/wellhitch/interface/actions.py
+++ b/wellhitch/interface/actions.py
@@ -36,10 +36,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class StartTimer:
     """Ring after `after`."""
 
-    after: int
+    delay: int
     token: int
 
 
@@ -55,4 +55,4 @@
     """Ask discovery for changes from now on."""
 
 
-Action = Send | Cancel | Reject | Fail | Wake | TellPeers | Follow
+Action = Send | Cancel | Reject | Fail | StartTimer | TellPeers | Follow
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -147,7 +147,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rang:
+class TimerFired:
     """A timer is due."""
 
     token: int
@@ -161,4 +161,4 @@
     text: bytes = field(default=b"")
 
 
-Event = Opened | Listed | Arrived | Stood | DialEnded | Reported | WentAway | Rang | PeerSaid
+Event = Opened | Listed | Arrived | Stood | DialEnded | Reported | WentAway | TimerFired | PeerSaid
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -416,7 +416,7 @@
     for id in range(1, dialogues + 1):
         now += gap
         while next_tick <= now:
-            decide(x, ev.Rang(0), next_tick)
+            decide(x, ev.TimerFired(0), next_tick)
             next_tick += tick
         n = 1 + chance.randrange(offices - 1)
         decide(x, ev.Arrived(id, USE.name, n, f"{id:x}", 9 * SECOND, 1, None, False, False), now)
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -9,7 +9,7 @@
 from statistics import median_low
 
 from wellhitch.interface import events as ev
-from wellhitch.interface.actions import Action, Cancel, Fail, Follow, Reject, Send, TellPeers, Wake
+from wellhitch.interface.actions import Action, Cancel, Fail, Follow, Reject, Send, StartTimer, TellPeers
 from wellhitch.interface.facts import ColdRule, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
@@ -38,9 +38,9 @@
             take_word(x, event, now)
         case ev.WentAway():
             went_away(x, event, now)
-        case ev.Rang(token) if token == TICK:
+        case ev.TimerFired(token) if token == TICK:
             return interval_over(x, now)
-        case ev.Rang(token):
+        case ev.TimerFired(token):
             dialogue = x.dialogues.get(token - 1)
             if dialogue and not dialogue.out and not dialogue.stands:
                 return place_dialogue(x, dialogue, now)
@@ -61,7 +61,7 @@
     x.bound_delay = max(1, min((use.target_latency for use in event.traffic_classes), default=SECOND) // 4)
     x.top = max((use.value for use in event.traffic_classes), default=1.0)
     x.tell_at = now + int(draw(x) * tell_period(event.place.peers))  # not all at once
-    return [Wake(INTERVAL, TICK), *([Follow()] if event.place.must_ask else [])]
+    return [StartTimer(INTERVAL, TICK), *([Follow()] if event.place.must_ask else [])]
 
 
 def listed(x: Exchange, event: ev.Listed) -> list[Action]:
@@ -248,7 +248,7 @@
 def place_dialogue(x: Exchange, dialogue: Dialogue, now: int) -> list[Action]:
     """Dial the best route, or answer at once. Rule 2: called only while no dial of the dialogue is out."""
     if now < dialogue.not_before:  # rule 5: the release wait of its last dial is not over
-        return [Wake(dialogue.not_before - now, dialogue.id + 1)]
+        return [StartTimer(dialogue.not_before - now, dialogue.id + 1)]
     if (
         len(dialogue.dials) >= x.permissions.most_dials
         or now >= dialogue.give_up
@@ -469,7 +469,7 @@
     x.called = {key: called for key, called in x.called.items() if now - called.called_at < 60 * SECOND}
     sizes = [o.size for o in x.by_number.values() if o.size is not None and o.number != x.place.number]
     x.linked = sum(size > 0 for size in sizes) / max(1, len(sizes))
-    out: list[Action] = [Wake(INTERVAL, TICK), *([Follow()] if x.refollow else [])]
+    out: list[Action] = [StartTimer(INTERVAL, TICK), *([Follow()] if x.refollow else [])]
     x.refollow = False
     x.waiting = [dial for dial in x.waiting if dial.took is None and dial.dialogue.out is dial]
     for dial in x.waiting:
