--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -7,7 +7,7 @@
 
 from wellhitch.adapter import codec
 from wellhitch.adapter.host import serve
-from wellhitch.interface.events import Blame
+from wellhitch.interface.events import ReleaseCause
 
 FACTS = {
     "balancers": 2,
@@ -72,7 +72,11 @@
 
 @pytest.mark.parametrize(
     ("cause", "blame", "wait"),
-    [(18, Blame.FAR_PROCESSOR_FULL, 0), (3 + 16 * 40, Blame.PROCESSOR_FULL, 40_000), (None, Blame.NONE, 0)],
+    [
+        (18, ReleaseCause.FAR_PROCESSOR_FULL, 0),
+        (3 + 16 * 40, ReleaseCause.PROCESSOR_FULL, 40_000),
+        (None, ReleaseCause.NONE, 0),
+    ],
 )
 def test_causes(cause, blame, wait):
     assert codec.read_blame(cause) == (blame, wait)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,15 +7,15 @@
 from wellhitch.interface.actions import Cancel, Fail, Follow, Reject, Send, StartTimer, TellPeers
 from wellhitch.interface.events import (
     Arrived,
-    Blame,
     DialEnded,
-    Ending,
+    DialResult,
     Entry,
     Heard,
     Listed,
     OfficeState,
     Opened,
     PeerSaid,
+    ReleaseCause,
     Report,
     Reported,
     Stood,
@@ -28,7 +28,7 @@
 NOTHING = Report()
 
 
-def ended(dialogue, office, ending, blame=Blame.NONE, over=False, dial=0):
+def ended(dialogue, office, ending, blame=ReleaseCause.NONE, over=False, dial=0):
     return DialEnded(dialogue.id, dial, office, ending, blame, 0, over, NOTHING)
 
 
@@ -44,14 +44,14 @@
 def test_time_out_at_the_outer_limit_is_forfeited(exchange, new_dialogue, dial_out):
     dialogue = new_dialogue()
     dial_out(dialogue)
-    out = rules.dial_ended(exchange, ended(dialogue, "office-1", Ending.TIMED_OUT), 3 * SECOND)
+    out = rules.dial_ended(exchange, ended(dialogue, "office-1", DialResult.TIMED_OUT), 3 * SECOND)
     assert out == [Fail(dialogue.id)]
 
 
 def test_events_without_a_living_dialogue_do_nothing(exchange, new_dialogue):
     gone = new_dialogue()
     exchange.dialogues.clear()
-    assert rules.decide(exchange, ended(gone, "office-1", Ending.RESET), SECOND) == []
+    assert rules.decide(exchange, ended(gone, "office-1", DialResult.RESET), SECOND) == []
     assert rules.decide(exchange, Stood(gone.id, 0, 5), SECOND) == []
     assert rules.decide(exchange, WentAway(gone.id), SECOND) == []
     assert rules.decide(exchange, TimerFired(gone.id + 1), SECOND) == []
@@ -62,14 +62,14 @@
     once = TrafficClass("once", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (), False, 0)
     dialogue = new_dialogue(once)
     dial_out(dialogue)
-    out = rules.dial_ended(exchange, ended(dialogue, "office-1", Ending.FAULT), SECOND)
+    out = rules.dial_ended(exchange, ended(dialogue, "office-1", DialResult.FAULT), SECOND)
     assert out == [Fail(dialogue.id)]
 
 
 # rules 2 and 5: one dial at a time, and the release wait
 
 
-@pytest.mark.parametrize("ending", [Ending.TIMED_OUT, Ending.RESET, Ending.CANCELLED])
+@pytest.mark.parametrize("ending", [DialResult.TIMED_OUT, DialResult.RESET, DialResult.CANCELLED])
 def test_release_wait_comes_before_the_next_dial(exchange, new_dialogue, dial_out, ending):
     dialogue = new_dialogue()
     dial_out(dialogue)
@@ -223,12 +223,17 @@
 
 
 @pytest.mark.parametrize(
-    ("blame", "blamed"), [(Blame.PROCESSOR_FULL, 2), (Blame.FAR_PROCESSOR_FULL, 1), (Blame.TURNED_BACK, None)]
+    ("blame", "blamed"),
+    [
+        (ReleaseCause.PROCESSOR_FULL, 2),
+        (ReleaseCause.FAR_PROCESSOR_FULL, 1),
+        (ReleaseCause.TURNED_BACK, None),
+    ],
 )
 def test_blame_goes_to_the_processor_that_was_full(exchange, new_dialogue, dial_out, blame, blamed):
     dialogue = new_dialogue()
     dial_out(dialogue, number=2)
-    rules.dial_ended(exchange, ended(dialogue, "office-2", Ending.FULL, blame), SECOND)
+    rules.dial_ended(exchange, ended(dialogue, "office-2", DialResult.FULL, blame), SECOND)
     assert [n for n in (1, 2) if exchange.by_number[n].fulls] == ([blamed] if blamed else [])
 
 
@@ -256,9 +261,9 @@
 def test_fault_prices_its_office_and_is_not_dialled_again(exchange, new_dialogue, dial_out):
     direct, round_about = new_dialogue(), new_dialogue(destination=1)
     dial_out(direct), dial_out(round_about, number=2)
-    out = rules.dial_ended(exchange, ended(direct, "office-1", Ending.FAULT), SECOND)
+    out = rules.dial_ended(exchange, ended(direct, "office-1", DialResult.FAULT), SECOND)
     assert isinstance(out[0], Reject) and exchange.by_number[1].fulls == 1
-    rules.dial_ended(exchange, ended(round_about, "office-2", Ending.FAULT), SECOND)
+    rules.dial_ended(exchange, ended(round_about, "office-2", DialResult.FAULT), SECOND)
     assert exchange.by_number[2].fulls == 0 and 1 in exchange.by_number[2].no_way_on
 
 
@@ -275,9 +280,9 @@
     for times, (direct, round_about) in enumerate(pairs):
         dial_out(direct), dial_out(round_about, number=2)
         assert isinstance(
-            rules.dial_ended(exchange, ended(direct, "office-1", Ending.FAULT), SECOND)[0], Reject
+            rules.dial_ended(exchange, ended(direct, "office-1", DialResult.FAULT), SECOND)[0], Reject
         )
-        rules.dial_ended(exchange, ended(round_about, "office-2", Ending.FAULT), SECOND)
+        rules.dial_ended(exchange, ended(round_about, "office-2", DialResult.FAULT), SECOND)
         assert exchange.by_number[1].fulls == times and bool(exchange.by_number[2].no_way_on) == bool(times)
 
 
@@ -289,9 +294,9 @@
     answered.took, answered.answered = 40_000, True
     waited, at_once = new_dialogue(), new_dialogue()
     dial_out(waited, number=2, sent=0), dial_out(at_once, number=2, sent=SECOND - 50_000)
-    rules.dial_ended(exchange, ended(waited, "office-2", Ending.FULL, Blame.TURNED_BACK), SECOND)
+    rules.dial_ended(exchange, ended(waited, "office-2", DialResult.FULL, ReleaseCause.TURNED_BACK), SECOND)
     assert not exchange.by_number[2].no_way_on
-    rules.dial_ended(exchange, ended(at_once, "office-2", Ending.FULL, Blame.TURNED_BACK), SECOND)
+    rules.dial_ended(exchange, ended(at_once, "office-2", DialResult.FULL, ReleaseCause.TURNED_BACK), SECOND)
     assert exchange.by_number[2].no_way_on
 
 
@@ -302,7 +307,7 @@
     dialogue = new_dialogue()
     dial_out(dialogue)
     exchange.by_number[1].free = 5
-    event = ended(dialogue, "office-1", Ending.NOT_SENT, Blame.NO_CIRCUIT)
+    event = ended(dialogue, "office-1", DialResult.NOT_SENT, ReleaseCause.NO_CIRCUIT)
     assert rules.dial_ended(exchange, event, SECOND)[0].office == "office-2"
     assert exchange.by_number[1].free == 6
 
@@ -359,7 +364,9 @@
     assert rules.best_route(exchange, new_dialogue(), 0).number == 3
     dialogue = new_dialogue()
     dial_out(dialogue, number=3)
-    out = rules.dial_ended(exchange, ended(dialogue, "office-3", Ending.FULL, Blame.TURNED_BACK), SECOND)
+    out = rules.dial_ended(
+        exchange, ended(dialogue, "office-3", DialResult.FULL, ReleaseCause.TURNED_BACK), SECOND
+    )
     assert out[0].office == "office-2"
     assert rules.best_route(exchange, new_dialogue(), 2 * SECOND).number == 2
 
@@ -375,7 +382,7 @@
 def test_number_with_all_lines_busy_rests_until_one_stands(exchange, new_dialogue, dial_out):
     dialogue = new_dialogue()
     dial_out(dialogue)
-    rules.dial_ended(exchange, ended(dialogue, "office-1", Ending.FAULT, Blame.LINES_BUSY), SECOND)
+    rules.dial_ended(exchange, ended(dialogue, "office-1", DialResult.FAULT, ReleaseCause.LINES_BUSY), SECOND)
     other = new_dialogue()
     other.called = dialogue.called
     assert isinstance(rules.place_dialogue(exchange, other, SECOND + 1)[0], Reject)
@@ -471,7 +478,7 @@
         if isinstance(out[0], StartTimer):
             out = rules.place_dialogue(exchange, dialogue, now)
         else:
-            event = ended(dialogue, out[0].office, Ending.RESET, dial=dial)
+            event = ended(dialogue, out[0].office, DialResult.RESET, dial=dial)
             out, dial = rules.dial_ended(exchange, event, now), dial + 1
     assert dialogue.id not in exchange.dialogues and len(out) == 1 and dial <= most_dials
 
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -7,20 +7,20 @@
 
 NS_PER_US = 1000
 ENDINGS = {
-    "Ok": events.Ending.ENDED_WELL,
-    "Failed": events.Ending.FAULT,
-    "QueueFull": events.Ending.FULL,
-    "TimedOut": events.Ending.TIMED_OUT,
-    "ConnectError": events.Ending.UNREACHABLE,
-    "ResetByPeer": events.Ending.RESET,
-    "Canceled": events.Ending.CANCELLED,
-    "Ignored": events.Ending.NOT_SENT,
+    "Ok": events.DialResult.ENDED_WELL,
+    "Failed": events.DialResult.FAULT,
+    "QueueFull": events.DialResult.FULL,
+    "TimedOut": events.DialResult.TIMED_OUT,
+    "ConnectError": events.DialResult.UNREACHABLE,
+    "ResetByPeer": events.DialResult.RESET,
+    "Canceled": events.DialResult.CANCELLED,
+    "Ignored": events.DialResult.NOT_SENT,
 }
 BLAMES = {
-    1: events.Blame.NO_CIRCUIT,
-    2: events.Blame.TURNED_BACK,
-    3: events.Blame.PROCESSOR_FULL,
-    4: events.Blame.LINES_BUSY,
+    1: events.ReleaseCause.NO_CIRCUIT,
+    2: events.ReleaseCause.TURNED_BACK,
+    3: events.ReleaseCause.PROCESSOR_FULL,
+    4: events.ReleaseCause.LINES_BUSY,
 }
 NOTE_WAIT = 16
 MARK_REDIALLED = 2
@@ -71,12 +71,12 @@
     )
 
 
-def read_blame(cause: Any) -> tuple[events.Blame, int]:
+def read_blame(cause: Any) -> tuple[events.ReleaseCause, int]:
     """Reason of an ending and the wait it names, in microseconds; note 18 is the destination's processor."""
     base, named = int(cause or 0) % NOTE_WAIT, int(cause or 0) // NOTE_WAIT
     if base == 2 and named:
-        return events.Blame.FAR_PROCESSOR_FULL, 0
-    return BLAMES.get(base, events.Blame.NONE), named * 1000
+        return events.ReleaseCause.FAR_PROCESSOR_FULL, 0
+    return BLAMES.get(base, events.ReleaseCause.NONE), named * 1000
 
 
 def read_opened(seed: int, told: dict[str, Any]) -> events.Opened:
@@ -157,7 +157,7 @@
 def read_ended(m: list[Any]) -> events.DialEnded:
     """The ending of a dial."""
     blame, wait = read_blame(m[8])
-    ending = ENDINGS.get(m[5], events.Ending.FAULT)
+    ending = ENDINGS.get(m[5], events.DialResult.FAULT)
     return events.DialEnded(m[2], m[3], m[4], ending, blame, wait, bool(m[7]), read_report(m[9]))
 
 
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -6,7 +6,7 @@
 from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
 
 
-class Ending(Enum):
+class DialResult(Enum):
     """How a dial ended."""
 
     ENDED_WELL = auto()
@@ -19,7 +19,7 @@
     NOT_SENT = auto()
 
 
-class Blame(Enum):
+class ReleaseCause(Enum):
     """The reason that came with an ending."""
 
     NONE = auto()
@@ -122,10 +122,10 @@
     dialogue: int
     dial: int
     office: str
-    ending: Ending
-    blame: Blame
-    wait: int
-    over: bool
+    result: DialResult
+    cause: ReleaseCause
+    retry_after: int
+    dialogue_over: bool
     report: Report
 
 
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -421,6 +421,10 @@
         n = 1 + chance.randrange(offices - 1)
         decide(x, ev.Arrived(id, USE.name, n, f"{id:x}", 9 * SECOND, 1, None, False, False), now)
         decide(x, ev.Stood(id, 0, 2000), now)
-        decide(x, ev.DialEnded(id, 0, f"o{n}", ev.Ending.ENDED_WELL, ev.Blame.NONE, 0, True, report), now + 1)
+        decide(
+            x,
+            ev.DialEnded(id, 0, f"o{n}", ev.DialResult.ENDED_WELL, ev.ReleaseCause.NONE, 0, True, report),
+            now + 1,
+        )
         decide(x, ev.Reported(f"o{n}", False, True, report), now + 1)
     return dialogues / (time.process_time() - began)
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -30,18 +30,18 @@
 CALLS_NAMED_WITHIN_US = 15_000_000
 
 ENDINGS = {
-    34: ev.Ending.FULL,
-    17: ev.Ending.FAULT,
-    47: ev.Ending.FAULT,
-    102: ev.Ending.NOT_SENT,
+    34: ev.DialResult.FULL,
+    17: ev.DialResult.FAULT,
+    47: ev.DialResult.FAULT,
+    102: ev.DialResult.NOT_SENT,
 }
 """What a release before the answer means; any other cause is a reset."""
 BLAMES = {
-    "no_circuit": ev.Blame.NO_CIRCUIT,
-    "turned_back": ev.Blame.TURNED_BACK,
-    "far_overload": ev.Blame.FAR_PROCESSOR_FULL,
-    "overload": ev.Blame.PROCESSOR_FULL,
-    "lines_busy": ev.Blame.LINES_BUSY,
+    "no_circuit": ev.ReleaseCause.NO_CIRCUIT,
+    "turned_back": ev.ReleaseCause.TURNED_BACK,
+    "far_overload": ev.ReleaseCause.FAR_PROCESSOR_FULL,
+    "overload": ev.ReleaseCause.PROCESSOR_FULL,
+    "lines_busy": ev.ReleaseCause.LINES_BUSY,
 }
 STANDINGS = (ev.OfficeState.READY, ev.OfficeState.DRAINING, ev.OfficeState.GONE)  # by the board's states
 
@@ -106,7 +106,7 @@
             case act.Cancel(dialogue, number):
                 taken = self.taken.get(dialogue)
                 if taken and taken.out and taken.out.number == number:
-                    self._give_up_dial(taken.out, ev.Ending.CANCELLED, now)
+                    self._give_up_dial(taken.out, ev.DialResult.CANCELLED, now)
             case act.Reject(dialogue, come_back):
                 if dialogue in self.taken:
                     more = f"X-Cooldown: {-(-come_back // 1000)}\r\n" if come_back else ""
@@ -323,7 +323,9 @@
             # Guards rule 3, and what the platform calls a fault: the own exchange, or a call in transit to any but its
             # destination.
             self.counts["sends_kept_back"] += 1
-            self._ended(taken.id, number, office, ev.Ending.NOT_SENT, ev.Blame.NONE, ev.Report(), now)
+            self._ended(
+                taken.id, number, office, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, ev.Report(), now
+            )
             return
         dial = taken.out = DialOut(taken, number, end, now)
         end.dials[taken.ref] = dial
@@ -335,11 +337,11 @@
 
     def _overdue(self, dial: DialOut, now: int) -> None:
         if dial.step is Step.OUT:
-            self._give_up_dial(dial, ev.Ending.TIMED_OUT, now)
+            self._give_up_dial(dial, ev.DialResult.TIMED_OUT, now)
 
-    def _give_up_dial(self, dial: DialOut, ending: ev.Ending, now: int) -> None:
+    def _give_up_dial(self, dial: DialOut, ending: ev.DialResult, now: int) -> None:
         self._end_dial(dial, now)
-        self._dial_ended(dial, ending, ev.Blame.NONE, ev.Report(), now)
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.Report(), now)
 
     def _end_dial(self, dial: DialOut, now: int) -> None:
         """Give a dial up from this end, and tell its office where the set-up went out."""
@@ -369,11 +371,11 @@
         if reached and dial.office.standing is not ev.OfficeState.GONE:
             dial.office.remember_given_up(dial.taken.ref, now)
             self.outlet.to_office(dial.office, lines.down(dial.taken.ref, CAUSE_OVER), None)
-        ending = ev.Ending.RESET if reached else ev.Ending.UNREACHABLE
-        self._dial_ended(dial, ending, ev.Blame.NONE, ev.Report(), now)
+        ending = ev.DialResult.RESET if reached else ev.DialResult.UNREACHABLE
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.Report(), now)
 
     def _dial_ended(
-        self, dial: DialOut, ending: ev.Ending, blame: ev.Blame, report: ev.Report, now: int
+        self, dial: DialOut, ending: ev.DialResult, blame: ev.ReleaseCause, report: ev.Report, now: int
     ) -> None:
         self._ended(dial.taken.id, dial.number, dial.office.id, ending, blame, report, now)
         self._let_go(dial.office)
@@ -383,8 +385,8 @@
         dialogue: int,
         number: int,
         office: str,
-        ending: ev.Ending,
-        blame: ev.Blame,
+        ending: ev.DialResult,
+        blame: ev.ReleaseCause,
         report: ev.Report,
         now: int,
         over: bool = False,
@@ -399,7 +401,7 @@
                 ending=ending.name.lower(),
                 blame=blame.name.lower(),
             )
-        if blame is not ev.Blame.NONE:
+        if blame is not ev.ReleaseCause.NONE:
             self.counts[f"blame.{blame.name.lower()}"] += 1
         self.feed(ev.DialEnded(dialogue, number, office, ending, blame, 0, over, report), now)
 
@@ -438,7 +440,7 @@
         body = None if line.d is None else line.d.encode("utf-8", "replace")
         if body is None or len(body) + len(dial.taken.echo) + 256 > sip.MAX_MESSAGE:
             self.counts["answers_unreadable"] += 1
-            self._give_up_dial(dial, ev.Ending.RESET, now)
+            self._give_up_dial(dial, ev.DialResult.RESET, now)
             return
         taken = dial.taken
         self._over(dial)
@@ -469,13 +471,20 @@
             self._over(dial)
             taken = dial.taken
             self._ended(
-                taken.id, dial.number, end.id, ev.Ending.ENDED_WELL, ev.Blame.NONE, _report(line), now, True
+                taken.id,
+                dial.number,
+                end.id,
+                ev.DialResult.ENDED_WELL,
+                ev.ReleaseCause.NONE,
+                _report(line),
+                now,
+                True,
             )
             self._refuse(taken, 500, "forfeited", "", now)
         elif dial is not None and dial.link is not None:
             self._over(dial)
-            ending = ENDINGS.get(cause, ev.Ending.RESET)
-            blame = BLAMES.get(str(line.f.get("note", "")), ev.Blame.NONE)
+            ending = ENDINGS.get(cause, ev.DialResult.RESET)
+            blame = BLAMES.get(str(line.f.get("note", "")), ev.ReleaseCause.NONE)
             self._dial_ended(dial, ending, blame, _report(line), now)
         elif call is not None:
             self.established.released_by_endpoint(call, link, cause, _report(line), now)
@@ -494,10 +503,12 @@
         """A link to an office is gone."""
         end.liveness.connection_closed(link)
 
-    def _call_ended(self, call: Call, ending: ev.Ending, report: ev.Report, now: int) -> None:
+    def _call_ended(self, call: Call, ending: ev.DialResult, report: ev.Report, now: int) -> None:
         """An established call is over: the decisions hear of it, unless it is from before a restart."""
         if call.dialogue is not None:
-            self._ended(call.dialogue, call.dial, call.office.id, ending, ev.Blame.NONE, report, now, True)
+            self._ended(
+                call.dialogue, call.dial, call.office.id, ending, ev.ReleaseCause.NONE, report, now, True
+            )
         self._let_go(call.office)
 
     # ---- the list ----
@@ -564,7 +575,7 @@
                 # Guards rule 3: a set-up that waits here for a link to an office that drains is taken back.
                 self.counts["kept_back.drained"] += 1
                 self._over(dial)
-                self._dial_ended(dial, ev.Ending.NOT_SENT, ev.Blame.NONE, ev.Report(), now)
+                self._dial_ended(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, ev.Report(), now)
         if end.standing is ev.OfficeState.GONE and end.calls:
             self.established.endpoint_gone(end)
         self._let_go(end)
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -361,47 +361,49 @@
     office = dial.office
     if dialogue.out is dial:
         dialogue.out = None
-    no_answer(x, dial, now - dial.sent if event.ending in (ev.Ending.TIMED_OUT, ev.Ending.CANCELLED) else 0)
+    no_answer(
+        x, dial, now - dial.sent if event.result in (ev.DialResult.TIMED_OUT, ev.DialResult.CANCELLED) else 0
+    )
     destination = x.by_number.get(dialogue.destination)
     # A processor that fails every set-up answers quickly and its groups look free, so that it would draw all.
-    fault = event.ending is ev.Ending.FAULT and event.blame is not ev.Blame.LINES_BUSY
+    fault = event.result is ev.DialResult.FAULT and event.cause is not ev.ReleaseCause.LINES_BUSY
     # One fault after an answer is its dialogue's own (exception), such as a number that nobody has: a few
     # such callers priced offices and shut tandems. Two in a row are the office's.
     office.faults += fault
     blamed = fault and office.faults > 1
-    full = event.blame is ev.Blame.PROCESSOR_FULL or event.ending is ev.Ending.UNREACHABLE
-    if event.ending is ev.Ending.NOT_SENT:
-        x.own_fulls += event.blame is ev.Blame.PROCESSOR_FULL
+    full = event.cause is ev.ReleaseCause.PROCESSOR_FULL or event.result is ev.DialResult.UNREACHABLE
+    if event.result is ev.DialResult.NOT_SENT:
+        x.own_fulls += event.cause is ev.ReleaseCause.PROCESSOR_FULL
         office.free += dialogue.width  # nothing was taken, and no report need follow
     elif full or (blamed and dial.direct):
         office.fulls += 1
-    elif event.blame is ev.Blame.FAR_PROCESSOR_FULL and destination:
+    elif event.cause is ev.ReleaseCause.FAR_PROCESSOR_FULL and destination:
         destination.fulls += 1
-    elif blamed or (event.blame is ev.Blame.TURNED_BACK and not met_silence(x, dial, now)):
+    elif blamed or (event.cause is ev.ReleaseCause.TURNED_BACK and not met_silence(x, dial, now)):
         # Five seconds by rounds: two or three waste dials on groups still full, eight misses freed circuits.
         office.no_way_on[dialogue.destination] = now + 5 * SECOND
         office.way_on.discard(dialogue.destination)
-    if event.over:
+    if event.dialogue_over:
         x.dialogues.pop(dialogue.id, None)
         return []
     if dialogue.stands:
         return give_up(x, dialogue, now)
     if (
-        event.ending not in (ev.Ending.FULL, ev.Ending.UNREACHABLE, ev.Ending.NOT_SENT)
+        event.result not in (ev.DialResult.FULL, ev.DialResult.UNREACHABLE, ev.DialResult.NOT_SENT)
         and dialogue.may_have_run is None
     ):
         dialogue.may_have_run = dial.sent
-    if event.ending in (ev.Ending.TIMED_OUT, ev.Ending.RESET, ev.Ending.CANCELLED):
+    if event.result in (ev.DialResult.TIMED_OUT, ev.DialResult.RESET, ev.DialResult.CANCELLED):
         dialogue.not_before = now + x.release.release_wait
         if dialogue.not_before >= dialogue.give_up:
             return give_up(x, dialogue, now)
-    if event.blame is ev.Blame.LINES_BUSY:
+    if event.cause is ev.ReleaseCause.LINES_BUSY:
         lines_busy(dialogue.called, now)
-    if event.blame in (ev.Blame.LINES_BUSY, ev.Blame.FAR_PROCESSOR_FULL) or (
-        (full or fault) and (dial.direct or event.ending is ev.Ending.NOT_SENT)
+    if event.cause in (ev.ReleaseCause.LINES_BUSY, ev.ReleaseCause.FAR_PROCESSOR_FULL) or (
+        (full or fault) and (dial.direct or event.result is ev.DialResult.NOT_SENT)
     ):
         return give_up(x, dialogue, now)
-    if fault or event.ending in (ev.Ending.FULL, ev.Ending.UNREACHABLE, ev.Ending.NOT_SENT):
+    if fault or event.result in (ev.DialResult.FULL, ev.DialResult.UNREACHABLE, ev.DialResult.NOT_SENT):
         dialogue.tried.append(office)
     return place_dialogue(x, dialogue, now)
 
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -7,7 +7,7 @@
 from enum import Enum, auto
 from math import inf
 
-from wellhitch.interface.events import Blame, Ending, OfficeState
+from wellhitch.interface.events import DialResult, OfficeState, ReleaseCause
 from wellhitch.net.seam import Timer
 from wellhitch.trunk import frames
 
@@ -105,7 +105,7 @@
     until: int = 0
     version: str = ""
     dials: list[DialOut] = field(default_factory=list)
-    last_blame: Blame = Blame.NONE
+    last_blame: ReleaseCause = ReleaseCause.NONE
 
     @property
     def active(self) -> DialOut | None:
@@ -141,14 +141,14 @@
         self.step = step
 
 
-ENDINGS: dict[str, tuple[Ending, Blame]] = {
-    "no_circuit": (Ending.FULL, Blame.NO_CIRCUIT),
-    "turned_back": (Ending.FULL, Blame.TURNED_BACK),
-    "far_processor_full": (Ending.FULL, Blame.FAR_PROCESSOR_FULL),
-    "processor_full": (Ending.FULL, Blame.PROCESSOR_FULL),
-    "lines_busy": (Ending.FAULT, Blame.LINES_BUSY),
-    "fault": (Ending.FAULT, Blame.NONE),
-    "unreachable": (Ending.UNREACHABLE, Blame.NONE),
+ENDINGS: dict[str, tuple[DialResult, ReleaseCause]] = {
+    "no_circuit": (DialResult.FULL, ReleaseCause.NO_CIRCUIT),
+    "turned_back": (DialResult.FULL, ReleaseCause.TURNED_BACK),
+    "far_processor_full": (DialResult.FULL, ReleaseCause.FAR_PROCESSOR_FULL),
+    "processor_full": (DialResult.FULL, ReleaseCause.PROCESSOR_FULL),
+    "lines_busy": (DialResult.FAULT, ReleaseCause.LINES_BUSY),
+    "fault": (DialResult.FAULT, ReleaseCause.NONE),
+    "unreachable": (DialResult.UNREACHABLE, ReleaseCause.NONE),
 }
 """What a PushBack's reason means to the decisions."""
 
@@ -157,9 +157,9 @@
 
 def turned_back_reason(taken: Taken) -> str:
     """Reason told upstream when a dialogue in transit was not brought on: what its last dial met beyond."""
-    if taken.last_blame in (Blame.PROCESSOR_FULL, Blame.FAR_PROCESSOR_FULL):
+    if taken.last_blame in (ReleaseCause.PROCESSOR_FULL, ReleaseCause.FAR_PROCESSOR_FULL):
         return "far_processor_full"
-    return "lines_busy" if taken.last_blame is Blame.LINES_BUSY else "turned_back"
+    return "lines_busy" if taken.last_blame is ReleaseCause.LINES_BUSY else "turned_back"
 
 
 def load_of(load: frames.Load | None) -> tuple[float | None, int | None, float | None, float | None]:
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -155,7 +155,7 @@
                 taken = self.taken.get(dialogue)
                 dial = taken.dials[number] if taken and number < len(taken.dials) else None
                 if dial and dial.step in (Step.PASSING, Step.OUT, Step.ANSWERING):
-                    self._give_up_dial(dial, ev.Ending.CANCELLED, now)
+                    self._give_up_dial(dial, ev.DialResult.CANCELLED, now)
             case act.Reject(dialogue, come_back):
                 if dialogue in self.taken:
                     self._answer(self.taken[dialogue], "pushed_back", come_back, now)
@@ -277,7 +277,7 @@
                 self.outlet.to_office(dial.home.id, frames.Pass(0, "release"))
             self._end_dial(dial, frames.Release(dial.ref), now)
             self._forget(taken)
-            self._dial_ended(dial, ev.Ending.ENDED_WELL, ev.Blame.NONE, 0, True, None, now)
+            self._dial_ended(dial, ev.DialResult.ENDED_WELL, ev.ReleaseCause.NONE, 0, True, None, now)
             return
         self._told_answer(taken, "gone")
         self._forget(taken)
@@ -401,11 +401,11 @@
         self.counts["sends"] += 1
         group = self.groups.get(end.number)
         if home is None:
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.PROCESSOR_FULL, now)
         elif not end.up:
-            self._not_sent(dial, ev.Ending.UNREACHABLE, ev.Blame.NONE, now)
+            self._not_sent(dial, ev.DialResult.UNREACHABLE, ev.ReleaseCause.NONE, now)
         elif group is not None and not group.seize(dial, taken.width):
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.NO_CIRCUIT, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NO_CIRCUIT, now)
         else:
             self._changed(end.number)
             dial.timer = self.outlet.timer(max(0, within), lambda at: self._overdue(dial, at))
@@ -413,7 +413,7 @@
             home.passing[dial.home_ref] = dial
             self.outlet.to_office(home.id, frames.Pass(dial.home_ref, "setup"))
 
-    def _not_sent(self, dial: DialOut, ending: ev.Ending, blame: ev.Blame, now: int) -> None:
+    def _not_sent(self, dial: DialOut, ending: ev.DialResult, blame: ev.ReleaseCause, now: int) -> None:
         dial.move(Step.FREE)
         self._free(dial)
         self._dial_ended(dial, ending, blame, 0, False, None, now)
@@ -421,8 +421,8 @@
     def _dial_ended(
         self,
         dial: DialOut,
-        ending: ev.Ending,
-        blame: ev.Blame,
+        ending: ev.DialResult,
+        blame: ev.ReleaseCause,
         wait: int,
         over: bool,
         load: frames.Load | None,
@@ -453,15 +453,15 @@
         taken, end = dial.taken, dial.office
         if not accepted:
             self._stop_timer(dial)
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.PROCESSOR_FULL, now)
             return
         if end.standing is not ev.OfficeState.READY or not end.up:
             # Guards rule 3: the office drained, or its link was lost, while the set-up waited in the own
             # processor. Nothing was sent, so the decisions may dial elsewhere at once.
             self.counts["kept_back.drained" if end.up else "kept_back.unreachable"] += 1
             self._stop_timer(dial)
-            ending = ev.Ending.NOT_SENT if end.up else ev.Ending.UNREACHABLE
-            self._not_sent(dial, ending, ev.Blame.NONE, now)
+            ending = ev.DialResult.NOT_SENT if end.up else ev.DialResult.UNREACHABLE
+            self._not_sent(dial, ending, ev.ReleaseCause.NONE, now)
             return
         dial.move(Step.OUT)
         dial.ref = end.ref()
@@ -490,11 +490,11 @@
 
     def _overdue(self, dial: DialOut, now: int) -> None:
         if dial.step in (Step.PASSING, Step.OUT, Step.ANSWERING):
-            self._give_up_dial(dial, ev.Ending.TIMED_OUT, now)
+            self._give_up_dial(dial, ev.DialResult.TIMED_OUT, now)
 
-    def _give_up_dial(self, dial: DialOut, ending: ev.Ending, now: int) -> None:
+    def _give_up_dial(self, dial: DialOut, ending: ev.DialResult, now: int) -> None:
         self._end_dial(dial, frames.Cancel(dial.ref), now)
-        self._dial_ended(dial, ending, ev.Blame.NONE, 0, False, None, now)
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, 0, False, None, now)
 
     def _end_dial(self, dial: DialOut, word: frames.Cancel | frames.Release, now: int) -> None:
         """End a dial from this end. Where it was sent, the circuits stay taken until the far end confirms or
@@ -561,7 +561,7 @@
         self._stop_timer(dial)
         dial.move(Step.FREE)
         self._free(dial)
-        ending, blame = ENDINGS.get(frame.reason, (ev.Ending.FAULT, ev.Blame.NONE))
+        ending, blame = ENDINGS.get(frame.reason, (ev.DialResult.FAULT, ev.ReleaseCause.NONE))
         self._dial_ended(dial, ending, blame, max(0, frame.wait), False, frame.load, now)
 
     def cut(self, office: str, ref: int, now: int) -> None:
@@ -597,7 +597,7 @@
             elif taken.home is not None:
                 self.outlet.to_office(taken.home.id, frames.Cut(taken.home_ref))
             self._forget(taken)
-        self._dial_ended(dial, ev.Ending.RESET, ev.Blame.NONE, 0, stood, None, now)
+        self._dial_ended(dial, ev.DialResult.RESET, ev.ReleaseCause.NONE, 0, stood, None, now)
 
     def released(self, office: str, frame: frames.Released, now: int) -> None:
         """An office freed what a dial held there."""
@@ -851,7 +851,7 @@
             if dial and dial.step is Step.OUT:
                 self.counts["kept_back.drained"] += 1
                 self._stop_timer(dial)
-                self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.NONE, now)
+                self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, now)
         if not end.up:
             return
         n, grace = self.outlet.mark(end.id), self.opened.release.drain_grace
