--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,15 @@
 from conftest import CHEAP, DEAR, SECOND
 
 from wellhitch import rules
-from wellhitch.interface.actions import Cancel, Fail, Follow, Reject, Send, StartTimer, TellPeers
+from wellhitch.interface.actions import (
+    Cancel,
+    Fail,
+    Reject,
+    Send,
+    SendPeerMessage,
+    StartTimer,
+    SubscribeDiscovery,
+)
 from wellhitch.interface.events import (
     Arrived,
     DialEnded,
@@ -14,7 +22,7 @@
     Listed,
     OfficeState,
     Opened,
-    PeerSaid,
+    PeerMessageReceived,
     ReleaseCause,
     Report,
     Reported,
@@ -419,16 +427,16 @@
     third = rules.Office("office-3", 3, OfficeState.READY, None, free=20, size=30)
     exchange.offices["office-3"] = exchange.by_number[3] = third
     exchange.by_number[1].free = 0
-    rules.take_word(exchange, PeerSaid(9, bytes((rules.FORM, 2, 0, 0))), SECOND)
+    rules.take_word(exchange, PeerMessageReceived(9, bytes((rules.FORM, 2, 0, 0))), SECOND)
     assert rules.best_route(exchange, new_dialogue(), SECOND) is third
-    rules.take_word(exchange, PeerSaid(9, bytes((rules.FORM, 2, 0, 5))), SECOND)
+    rules.take_word(exchange, PeerMessageReceived(9, bytes((rules.FORM, 2, 0, 5))), SECOND)
     assert rules.best_route(exchange, new_dialogue(), SECOND).number == 2
     assert rules.told_room(exchange, exchange.by_number[2], 1, 9 * SECOND) is None
 
 
 @pytest.mark.parametrize("text", [b"", b"\x01", b"\x02\x01\x00\x05", b"\x01\x63\x05"])
 def test_word_that_is_empty_cut_or_unknown_tells_nothing(exchange, text):
-    rules.take_word(exchange, PeerSaid(9, text), SECOND)
+    rules.take_word(exchange, PeerMessageReceived(9, text), SECOND)
     assert not any(office.told for office in exchange.offices.values())
 
 
@@ -436,7 +444,7 @@
     exchange.by_number[2].free = 2
     assert rules.word(exchange) == bytes((rules.FORM, 0, 26, 26, 0))
     exchange.permissions = Permissions(4, True, False, True, 0, True)
-    assert any(isinstance(action, TellPeers) for action in rules.interval_over(exchange, SECOND))
+    assert any(isinstance(action, SendPeerMessage) for action in rules.interval_over(exchange, SECOND))
     exchange.place = Place(256, 300, False, 0)  # a number that no word can name
     assert len(rules.interval_over(exchange, 99 * SECOND)) == 1
 
@@ -490,13 +498,16 @@
     event = Opened(
         5, (CHEAP,), Place(0, 1, True, SECOND), exchange.permissions, exchange.release, exchange.cold
     )
-    assert rules.decide(Exchange(), event, 0) == [StartTimer(rules.INTERVAL, rules.TICK), Follow()]
+    assert rules.decide(Exchange(), event, 0) == [
+        StartTimer(rules.INTERVAL, rules.TICK),
+        SubscribeDiscovery(),
+    ]
 
 
 def test_failed_discovery_is_asked_again_where_it_must_be(exchange):
     exchange.place = Place(0, 1, True, SECOND)
     rules.listed(exchange, Listed(Heard.FAILED, ()))
-    assert Follow() in rules.interval_over(exchange, SECOND)
+    assert SubscribeDiscovery() in rules.interval_over(exchange, SECOND)
 
 
 def test_same_seed_same_actions(exchange):
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -181,7 +181,7 @@
     "Verdict": read_ended,
     "Left": lambda m: events.WentAway(m[2]),
     "TickDue": lambda m: events.TimerFired(m[2]),
-    "Heard": lambda m: events.PeerSaid(m[2], read_bytes(m[3])),
+    "Heard": lambda m: events.PeerMessageReceived(m[2], read_bytes(m[3])),
 }
 LENGTHS = {"Ingress": 12, "Started": 6, "HealthResult": 6, "Left": 3, "TickDue": 3, "Heard": 4, "Verdict": 10}
 
@@ -199,8 +199,8 @@
             return ["Fail", who, dialogue]
         case actions.StartTimer(after, token):
             return ["Arm", who, nanos(after), token]
-        case actions.TellPeers(text):
+        case actions.SendPeerMessage(text):
             return ["Signal", who, -1, text.hex()]
-        case actions.Follow():
+        case actions.SubscribeDiscovery():
             return ["StreamChanges", who, True]
     raise TypeError(f"no wire form for {action!r}")
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -28,7 +28,7 @@
     ev.Reported: "Reported",
     ev.WentAway: "WentAway",
     ev.TimerFired: "Rang",
-    ev.PeerSaid: "PeerSaid",
+    ev.PeerMessageReceived: "PeerSaid",
 }
 
 
--- a/wellhitch/interface/actions.py
+++ b/wellhitch/interface/actions.py
@@ -9,7 +9,7 @@
 
     dialogue: int
     office: str
-    within: int
+    timeout: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,15 +44,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeers:
+class SendPeerMessage:
     """Send every other call server a short message."""
 
     text: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
+class SubscribeDiscovery:
     """Ask discovery for changes from now on."""
 
 
-Action = Send | Cancel | Reject | Fail | StartTimer | TellPeers | Follow
+Action = Send | Cancel | Reject | Fail | StartTimer | SendPeerMessage | SubscribeDiscovery
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -154,11 +154,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSaid:
+class PeerMessageReceived:
     """Another call server sent a message."""
 
     peer: int
     text: bytes = field(default=b"")
 
 
-Event = Opened | Listed | Arrived | Stood | DialEnded | Reported | WentAway | TimerFired | PeerSaid
+Event = Opened | Listed | Arrived | Stood | DialEnded | Reported | WentAway | TimerFired | PeerMessageReceived
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -114,9 +114,9 @@
             case act.Fail(dialogue):
                 if dialogue in self.taken:
                     self._refuse(self.taken[dialogue], 500, "forfeited", "", now)
-            case act.TellPeers(text):
+            case act.SendPeerMessage(text):
                 self.outlet.tell_peers(text)
-            case act.Follow():
+            case act.SubscribeDiscovery():
                 pass  # the board pushes on its own
 
     # ---- callers ----
@@ -599,7 +599,7 @@
 
     def word(self, peer: int, text: bytes, now: int) -> None:
         """Another call server said something."""
-        self.feed(ev.PeerSaid(peer, text), now)
+        self.feed(ev.PeerMessageReceived(peer, text), now)
 
     @property
     def owed(self) -> int:
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -9,7 +9,16 @@
 from statistics import median_low
 
 from wellhitch.interface import events as ev
-from wellhitch.interface.actions import Action, Cancel, Fail, Follow, Reject, Send, StartTimer, TellPeers
+from wellhitch.interface.actions import (
+    Action,
+    Cancel,
+    Fail,
+    Reject,
+    Send,
+    SendPeerMessage,
+    StartTimer,
+    SubscribeDiscovery,
+)
 from wellhitch.interface.facts import ColdRule, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
@@ -34,7 +43,7 @@
         case ev.Reported():
             if event.office in x.offices and event.answered:
                 take_report(x.offices[event.office], event.report)
-        case ev.PeerSaid():
+        case ev.PeerMessageReceived():
             take_word(x, event, now)
         case ev.WentAway():
             went_away(x, event, now)
@@ -61,7 +70,7 @@
     x.bound_delay = max(1, min((use.target_latency for use in event.traffic_classes), default=SECOND) // 4)
     x.top = max((use.value for use in event.traffic_classes), default=1.0)
     x.tell_at = now + int(draw(x) * tell_period(event.place.peers))  # not all at once
-    return [StartTimer(INTERVAL, TICK), *([Follow()] if event.place.must_ask else [])]
+    return [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if event.place.must_ask else [])]
 
 
 def listed(x: Exchange, event: ev.Listed) -> list[Action]:
@@ -471,7 +480,7 @@
     x.called = {key: called for key, called in x.called.items() if now - called.called_at < 60 * SECOND}
     sizes = [o.size for o in x.by_number.values() if o.size is not None and o.number != x.place.number]
     x.linked = sum(size > 0 for size in sizes) / max(1, len(sizes))
-    out: list[Action] = [StartTimer(INTERVAL, TICK), *([Follow()] if x.refollow else [])]
+    out: list[Action] = [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if x.refollow else [])]
     x.refollow = False
     x.waiting = [dial for dial in x.waiting if dial.took is None and dial.dialogue.out is dial]
     for dial in x.waiting:
@@ -480,7 +489,7 @@
     tells = x.permissions.may_tell_peers and not x.place.advised and (x.place.number or 0) < 256
     if tells and x.place.peers and now >= x.tell_at:
         x.tell_at = now + tell_period(x.place.peers)
-        out.append(TellPeers(word(x)))
+        out.append(SendPeerMessage(word(x)))
     return out
 
 
@@ -571,7 +580,7 @@
     return bytes((FORM, x.place.number or 0)) + spare
 
 
-def take_word(x: Exchange, event: ev.PeerSaid, now: int) -> None:
+def take_word(x: Exchange, event: ev.PeerMessageReceived, now: int) -> None:
     """A peer told its groups' room; what is empty, cut short or of another form tells nothing."""
     if len(event.text) > 1 and event.text[0] == FORM and event.text[1] in x.by_number:
         office = x.by_number[event.text[1]]
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -162,9 +162,9 @@
             case act.Fail(dialogue):
                 if dialogue in self.taken:
                     self._answer(self.taken[dialogue], "forfeited", 0, now)
-            case act.TellPeers(text):
+            case act.SendPeerMessage(text):
                 self.outlet.tell_peers(text)
-            case act.Follow():
+            case act.SubscribeDiscovery():
                 pass  # the register pushes to every link from its Hello on
 
     # ---- callers ----
@@ -874,7 +874,7 @@
         home = self._home()
         if home:
             self.outlet.to_office(home.id, frames.Pass(0, "word"))
-        self.feed(ev.PeerSaid(peer, text), now)
+        self.feed(ev.PeerMessageReceived(peer, text), now)
 
     def stop(self, now: int) -> int:
         """Take nothing more; returns how many answers are still owed."""
