--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -515,12 +515,12 @@
     started_ms = UNIX // 1000 + 15_000
     world.board.tell(row(1, READY, 0x78, started_ms))
     world.run(0.2)
-    known = world.core.exchange.offices["s-00000078"].started
+    known = world.core.exchange.offices["s-00000078"].started_at
     assert known == 15 * SECOND
     world.run(5)
     world.board.tell(row(1, READY, 0x78, started_ms))
     world.run(0.2)
-    assert world.core.exchange.offices["s-00000078"].started == known
+    assert world.core.exchange.offices["s-00000078"].started_at == known
 
 
 def test_the_own_exchange_is_never_dialled_nor_linked() -> None:
@@ -752,7 +752,8 @@
 
 
 @pytest.mark.parametrize(
-    "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.TimerFired, ev.Reported, ev.Listed]
+    "kind",
+    [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.TimerFired, ev.Reported, ev.OfficeListReceived],
 )
 def test_a_decision_that_raises_costs_one_dialogue_and_nobody_an_answer(
     kind: type, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,9 +17,9 @@
     Arrived,
     DialEnded,
     DialResult,
-    Entry,
-    Heard,
-    Listed,
+    ListKind,
+    OfficeEntry,
+    OfficeListReceived,
     OfficeState,
     Opened,
     PeerMessageReceived,
@@ -106,16 +106,24 @@
 
 @pytest.mark.parametrize("standing", [OfficeState.DRAINING, OfficeState.GONE])
 def test_nothing_new_to_an_office_that_drains_or_is_gone(exchange, new_dialogue, standing):
-    rules.listed(exchange, Listed(Heard.CHANGES, (Entry("office-1", 1, standing, None),)))
+    rules.listed(
+        exchange, OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, standing, None),))
+    )
     assert rules.best_route(exchange, new_dialogue(), 0) is None
     assert rules.best_route(exchange, new_dialogue(destination=2), 0) is exchange.offices["office-2"]
 
 
 def test_office_missing_from_a_whole_list_is_gone_and_a_new_one_takes_its_number(exchange):
     exchange.offices["office-1"].usual = 4.0
-    rules.listed(exchange, Listed(Heard.CHANGES, (Entry("office-1", 1, OfficeState.DRAINING, None),)))
-    entries = (Entry("office-0", 0, OfficeState.READY, None), Entry("fresh", 1, OfficeState.READY, SECOND))
-    rules.listed(exchange, Listed(Heard.WHOLE, entries))
+    rules.listed(
+        exchange,
+        OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, OfficeState.DRAINING, None),)),
+    )
+    entries = (
+        OfficeEntry("office-0", 0, OfficeState.READY, None),
+        OfficeEntry("fresh", 1, OfficeState.READY, SECOND),
+    )
+    rules.listed(exchange, OfficeListReceived(ListKind.WHOLE, entries))
     assert exchange.offices["office-1"].state is OfficeState.GONE
     assert exchange.by_number[1].id == "fresh" and exchange.by_number[1].usual == 4.0
     assert 2 not in exchange.by_number
@@ -126,7 +134,7 @@
 
 def test_cold_office_gets_a_bounded_share_of_what_is_usual(exchange):
     office = exchange.by_number[1]
-    office.usual, office.started = 10.0, 0
+    office.usual, office.started_at = 10.0, 0
     taken = 0
     for now in range(0, 3 * SECOND, 10_000):
         if rules.cold_room(exchange.cold, office, now):
@@ -455,7 +463,10 @@
 def test_office_back_under_its_id_with_a_new_start_is_cold_and_unpriced(exchange):
     office = exchange.by_number[1]
     office.price, office.usual = 2.0, 4.0
-    rules.listed(exchange, Listed(Heard.CHANGES, (Entry("office-1", 1, OfficeState.READY, SECOND),)))
+    rules.listed(
+        exchange,
+        OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, OfficeState.READY, SECOND),)),
+    )
     assert exchange.by_number[1] is office and office.price == 0.0 and office.usual == 4.0
     assert rules.cold(exchange.cold, office, 2 * SECOND)
     assert not rules.cold_room(exchange.cold, office, SECOND)
@@ -506,7 +517,7 @@
 
 def test_failed_discovery_is_asked_again_where_it_must_be(exchange):
     exchange.place = Place(0, 1, True, SECOND)
-    rules.listed(exchange, Listed(Heard.FAILED, ()))
+    rules.listed(exchange, OfficeListReceived(ListKind.FAILED, ()))
     assert SubscribeDiscovery() in rules.interval_over(exchange, SECOND)
 
 
@@ -515,8 +526,8 @@
         x = Exchange()
         facts = (exchange.place, exchange.permissions, exchange.release, exchange.cold)
         rules.decide(x, Opened(11, (CHEAP,), *facts), 0)
-        entries = tuple(Entry(f"o{n}", n, OfficeState.READY, None) for n in range(4))
-        rules.decide(x, Listed(Heard.REMEMBERED, entries), 0)
+        entries = tuple(OfficeEntry(f"o{n}", n, OfficeState.READY, None) for n in range(4))
+        rules.decide(x, OfficeListReceived(ListKind.REMEMBERED, entries), 0)
         arrivals = (Arrived(n, "cheap", 1 + n % 3, None, SECOND, 1, None, False, False) for n in range(50))
         return [rules.decide(x, arrival, n) for n, arrival in enumerate(arrivals)]
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -329,7 +329,8 @@
 
 
 @pytest.mark.parametrize(
-    "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.TimerFired, ev.Reported, ev.Listed]
+    "kind",
+    [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.TimerFired, ev.Reported, ev.OfficeListReceived],
 )
 def test_a_decision_that_raises_costs_one_dialogue_its_chance_and_nobody_an_answer(
     bench: Bench, kind: type, monkeypatch: pytest.MonkeyPatch
@@ -354,7 +355,7 @@
         bench.switch.pushed_back("o1", frames.PushBack(setup.ref, "fault"), 0)
     elif kind is ev.WentAway:
         bench.switch.leave("link", 1, 0)
-    elif kind is ev.Listed:
+    elif kind is ev.OfficeListReceived:
         bench.told("ready", "ready", "ready", revision=2)
     bench.run(4 * SECOND)
     assert bench.switch.counts["decision_faults"] == 1 and "decision_fault" in bench.out.said
@@ -480,7 +481,7 @@
 def test_an_age_under_nought_is_a_start_just_now(bench: Bench) -> None:
     lines = [frames.ListLine("o1", 1, "ready", -(10**9), "o1:1")]
     bench.switch.listed(frames.List("changes", 2, lines), 5)
-    assert bench.switch.exchange.offices["o1"].started == 5
+    assert bench.switch.exchange.offices["o1"].started_at == 5
 
 
 @pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0])
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -31,10 +31,10 @@
     "Gone": events.OfficeState.GONE,
 }
 LISTS = {
-    "Partial": events.Heard.CHANGES,
-    "Complete": events.Heard.WHOLE,
-    "Persisted": events.Heard.REMEMBERED,
-    "Error": events.Heard.FAILED,
+    "Partial": events.ListKind.CHANGES,
+    "Complete": events.ListKind.WHOLE,
+    "Persisted": events.ListKind.REMEMBERED,
+    "Error": events.ListKind.FAILED,
 }
 
 
@@ -132,10 +132,10 @@
     )
 
 
-def read_entry(row: list[Any]) -> events.Entry:
+def read_entry(row: list[Any]) -> events.OfficeEntry:
     """One line of a list."""
     office, _zone, _kind, number, standing, _hint, started = (*row, None, None, None)[:7]
-    return events.Entry(office, int(number), STANDINGS[standing], micros(started) if started else None)
+    return events.OfficeEntry(office, int(number), STANDINGS[standing], micros(started) if started else None)
 
 
 def read_arrived(m: list[Any]) -> events.Arrived:
--- a/wellhitch/adapter/host.py
+++ b/wellhitch/adapter/host.py
@@ -6,7 +6,7 @@
 
 from wellhitch.adapter import codec
 from wellhitch.interface.actions import Action
-from wellhitch.interface.events import Event, Heard, Listed
+from wellhitch.interface.events import Event, ListKind, OfficeListReceived
 from wellhitch.interface.state import Exchange
 from wellhitch.rules import decide
 
@@ -59,8 +59,8 @@
             return codec.read_opened(m[2], m[3] or {})
         if name == "Fleet":
             heard = codec.LISTS[m[3]]
-            rows = [] if heard is Heard.FAILED else self.tables.get(m[2], [])
-            return Listed(heard, tuple(codec.read_entry(row) for row in rows))
+            rows = [] if heard is ListKind.FAILED else self.tables.get(m[2], [])
+            return OfficeListReceived(heard, tuple(codec.read_entry(row) for row in rows))
         m = [*m, *[None] * (codec.LENGTHS.get(name, 0) - len(m))]
         reader = codec.READERS.get(name)
         return reader(m) if reader else None
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -38,7 +38,7 @@
     GONE = auto()
 
 
-class Heard(Enum):
+class ListKind(Enum):
     """Which kind of list came."""
 
     CHANGES = auto()
@@ -60,13 +60,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class OfficeEntry:
     """One line of the list of offices; `started` is None for long ago."""
 
     office: str
     number: int
     state: OfficeState
-    started: int | None
+    started_at: int | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,11 +82,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class OfficeListReceived:
     """Discovery spoke."""
 
-    heard: Heard
-    entries: tuple[Entry, ...]
+    kind: ListKind
+    entries: tuple[OfficeEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,4 +161,14 @@
     text: bytes = field(default=b"")
 
 
-Event = Opened | Listed | Arrived | Stood | DialEnded | Reported | WentAway | TimerFired | PeerMessageReceived
+Event = (
+    Opened
+    | OfficeListReceived
+    | Arrived
+    | Stood
+    | DialEnded
+    | Reported
+    | WentAway
+    | TimerFired
+    | PeerMessageReceived
+)
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -60,7 +60,7 @@
     id: str
     number: int
     state: OfficeState
-    started: int | None
+    started_at: int | None
     free: int = 0
     size: int | None = None
     price: float = 0.0
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -404,8 +404,8 @@
     x = Exchange()
     now = 0
     decide(x, facts(0, offices), now)
-    entries = tuple(ev.Entry(f"o{n}", n, ev.OfficeState.READY, None) for n in range(offices))
-    decide(x, ev.Listed(ev.Heard.WHOLE, entries), now)
+    entries = tuple(ev.OfficeEntry(f"o{n}", n, ev.OfficeState.READY, None) for n in range(offices))
+    decide(x, ev.OfficeListReceived(ev.ListKind.WHOLE, entries), now)
     report = ev.Report(GROUP, GROUP)
     for n in range(1, offices):
         decide(x, ev.Reported(f"o{n}", False, True, report), now)
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -74,7 +74,7 @@
         draining offices too: calls from before a restart may be up there, and their releases come on the first one."""
         self.feed(self.opened, now)
         for notice in known:
-            self._take_notice(notice, ev.Heard.REMEMBERED, now)
+            self._take_notice(notice, ev.ListKind.REMEMBERED, now)
         for end in list(self.offices.values()):
             self._follow_standing(end, now)
             if end.standing is ev.OfficeState.DRAINING and end.number != self.number:
@@ -517,11 +517,11 @@
         """The board told an event."""
         if notice.empty:
             return
-        self._take_notice(notice, ev.Heard.WHOLE, now)
+        self._take_notice(notice, ev.ListKind.WHOLE, now)
         for end in list(self.offices.values()):
             self._follow_standing(end, now)
 
-    def _take_notice(self, notice: Notice, whole: ev.Heard, now: int) -> None:
+    def _take_notice(self, notice: Notice, whole: ev.ListKind, now: int) -> None:
         """Take over what an event says; `whole`: what the decisions are told where it is the whole list."""
         for row in notice.rows:
             self._listed_row(row, now)
@@ -531,8 +531,8 @@
                 if end.id not in named:
                     end.standing = ev.OfficeState.GONE
         ends = [self.offices[row.id] for row in notice.rows]
-        entries = tuple(ev.Entry(end.id, end.number, end.standing, end.started) for end in ends)
-        self.feed(ev.Listed(whole if notice.whole else ev.Heard.CHANGES, entries), now)
+        entries = tuple(ev.OfficeEntry(end.id, end.number, end.standing, end.started) for end in ends)
+        self.feed(ev.OfficeListReceived(whole if notice.whole else ev.ListKind.CHANGES, entries), now)
 
     def _listed_row(self, row: Row, now: int) -> None:
         standing = STANDINGS[row.state]
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -32,7 +32,7 @@
     match event:
         case ev.Opened():
             return opened(x, event, now)
-        case ev.Listed():
+        case ev.OfficeListReceived():
             return listed(x, event)
         case ev.Arrived():
             return arrived(x, event, now)
@@ -73,14 +73,14 @@
     return [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if event.place.must_ask else [])]
 
 
-def listed(x: Exchange, event: ev.Listed) -> list[Action]:
+def listed(x: Exchange, event: ev.OfficeListReceived) -> list[Action]:
     """Follow the list. An office missing from a whole list is gone; a new one at a number takes it over."""
-    if event.heard is ev.Heard.FAILED:
+    if event.kind is ev.ListKind.FAILED:
         x.refollow = x.place.must_ask
         return []
     for entry in event.entries:
         take_entry(x, entry)
-    if event.heard is not ev.Heard.CHANGES:
+    if event.kind is not ev.ListKind.CHANGES:
         named = {entry.office for entry in event.entries}
         for office in x.offices.values():
             if office.id not in named:
@@ -89,24 +89,24 @@
     for office in x.offices.values():
         if usable(office):
             held = x.by_number.get(office.number)
-            if held is None or (office.started or 0) >= (held.started or 0):
+            if held is None or (office.started_at or 0) >= (held.started_at or 0):
                 x.by_number[office.number] = office
     return []
 
 
-def take_entry(x: Exchange, entry: ev.Entry) -> None:
+def take_entry(x: Exchange, entry: ev.OfficeEntry) -> None:
     """One line of the list. A fresh start forgets the price and the silence of the processor before it."""
     office = x.offices.get(entry.office)
     if office is None:
-        office = x.offices[entry.office] = Office(entry.office, entry.number, entry.state, entry.started)
+        office = x.offices[entry.office] = Office(entry.office, entry.number, entry.state, entry.started_at)
         office.first_budget = draw(x)
         for before in x.offices.values():  # the one replaced has left `by_number` when it drained
             if before.number == entry.number and before is not office:
                 office.usual = max(office.usual, before.usual)
                 office.free, office.size = before.free, before.size
-    elif entry.started != office.started:
+    elif entry.started_at != office.started_at:
         office.price, office.recent = 0.0, []
-    office.state, office.started = entry.state, entry.started
+    office.state, office.started_at = entry.state, entry.started_at
 
 
 def usable(office: Office) -> bool:
@@ -599,7 +599,7 @@
 
 def cold(rule: ColdRule, office: Office, now: int) -> bool:
     """Whether the office's processor started so short a time ago that it may still be cold."""
-    return office.started is not None and now - office.started < rule.warm_after
+    return office.started_at is not None and now - office.started_at < rule.warm_after
 
 
 def cold_room(rule: ColdRule, office: Office, now: int) -> bool:
@@ -609,7 +609,7 @@
     if not cold(rule, office, now):
         office.budget, office.budget_at = 0.0, 0
         return True
-    grown = max(0.0, (now - (office.started or 0)) / rule.warm_after)
+    grown = max(0.0, (now - (office.started_at or 0)) / rule.warm_after)
     share = rule.start_share + (1 - rule.start_share) * grown
     # Never under one dial in four seconds, so that an office not used before can still be tried.
     rate = max(office.usual, 0.25) * share * rule.multiple
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -797,10 +797,14 @@
             for end in self.offices.values():
                 if end.id not in named:
                     end.standing = ev.OfficeState.GONE
-        heard = {"changes": ev.Heard.CHANGES, "whole": ev.Heard.WHOLE, "remembered": ev.Heard.REMEMBERED}
+        heard = {
+            "changes": ev.ListKind.CHANGES,
+            "whole": ev.ListKind.WHOLE,
+            "remembered": ev.ListKind.REMEMBERED,
+        }
         entries = [self.offices[line.office] for line in frame.lines]
-        lines = tuple(ev.Entry(end.id, end.number, end.standing, end.started) for end in entries)
-        self.feed(ev.Listed(heard[frame.kind], lines), now)
+        lines = tuple(ev.OfficeEntry(end.id, end.number, end.standing, end.started) for end in entries)
+        self.feed(ev.OfficeListReceived(heard[frame.kind], lines), now)
         for end in list(self.offices.values()):
             self._follow_standing(end, now)
             if self.hooked and before.get(end.id) is not end.standing:
