--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wellhitch.interface.events import OfficeState
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
 SECOND = 1_000_000
@@ -18,10 +18,10 @@
     x = Exchange(
         chance=7, traffic_classes={"cheap": CHEAP, "dear": DEAR}, unit=1.0, top=5.0, bound_delay=400_000
     )
-    x.place = Place(0, 2, False, 0)
+    x.topology = ServerTopology(0, 2, False, 0)
     x.permissions = Permissions(4, True, False, False, 2 * SECOND, True)
     x.release = ReleaseRule(300_000, SECOND)
-    x.cold = ColdRule(0.4, 10 * SECOND, 2.5, 3 * SECOND)
+    x.cold_start = ColdStartRule(0.4, 10 * SECOND, 2.5, 3 * SECOND)
     for number in (0, 1, 2):
         office = Office(f"office-{number}", number, OfficeState.READY, None, free=30, size=30)
         x.offices[office.id] = x.by_number[number] = office
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -8,7 +8,7 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.net.seam import now_us
 from wellhitch.platform.configuration import Place as Where
 from wellhitch.platform.configuration import Told
@@ -36,13 +36,13 @@
 
 def told(**over: Any) -> Told:
     """What a start is told."""
-    opened = ev.Opened(
+    opened = ev.ServerStarted(
         seed=7,
         traffic_classes=USES,
-        place=Place(0, 2, False, 0, True),
+        topology=ServerTopology(0, 2, False, 0, True),
         permissions=Permissions(5, True, False, True, 0, False),
         release=ReleaseRule(100_000, 250_000),
-        cold=ColdRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
+        cold_start=ColdStartRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
     )
     made = Told(
         place=Where(
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -98,8 +98,10 @@
 class KnowsNoColdOffice(Switch):
     """All of them at once send a fresh processor what they like."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, outlet: switch_module.Outlet) -> None:
-        super().__init__(replace(opened, cold=replace(opened.cold, warm_after=0)), max_open, outlet)
+    def __init__(self, opened: ev.ServerStarted, max_open: int, outlet: switch_module.Outlet) -> None:
+        super().__init__(
+            replace(opened, cold_start=replace(opened.cold_start, warm_after=0)), max_open, outlet
+        )
 
 
 class FloodsTheCold(Switch):
@@ -121,13 +123,13 @@
 class ResendsEarly(Switch):
     """A release wait that is one millisecond short."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, outlet: switch_module.Outlet) -> None:
+    def __init__(self, opened: ev.ServerStarted, max_open: int, outlet: switch_module.Outlet) -> None:
         short = replace(opened.release, release_wait=opened.release.release_wait - 1000)
         super().__init__(replace(opened, release=short), max_open, outlet)
 
 
 class ResendsAtOnce(Switch):
-    def __init__(self, opened: ev.Opened, max_open: int, outlet: switch_module.Outlet) -> None:
+    def __init__(self, opened: ev.ServerStarted, max_open: int, outlet: switch_module.Outlet) -> None:
         super().__init__(replace(opened, release=replace(opened.release, release_wait=0)), max_open, outlet)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -114,7 +114,7 @@
     heeded: int, told: str | None
 ) -> None:
     opened = settings().opened
-    world = World(opened=replace(opened, permissions=replace(opened.permissions, longest_retry_after=heeded)))
+    world = World(opened=replace(opened, permissions=replace(opened.permissions, max_retry_after=heeded)))
     caller = world.caller()
     caller.say(invite(A, 0))
     world.run(0.1)
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -93,7 +93,7 @@
 
 def test_a_configuration_is_read_and_figures_may_be_text(tmp_path: Path) -> None:
     told = read_configuration(put(tmp_path, sheet()))
-    assert told.opened.seed == 0x8C1F30D27A5BE964 and told.opened.place.peers == 2
+    assert told.opened.seed == 0x8C1F30D27A5BE964 and told.opened.topology.peer_count == 2
     assert told.opened.traffic_classes[0].target_latency == 380_000 and told.connect_within == 500_000
     assert told.number == 1 and told.known[0].rows[0].id == "s-00000000"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,16 +21,16 @@
     OfficeEntry,
     OfficeListReceived,
     OfficeState,
-    Opened,
     PeerMessageReceived,
     ReleaseCause,
     Report,
     Reported,
+    ServerStarted,
     Stood,
     TimerFired,
     WentAway,
 )
-from wellhitch.interface.facts import Permissions, Place, ReleaseRule, TrafficClass
+from wellhitch.interface.facts import Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.interface.state import Exchange
 
 NOTHING = Report()
@@ -137,17 +137,19 @@
     office.usual, office.started_at = 10.0, 0
     taken = 0
     for now in range(0, 3 * SECOND, 10_000):
-        if rules.cold_room(exchange.cold, office, now):
+        if rules.cold_room(exchange.cold_start, office, now):
             office.budget -= 1
             taken += 1
-    assert 0 < taken <= exchange.cold.multiple * 0.6 * 10.0 * 3  # the share has grown from 0.4 to under 0.6
-    assert not rules.cold(exchange.cold, office, exchange.cold.warm_after)
+    assert (
+        0 < taken <= exchange.cold_start.multiple * 0.6 * 10.0 * 3
+    )  # the share has grown from 0.4 to under 0.6
+    assert not rules.cold(exchange.cold_start, office, exchange.cold_start.warm_after)
 
 
 def test_first_dials_of_many_servers_to_a_cold_office_come_spread(exchange):
     offices = [rules.Office(f"o{n}", n, OfficeState.READY, SECOND, first_budget=n / 60) for n in range(60)]
-    at_once = [office for office in offices if rules.cold_room(exchange.cold, office, SECOND)]
-    later = [office for office in offices if rules.cold_room(exchange.cold, office, 3 * SECOND)]
+    at_once = [office for office in offices if rules.cold_room(exchange.cold_start, office, SECOND)]
+    later = [office for office in offices if rules.cold_room(exchange.cold_start, office, 3 * SECOND)]
     assert len(at_once) == 0 and 15 < len(later) < 45
 
 
@@ -388,7 +390,7 @@
 
 
 def test_pools_prefer_the_first_choice_and_keep_to_the_use_case(exchange, new_dialogue):
-    exchange.place = Place(None, 2, False, 0)
+    exchange.topology = ServerTopology(None, 2, False, 0)
     skilled = TrafficClass("skilled", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1, 2), True, 0)
     assert rules.best_route(exchange, new_dialogue(skilled), 0).number == 1
     exchange.by_number[1].free = 0
@@ -453,7 +455,7 @@
     assert rules.word(exchange) == bytes((rules.FORM, 0, 26, 26, 0))
     exchange.permissions = Permissions(4, True, False, True, 0, True)
     assert any(isinstance(action, SendPeerMessage) for action in rules.interval_over(exchange, SECOND))
-    exchange.place = Place(256, 300, False, 0)  # a number that no word can name
+    exchange.topology = ServerTopology(256, 300, False, 0)  # a number that no word can name
     assert len(rules.interval_over(exchange, 99 * SECOND)) == 1
 
 
@@ -468,8 +470,8 @@
         OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, OfficeState.READY, SECOND),)),
     )
     assert exchange.by_number[1] is office and office.price == 0.0 and office.usual == 4.0
-    assert rules.cold(exchange.cold, office, 2 * SECOND)
-    assert not rules.cold_room(exchange.cold, office, SECOND)
+    assert rules.cold(exchange.cold_start, office, 2 * SECOND)
+    assert not rules.cold_room(exchange.cold_start, office, SECOND)
 
 
 def test_many_peers_and_no_trunk_groups_push_back_at_once(exchange, new_dialogue):
@@ -506,8 +508,13 @@
 
 
 def test_opening_starts_the_interval_and_asks_where_it_must(exchange):
-    event = Opened(
-        5, (CHEAP,), Place(0, 1, True, SECOND), exchange.permissions, exchange.release, exchange.cold
+    event = ServerStarted(
+        5,
+        (CHEAP,),
+        ServerTopology(0, 1, True, SECOND),
+        exchange.permissions,
+        exchange.release,
+        exchange.cold_start,
     )
     assert rules.decide(Exchange(), event, 0) == [
         StartTimer(rules.INTERVAL, rules.TICK),
@@ -516,7 +523,7 @@
 
 
 def test_failed_discovery_is_asked_again_where_it_must_be(exchange):
-    exchange.place = Place(0, 1, True, SECOND)
+    exchange.topology = ServerTopology(0, 1, True, SECOND)
     rules.listed(exchange, OfficeListReceived(ListKind.FAILED, ()))
     assert SubscribeDiscovery() in rules.interval_over(exchange, SECOND)
 
@@ -524,8 +531,8 @@
 def test_same_seed_same_actions(exchange):
     def run():
         x = Exchange()
-        facts = (exchange.place, exchange.permissions, exchange.release, exchange.cold)
-        rules.decide(x, Opened(11, (CHEAP,), *facts), 0)
+        facts = (exchange.topology, exchange.permissions, exchange.release, exchange.cold_start)
+        rules.decide(x, ServerStarted(11, (CHEAP,), *facts), 0)
         entries = tuple(OfficeEntry(f"o{n}", n, OfficeState.READY, None) for n in range(4))
         rules.decide(x, OfficeListReceived(ListKind.REMEMBERED, entries), 0)
         arrivals = (Arrived(n, "cheap", 1 + n % 3, None, SECOND, 1, None, False, False) for n in range(50))
@@ -537,7 +544,9 @@
 def test_a_shortest_agreed_time_of_nothing_leaves_a_bound(exchange):
     """A quarter of it is the bound of a delay, by which is divided."""
     use = TrafficClass("at-once", 1.0, 0.0, 0, SECOND, 1, SECOND, (), True, 0)
-    opened = Opened(1, (use,), exchange.place, exchange.permissions, exchange.release, exchange.cold)
+    opened = ServerStarted(
+        1, (use,), exchange.topology, exchange.permissions, exchange.release, exchange.cold_start
+    )
     x = Exchange()
     rules.decide(x, opened, 0)
     assert x.bound_delay == 1 and rules.load_of(x.bound_delay, None, 5, None, 0) == 5.0
@@ -546,7 +555,7 @@
 @pytest.mark.parametrize("told", [[], [3, 3, 3]])
 def test_a_destination_under_nought_is_in_nobodys_words(exchange, new_dialogue, told):
     """Counted from the end it would be another's, or none: an IndexError in the middle of a dial."""
-    exchange.place = Place(None, 2, False, 0)
+    exchange.topology = ServerTopology(None, 2, False, 0)
     use = TrafficClass("any", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1,), True, 0)
     exchange.by_number[1].told, exchange.by_number[1].told_at = list(told), 0
     dialogue = new_dialogue(use, destination=-1)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -30,7 +30,7 @@
 def test_a_sheet_is_read_with_times_in_whole_microseconds() -> None:
     made = sheet.opened(checked.read(SHEET, sheet.Sheet, "x"))
     assert made.traffic_classes[0].target_latency == 1_500_000 and made.release.release_wait == 200_000
-    assert made.place.number == 3 and not made.place.advised
+    assert made.topology.own_number == 3 and not made.topology.has_centre
 
 
 @pytest.mark.parametrize(("text", "us"), [("1.5s", 1_500_000), ("250ms", 250_000), ("7us", 7), ("0s", 0)])
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -11,7 +11,7 @@
 
 from wellhitch.deciding import runner as runner_module
 from wellhitch.interface import events as ev
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology
 from wellhitch.server.dials import LEGAL, MOST_RECENT, DialOut, Recent, Step, Taken
 from wellhitch.server.switch import ANSWER_MARGIN_US, Switch
 from wellhitch.trunk import frames
@@ -88,13 +88,13 @@
 
     def __init__(self, size: int = 10, max_open: int = 100) -> None:
         self.out = Paper()
-        opened = ev.Opened(
+        opened = ev.ServerStarted(
             3,
             (CHEAP, DEAR),
-            Place(0, 2, False, 0),
+            ServerTopology(0, 2, False, 0),
             Permissions(4, False, False, False, 0, True),
             ReleaseRule(WAIT, 250_000),
-            ColdRule(0.3, 10 * SECOND, 2.5, 2 * SECOND),
+            ColdStartRule(0.3, 10 * SECOND, 2.5, 2 * SECOND),
         )
         self.switch = Switch(opened, max_open, self.out)
         self.switch.start(0)
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -79,7 +79,7 @@
     return BLAMES.get(base, events.ReleaseCause.NONE), named * 1000
 
 
-def read_opened(seed: int, told: dict[str, Any]) -> events.Opened:
+def read_opened(seed: int, told: dict[str, Any]) -> events.ServerStarted:
     """First message of an instance, split into the small records of `interface.facts`."""
     family, limits, rules = (told.get(name) or {} for name in ("family_info", "limits", "rules"))
     widths, holds = family.get("circuits_by_class") or [], family.get("class_hold_ns") or []
@@ -102,28 +102,28 @@
             )
         )
     meshed = family.get("topology", "meshed") == "meshed"
-    return events.Opened(
+    return events.ServerStarted(
         seed=int(seed or 0),
         traffic_classes=tuple(use_cases),
-        place=facts.Place(
-            number=int(family.get("self_no", -1)) if meshed else None,
-            peers=max(0, int(told.get("balancers", 1)) - 1),
-            must_ask=told.get("discovery") == "ask",
-            ask_within=micros(rules.get("ask_within_ns")),
-            advised=bool(family.get("centre_advises")),
+        topology=facts.ServerTopology(
+            own_number=int(family.get("self_no", -1)) if meshed else None,
+            peer_count=max(0, int(told.get("balancers", 1)) - 1),
+            must_subscribe=told.get("discovery") == "ask",
+            subscribe_timeout=micros(rules.get("ask_within_ns")),
+            has_centre=bool(family.get("centre_advises")),
         ),
         permissions=facts.Permissions(
-            most_dials=int(limits.get("most_tries", 1)),
+            max_dials=int(limits.get("most_tries", 1)),
             may_cancel=bool(limits.get("may_cancel")),
             may_probe=bool(limits.get("probes")),
-            may_tell_peers=bool(limits.get("peer_messages")),
-            longest_retry_after=micros(limits.get("max_retry_after_ns")) if limits.get("retry_after") else 0,
-            marks_redials=bool((told.get("callers") or {}).get("marks_retry")),
+            may_message_peers=bool(limits.get("peer_messages")),
+            max_retry_after=micros(limits.get("max_retry_after_ns")) if limits.get("retry_after") else 0,
+            callers_mark_redials=bool((told.get("callers") or {}).get("marks_retry")),
         ),
         release=facts.ReleaseRule(
             release_wait=micros(family.get("clear_wait_ns")), drain_grace=micros(rules.get("drain_grace_ns"))
         ),
-        cold=facts.ColdRule(
+        cold_start=facts.ColdStartRule(
             start_share=float(rules.get("cold_from", 1.0)),
             warm_after=micros(rules.get("cold_ns")),
             multiple=float(rules.get("fall_multiple", 1.0)),
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -20,7 +20,7 @@
 
 # Names of the event counters in the metrics; operators' tools match them.
 COUNTER_NAMES: dict[type[ev.Event], str] = {
-    ev.Opened: "Opened",
+    ev.ServerStarted: "Opened",
     ev.OfficeListReceived: "Listed",
     ev.Arrived: "Arrived",
     ev.Stood: "Stood",
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 
 
 class DialResult(Enum):
@@ -70,15 +70,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class ServerStarted:
     """The call server has started and knows nothing else yet."""
 
     seed: int
     traffic_classes: tuple[TrafficClass, ...]
-    place: Place
+    topology: ServerTopology
     permissions: Permissions
     release: ReleaseRule
-    cold: ColdRule
+    cold_start: ColdStartRule
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,7 +162,7 @@
 
 
 Event = (
-    Opened
+    ServerStarted
     | OfficeListReceived
     | Arrived
     | Stood
--- a/wellhitch/interface/facts.py
+++ b/wellhitch/interface/facts.py
@@ -20,27 +20,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ServerTopology:
     """Where this call server stands; `number` is None where the offices are pools, `advised` tells of a
     centre that names a tandem with each dialogue."""
 
-    number: int | None
-    peers: int
-    must_ask: bool
-    ask_within: int
-    advised: bool = False
+    own_number: int | None
+    peer_count: int
+    must_subscribe: bool
+    subscribe_timeout: int
+    has_centre: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Permissions:
     """What this deployment lets a call server do."""
 
-    most_dials: int
+    max_dials: int
     may_cancel: bool
     may_probe: bool
-    may_tell_peers: bool
-    longest_retry_after: int
-    marks_redials: bool
+    may_message_peers: bool
+    max_retry_after: int
+    callers_mark_redials: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdRule:
+class ColdStartRule:
     """How a fresh processor starts and what makes it fall over."""
 
     start_share: float
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from wellhitch.interface.events import OfficeState
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 
 
 @dataclass(slots=True, eq=False)
@@ -88,10 +88,10 @@
 
     chance: int = 0
     traffic_classes: dict[str, TrafficClass] = field(default_factory=dict)
-    place: Place = Place(None, 0, False, 0)
+    topology: ServerTopology = ServerTopology(None, 0, False, 0)
     permissions: Permissions = Permissions(0, False, False, False, 0, False)
     release: ReleaseRule = ReleaseRule(0, 0)
-    cold: ColdRule = ColdRule(0.0, 0, 0.0, 0)
+    cold_start: ColdStartRule = ColdStartRule(0.0, 0, 0.0, 0)
     offices: dict[str, Office] = field(default_factory=dict)
     by_number: dict[int, Office] = field(default_factory=dict)
     called: dict[str, CalledNumber] = field(default_factory=dict)
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -18,7 +18,7 @@
 from wellhitch.emulator.disk import EmulatedDisk
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.emulator.party import PartyLoop
-from wellhitch.interface.events import Opened
+from wellhitch.interface.events import ServerStarted
 from wellhitch.lab.loopback import own_address
 from wellhitch.ledger.desk import Desk, Door
 from wellhitch.ledger.entries import NumberKeys
@@ -121,7 +121,7 @@
     daemons: dict[int, Daemon] = field(default_factory=dict)
     boots: dict[int, int] = field(default_factory=dict)
     parties: dict[int, PartyLoop] = field(default_factory=dict)
-    make_switch: Callable[[Opened, int, Outlet], Switch] = Switch
+    make_switch: Callable[[ServerStarted, int, Outlet], Switch] = Switch
     clocks: dict[int, float] = field(default_factory=dict)  # seconds that a call server's clock is ahead
     disks: dict[int, EmulatedDisk] = field(default_factory=dict)
     doors: dict[int, Door] = field(default_factory=dict)  # to the accounting side, by call server
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -19,7 +19,7 @@
 from hdrh.histogram import HdrHistogram
 
 from wellhitch.interface import events as ev
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, TrafficClass
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.interface.state import Exchange
 from wellhitch.ledger.desk import Desk
 from wellhitch.ledger.entries import NumberKeys
@@ -36,15 +36,15 @@
 GROUP = 1 << 20  # circuits: none is ever short, so that all is set up
 
 
-def facts(number: int, offices: int) -> ev.Opened:
+def facts(number: int, offices: int) -> ev.ServerStarted:
     """Start facts of a measured call server."""
-    return ev.Opened(
+    return ev.ServerStarted(
         seed=1,
         traffic_classes=(USE,),
-        place=Place(number, offices - 1, False, 0),
+        topology=ServerTopology(number, offices - 1, False, 0),
         permissions=Permissions(5, True, False, False, 0, True),
         release=ReleaseRule(200_000, 250_000),
-        cold=ColdRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
+        cold_start=ColdStartRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
     )
 
 
@@ -154,7 +154,7 @@
         while not register:
             await asyncio.sleep(0.01)
 
-        def make(opened: ev.Opened, max_open: int, outlet: Outlet) -> Switch:
+        def make(opened: ev.ServerStarted, max_open: int, outlet: Outlet) -> Switch:
             return (Relay if relay else Switch)(opened, max_open, outlet)
 
         doors = Doors("127.0.0.1:0", "", "", register[0], "")
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -7,7 +7,7 @@
 
 from wellhitch.adapter.codec import read_opened
 from wellhitch.board import codec as board
-from wellhitch.interface.events import Opened
+from wellhitch.interface.events import ServerStarted
 from wellhitch.net.seam import only_numeric, split
 from wellhitch.settings.checked import Faults, read_open, shown
 
@@ -109,7 +109,7 @@
     `connect_within` in us."""
 
     place: Place
-    opened: Opened
+    opened: ServerStarted
     number: int
     known: tuple[board.Notice, ...]
     sockets: int
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -49,10 +49,10 @@
 class Core:
     """One exchange's call server on the platform."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, unix_at_zero: int, outlet: Outlet) -> None:
+    def __init__(self, opened: ev.ServerStarted, max_open: int, unix_at_zero: int, outlet: Outlet) -> None:
         """`unix_at_zero`: Unix time in us at nought of the loop's clock, by which the board's starts are read."""
         self.opened, self.max_open, self.unix_at_zero, self.outlet = opened, max_open, unix_at_zero, outlet
-        self.number = opened.place.number if opened.place.number is not None else -1
+        self.number = opened.topology.own_number if opened.topology.own_number is not None else -1
         self.counts: Counter[str] = Counter()
         self.runner = Runner(self, outlet.timer, outlet.log, self.counts)
         self.exchange = self.runner.exchange
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -19,7 +19,7 @@
     StartTimer,
     SubscribeDiscovery,
 )
-from wellhitch.interface.facts import ColdRule, TrafficClass
+from wellhitch.interface.facts import ColdStartRule, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
 SECOND = 1_000_000
@@ -30,7 +30,7 @@
 def decide(x: Exchange, event: ev.Event, now: int) -> list[Action]:
     """Take what happened, return what to do."""
     match event:
-        case ev.Opened():
+        case ev.ServerStarted():
             return opened(x, event, now)
         case ev.OfficeListReceived():
             return listed(x, event)
@@ -59,24 +59,29 @@
 # ---- start and list ----
 
 
-def opened(x: Exchange, event: ev.Opened, now: int) -> list[Action]:
+def opened(x: Exchange, event: ev.ServerStarted, now: int) -> list[Action]:
     """Remember the facts and start the interval."""
     x.chance = event.seed
     x.traffic_classes = {use.name: use for use in event.traffic_classes}
-    x.place, x.permissions, x.release, x.cold = event.place, event.permissions, event.release, event.cold
+    x.topology, x.permissions, x.release, x.cold_start = (
+        event.topology,
+        event.permissions,
+        event.release,
+        event.cold_start,
+    )
     x.unit = min((use.value for use in event.traffic_classes if use.value > 0), default=1.0)
     # Two processors at their bound take half the shortest agreed time; the rest is left to chance.
     # One at least: it is divided by.
     x.bound_delay = max(1, min((use.target_latency for use in event.traffic_classes), default=SECOND) // 4)
     x.top = max((use.value for use in event.traffic_classes), default=1.0)
-    x.tell_at = now + int(draw(x) * tell_period(event.place.peers))  # not all at once
-    return [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if event.place.must_ask else [])]
+    x.tell_at = now + int(draw(x) * tell_period(event.topology.peer_count))  # not all at once
+    return [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if event.topology.must_subscribe else [])]
 
 
 def listed(x: Exchange, event: ev.OfficeListReceived) -> list[Action]:
     """Follow the list. An office missing from a whole list is gone; a new one at a number takes it over."""
     if event.kind is ev.ListKind.FAILED:
-        x.refollow = x.place.must_ask
+        x.refollow = x.topology.must_subscribe
         return []
     for entry in event.entries:
         take_entry(x, entry)
@@ -132,7 +137,7 @@
     called = x.called.get(event.called or "") or CalledNumber()
     if event.called and not event.transit:
         x.called[event.called] = called
-        if is_first_try(called, use, event.redialled, x.permissions.marks_redials, now):
+        if is_first_try(called, use, event.redialled, x.permissions.callers_mark_redials, now):
             called.first_try = now
     dialogue = Dialogue(
         id=event.dialogue,
@@ -207,13 +212,13 @@
     late = payoff < x.unit
     leg = leg_cost(x, dialogue, payoff)
     payoff -= felt(dialogue, x.own_price)
-    if x.place.number is None:
+    if x.topology.own_number is None:
         return best_pool(x, dialogue, payoff, leg, late)
     destination = x.by_number.get(dialogue.destination)
-    if destination is None or dialogue.destination == x.place.number:
+    if destination is None or dialogue.destination == x.topology.own_number:
         return None
     payoff -= felt(dialogue, destination.price)
-    if payoff - leg <= 0 or not cold_room(x.cold, destination, now):
+    if payoff - leg <= 0 or not cold_room(x.cold_start, destination, now):
         return None
     if destination not in dialogue.tried and room(x, destination, dialogue, dialogue.transit or late):
         return destination
@@ -221,9 +226,9 @@
         return None
     best, best_rank = None, (0.0, False, 0, False, 0)
     for office in x.by_number.values():
-        if office is destination or office.number == x.place.number or office in dialogue.tried:
+        if office is destination or office.number == x.topology.own_number or office in dialogue.tried:
             continue
-        if not room(x, office, dialogue, True) or not cold_room(x.cold, office, now):
+        if not room(x, office, dialogue, True) or not cold_room(x.cold_start, office, now):
             continue
         if office.no_way_on.get(dialogue.destination, 0) > now:
             continue
@@ -259,7 +264,7 @@
     if now < dialogue.not_before:  # rule 5: the release wait of its last dial is not over
         return [StartTimer(dialogue.not_before - now, dialogue.id + 1)]
     if (
-        len(dialogue.dials) >= x.permissions.most_dials
+        len(dialogue.dials) >= x.permissions.max_dials
         or now >= dialogue.give_up
         or not may_repeat(dialogue, now)
     ):
@@ -318,9 +323,7 @@
         return [Fail(dialogue.id)]
     # Come back soon enough that two more tries still fall within the agreed time, where callers heed it.
     return [
-        Reject(
-            dialogue.id, min(x.permissions.longest_retry_after, dialogue.traffic_class.target_latency // 4)
-        )
+        Reject(dialogue.id, min(x.permissions.max_retry_after, dialogue.traffic_class.target_latency // 4))
     ]
 
 
@@ -471,14 +474,14 @@
         expected = min(1.0, max(0.1, office.usual * 3 * INTERVAL / SECOND))
         office.price = stepped(office.price, load, x.unit, x.top, expected)
         office.fulls, office.utilisation, office.wait = 0, None, None
-        if not cold(x.cold, office, now) and not office.price and not x.own_price:
+        if not cold(x.cold_start, office, now) and not office.price and not x.own_price:
             # A mean over some 32 intervals, long against a burst and short against a day; what a priced
             # processor gets is not usual, and would starve it when it comes back cold.
             office.usual += (office.sent * SECOND / INTERVAL - office.usual) / 32
         office.sent = 0
     # A number not called for a minute is forgotten; by then its lines have changed hands.
     x.called = {key: called for key, called in x.called.items() if now - called.called_at < 60 * SECOND}
-    sizes = [o.size for o in x.by_number.values() if o.size is not None and o.number != x.place.number]
+    sizes = [o.size for o in x.by_number.values() if o.size is not None and o.number != x.topology.own_number]
     x.linked = sum(size > 0 for size in sizes) / max(1, len(sizes))
     out: list[Action] = [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if x.refollow else [])]
     x.refollow = False
@@ -486,9 +489,11 @@
     for dial in x.waiting:
         if answer_lost(x, dial, now):
             out.append(Cancel(dial.dialogue.id, len(dial.dialogue.dials) - 1))
-    tells = x.permissions.may_tell_peers and not x.place.advised and (x.place.number or 0) < 256
-    if tells and x.place.peers and now >= x.tell_at:
-        x.tell_at = now + tell_period(x.place.peers)
+    tells = (
+        x.permissions.may_message_peers and not x.topology.has_centre and (x.topology.own_number or 0) < 256
+    )
+    if tells and x.topology.peer_count and now >= x.tell_at:
+        x.tell_at = now + tell_period(x.topology.peer_count)
         out.append(SendPeerMessage(word(x)))
     return out
 
@@ -577,7 +582,7 @@
     for number, office in x.by_number.items():
         if 0 <= number < len(spare):
             spare[number] = max(0, min(255, office.free - kept_back(office, x.linked)))
-    return bytes((FORM, x.place.number or 0)) + spare
+    return bytes((FORM, x.topology.own_number or 0)) + spare
 
 
 def take_word(x: Exchange, event: ev.PeerMessageReceived, now: int) -> None:
@@ -589,7 +594,9 @@
 
 def told_room(x: Exchange, office: Office, destination: int, now: int) -> int | None:
     """Dialogues that the tandem's second group would take, or None where it was not told of late."""
-    if not 0 <= destination < len(office.told) or now - office.told_at > 3 * tell_period(x.place.peers):
+    if not 0 <= destination < len(office.told) or now - office.told_at > 3 * tell_period(
+        x.topology.peer_count
+    ):
         return None
     return office.told[destination]
 
@@ -597,12 +604,12 @@
 # ---- cold offices ----
 
 
-def cold(rule: ColdRule, office: Office, now: int) -> bool:
+def cold(rule: ColdStartRule, office: Office, now: int) -> bool:
     """Whether the office's processor started so short a time ago that it may still be cold."""
     return office.started_at is not None and now - office.started_at < rule.warm_after
 
 
-def cold_room(rule: ColdRule, office: Office, now: int) -> bool:
+def cold_room(rule: ColdStartRule, office: Office, now: int) -> bool:
     """Rule 4: a cold office gets no more from here than its share of what this server usually sends it. The
     first allowance is left to chance: however many servers hear at once that it started, and have callers
     waiting, their first dials come at the rate of all, not together."""
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -61,12 +61,12 @@
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
-        opened: ev.Opened,
+        opened: ev.ServerStarted,
         doors: Doors,
         max_open: int,
         boot: int,
         log: Log,
-        make_switch: Callable[[ev.Opened, int, Outlet], Switch] = Switch,
+        make_switch: Callable[[ev.ServerStarted, int, Outlet], Switch] = Switch,
         hooks: Mapping[str, str] | None = None,
         clock: WallClock = NO_CLOCK,
         reread: Callable[[], Mapping[str, str]] | None = None,
@@ -96,7 +96,7 @@
             use_cases = frozenset(use.name for use in opened.traffic_classes)
             made = Hooks(load(hooks, self.parser), use_cases, log, self.switch.counts)
             self.switch.hooked = Hooked(made, self.switch.exchange, self.switch.number, clock)
-        self.tells = opened.permissions.may_tell_peers and not opened.place.advised
+        self.tells = opened.permissions.may_message_peers and not opened.topology.has_centre
         self.stopped = False
         self.desk = ledger(loop, self.ledger_send, log) if ledger else None
         self.switch.witness = self.desk
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -97,9 +97,9 @@
 class Switch:
     """One exchange's call server."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, outlet: Outlet) -> None:
+    def __init__(self, opened: ev.ServerStarted, max_open: int, outlet: Outlet) -> None:
         self.opened, self.max_open, self.outlet = opened, max_open, outlet
-        self.number = opened.place.number if opened.place.number is not None else -1
+        self.number = opened.topology.own_number if opened.topology.own_number is not None else -1
         self.counts: Counter[str] = Counter()
         self.runner = Runner(self, outlet.timer, outlet.log, self.counts)
         self.exchange = self.runner.exchange
--- a/wellhitch/settings/sheet.py
+++ b/wellhitch/settings/sheet.py
@@ -158,10 +158,10 @@
     return lines
 
 
-def opened(sheet: Sheet) -> events.Opened:
+def opened(sheet: Sheet) -> events.ServerStarted:
     """The start facts that the decisions are told."""
     limits, rules = sheet.limits, sheet.rules
-    return events.Opened(
+    return events.ServerStarted(
         seed=sheet.seed,
         traffic_classes=tuple(
             facts.TrafficClass(
@@ -178,7 +178,7 @@
             )
             for use in sheet.use_cases
         ),
-        place=facts.Place(sheet.number, sheet.peers, False, 0, bool(sheet.doors.centre)),
+        topology=facts.ServerTopology(sheet.number, sheet.peers, False, 0, bool(sheet.doors.centre)),
         permissions=facts.Permissions(
             limits.most_dials,
             limits.may_cancel,
@@ -188,7 +188,7 @@
             limits.marks_redials,
         ),
         release=facts.ReleaseRule(span(rules.release_wait), span(rules.drain_grace)),
-        cold=facts.ColdRule(
+        cold_start=facts.ColdStartRule(
             rules.cold_share, span(rules.cold_for), rules.cold_multiple, span(rules.cold_window)
         ),
     )
