--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -753,7 +753,15 @@
 
 @pytest.mark.parametrize(
     "kind",
-    [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.TimerFired, ev.Reported, ev.OfficeListReceived],
+    [
+        ev.DialogueArrived,
+        ev.DialogueEstablished,
+        ev.DialEnded,
+        ev.CallerLeft,
+        ev.TimerFired,
+        ev.Reported,
+        ev.OfficeListReceived,
+    ],
 )
 def test_a_decision_that_raises_costs_one_dialogue_and_nobody_an_answer(
     kind: type, monkeypatch: pytest.MonkeyPatch
@@ -769,7 +777,7 @@
 
     monkeypatch.setattr(runner_module, "decide", faulty)
     caller = world.caller()
-    if kind is ev.WentAway:
+    if kind is ev.CallerLeft:
         world.offices[1].answers = False
         caller.say(invite(A))
         world.run(0.05)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,8 +14,10 @@
     SubscribeDiscovery,
 )
 from wellhitch.interface.events import (
-    Arrived,
+    CallerLeft,
     DialEnded,
+    DialogueArrived,
+    DialogueEstablished,
     DialResult,
     ListKind,
     OfficeEntry,
@@ -26,9 +28,7 @@
     Report,
     Reported,
     ServerStarted,
-    Stood,
     TimerFired,
-    WentAway,
 )
 from wellhitch.interface.facts import Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.interface.state import Exchange
@@ -60,8 +60,8 @@
     gone = new_dialogue()
     exchange.dialogues.clear()
     assert rules.decide(exchange, ended(gone, "office-1", DialResult.RESET), SECOND) == []
-    assert rules.decide(exchange, Stood(gone.id, 0, 5), SECOND) == []
-    assert rules.decide(exchange, WentAway(gone.id), SECOND) == []
+    assert rules.decide(exchange, DialogueEstablished(gone.id, 0, 5), SECOND) == []
+    assert rules.decide(exchange, CallerLeft(gone.id), SECOND) == []
     assert rules.decide(exchange, TimerFired(gone.id + 1), SECOND) == []
     assert rules.decide(exchange, Reported("nowhere", True, True, NOTHING), SECOND) == []
 
@@ -206,7 +206,7 @@
     silent = [dial_out(new_dialogue()) for _ in range(3)]
     assert rules.own_delay_seen(exchange.recent, 400_000, SECOND) == SECOND
     later = dial_out(new_dialogue(destination=2), 2, sent=SECOND)
-    rules.stood(exchange, Stood(later.dialogue.id, 0, 60_000))
+    rules.stood(exchange, DialogueEstablished(later.dialogue.id, 0, 60_000))
     assert exchange.recent == [later] and exchange.by_number[1].recent == silent
 
 
@@ -235,8 +235,8 @@
 def test_dial_of_a_caller_who_left_waits_no_longer(exchange, new_dialogue, dial_out):
     early, late = new_dialogue(), new_dialogue()
     dial_out(early), dial_out(late)
-    rules.went_away(exchange, WentAway(early.id), exchange.bound_delay)
-    rules.went_away(exchange, WentAway(late.id), SECOND)
+    rules.went_away(exchange, CallerLeft(early.id), exchange.bound_delay)
+    rules.went_away(exchange, CallerLeft(late.id), SECOND)
     assert [dial.took for dial in exchange.by_number[1].recent] == [SECOND] and not exchange.dialogues
 
 
@@ -293,7 +293,7 @@
     for number in (1, 2):
         answered = new_dialogue()
         dial_out(answered, number)
-        rules.stood(exchange, Stood(answered.id, 0, 40_000))
+        rules.stood(exchange, DialogueEstablished(answered.id, 0, 40_000))
     pairs = [(new_dialogue(), new_dialogue()) for _ in range(2)]
     for times, (direct, round_about) in enumerate(pairs):
         dial_out(direct), dial_out(round_about, number=2)
@@ -407,7 +407,7 @@
     again = new_dialogue()
     again.called = dialogue.called
     assert isinstance(rules.place_dialogue(exchange, again, dialogue.called.open_at)[0], Send)
-    rules.stood(exchange, Stood(again.id, 0, 10))
+    rules.stood(exchange, DialogueEstablished(again.id, 0, 10))
     assert dialogue.called.pause == 0
 
 
@@ -535,7 +535,9 @@
         rules.decide(x, ServerStarted(11, (CHEAP,), *facts), 0)
         entries = tuple(OfficeEntry(f"o{n}", n, OfficeState.READY, None) for n in range(4))
         rules.decide(x, OfficeListReceived(ListKind.REMEMBERED, entries), 0)
-        arrivals = (Arrived(n, "cheap", 1 + n % 3, None, SECOND, 1, None, False, False) for n in range(50))
+        arrivals = (
+            DialogueArrived(n, "cheap", 1 + n % 3, None, SECOND, 1, None, False, False) for n in range(50)
+        )
         return [rules.decide(x, arrival, n) for n, arrival in enumerate(arrivals)]
 
     assert run() == run()
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -77,7 +77,7 @@
 
             def feed(self, event: ev.Event, now: int) -> None:
                 super().feed(event, now)
-                if isinstance(event, ev.Arrived):
+                if isinstance(event, ev.DialogueArrived):
                     struck.reached(self, "decision")
 
             def _send(self, *args: Any) -> None:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -330,7 +330,15 @@
 
 @pytest.mark.parametrize(
     "kind",
-    [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.TimerFired, ev.Reported, ev.OfficeListReceived],
+    [
+        ev.DialogueArrived,
+        ev.DialogueEstablished,
+        ev.DialEnded,
+        ev.CallerLeft,
+        ev.TimerFired,
+        ev.Reported,
+        ev.OfficeListReceived,
+    ],
 )
 def test_a_decision_that_raises_costs_one_dialogue_its_chance_and_nobody_an_answer(
     bench: Bench, kind: type, monkeypatch: pytest.MonkeyPatch
@@ -345,24 +353,24 @@
         return real(x, event, now)
 
     monkeypatch.setattr(runner_module, "decide", faulty)
-    setup = bench.dial() if kind is not ev.Arrived else None
-    if kind is ev.Arrived:
+    setup = bench.dial() if kind is not ev.DialogueArrived else None
+    if kind is ev.DialogueArrived:
         bench.call()
-    elif kind is ev.Stood:
+    elif kind is ev.DialogueEstablished:
         bench.switch.answered("o1", frames.Answer(setup.ref), 0)
         bench.pass_own()
     elif kind is ev.DialEnded:
         bench.switch.pushed_back("o1", frames.PushBack(setup.ref, "fault"), 0)
-    elif kind is ev.WentAway:
+    elif kind is ev.CallerLeft:
         bench.switch.leave("link", 1, 0)
     elif kind is ev.OfficeListReceived:
         bench.told("ready", "ready", "ready", revision=2)
     bench.run(4 * SECOND)
     assert bench.switch.counts["decision_faults"] == 1 and "decision_fault" in bench.out.said
-    assert len(bench.finals) == (0 if kind is ev.WentAway else 1)
+    assert len(bench.finals) == (0 if kind is ev.CallerLeft else 1)
     bench.call(id=2)
     bench.pass_own()
-    assert len(bench.of(frames.Setup)) == (1 if kind is ev.Arrived else 2)  # the next one goes
+    assert len(bench.of(frames.Setup)) == (1 if kind is ev.DialogueArrived else 2)  # the next one goes
     assert any(one.due > bench.out.now for one in bench.out.timers if not one.cancelled)
 
 
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -138,18 +138,18 @@
     return events.OfficeEntry(office, int(number), STANDINGS[standing], micros(started) if started else None)
 
 
-def read_arrived(m: list[Any]) -> events.Arrived:
+def read_arrived(m: list[Any]) -> events.DialogueArrived:
     """A dialogue handed over."""
     marks, advised = int(m[11] or 0), m[6]
-    return events.Arrived(
+    return events.DialogueArrived(
         dialogue=m[2],
         traffic_class=m[7],
         destination=int(m[10] if m[10] is not None else -1),
-        called=m[5],
-        left=micros(m[8]),
+        called_number=m[5],
+        time_left=micros(m[8]),
         width=int(m[4] or 1),
-        advised=None if advised is None or advised < 0 or marks & MARK_TRANSIT else int(advised),
-        redialled=bool(marks & MARK_REDIALLED),
+        advised_tandem=None if advised is None or advised < 0 or marks & MARK_TRANSIT else int(advised),
+        is_redial=bool(marks & MARK_REDIALLED),
         transit=bool(marks & MARK_TRANSIT),
     )
 
@@ -176,10 +176,10 @@
 
 READERS: dict[str, Callable[[list[Any]], events.Event]] = {
     "Ingress": read_arrived,
-    "Started": lambda m: events.Stood(m[2], m[3], micros(m[5])),
+    "Started": lambda m: events.DialogueEstablished(m[2], m[3], micros(m[5])),
     "HealthResult": read_reported,
     "Verdict": read_ended,
-    "Left": lambda m: events.WentAway(m[2]),
+    "Left": lambda m: events.CallerLeft(m[2]),
     "TickDue": lambda m: events.TimerFired(m[2]),
     "Heard": lambda m: events.PeerMessageReceived(m[2], read_bytes(m[3])),
 }
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -22,11 +22,11 @@
 COUNTER_NAMES: dict[type[ev.Event], str] = {
     ev.ServerStarted: "Opened",
     ev.OfficeListReceived: "Listed",
-    ev.Arrived: "Arrived",
-    ev.Stood: "Stood",
+    ev.DialogueArrived: "Arrived",
+    ev.DialogueEstablished: "Stood",
     ev.DialEnded: "DialEnded",
     ev.Reported: "Reported",
-    ev.WentAway: "WentAway",
+    ev.CallerLeft: "WentAway",
     ev.TimerFired: "Rang",
     ev.PeerMessageReceived: "PeerSaid",
 }
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -90,29 +90,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class DialogueArrived:
     """A dialogue was handed over; it is owed one final answer within `left`. `favour`: times its use case's payoff,
     as the operators' hooks say."""
 
     dialogue: int
     traffic_class: str
     destination: int
-    called: str | None
-    left: int
+    called_number: str | None
+    time_left: int
     width: int
-    advised: int | None
-    redialled: bool
+    advised_tandem: int | None
+    is_redial: bool
     transit: bool
-    favour: float = 1.0
+    value_factor: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
+class DialogueEstablished:
     """A dial was answered: the dialogue stands."""
 
     dialogue: int
     dial: int
-    took: int
+    setup_delay: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WentAway:
+class CallerLeft:
     """The caller left; the dialogue is over."""
 
     dialogue: int
@@ -164,11 +164,11 @@
 Event = (
     ServerStarted
     | OfficeListReceived
-    | Arrived
-    | Stood
+    | DialogueArrived
+    | DialogueEstablished
     | DialEnded
     | Reported
-    | WentAway
+    | CallerLeft
     | TimerFired
     | PeerMessageReceived
 )
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -52,10 +52,10 @@
     """The same frames with no decision: each dialogue goes direct."""
 
     def feed(self, event: ev.Event, now: int) -> None:
-        if isinstance(event, ev.Arrived):
+        if isinstance(event, ev.DialogueArrived):
             for end in self.offices.values():
                 if end.number == event.destination:
-                    self._send(event.dialogue, end.id, event.left, now)
+                    self._send(event.dialogue, end.id, event.time_left, now)
 
 
 # ---- the far ends, each a process ----
@@ -419,8 +419,8 @@
             decide(x, ev.TimerFired(0), next_tick)
             next_tick += tick
         n = 1 + chance.randrange(offices - 1)
-        decide(x, ev.Arrived(id, USE.name, n, f"{id:x}", 9 * SECOND, 1, None, False, False), now)
-        decide(x, ev.Stood(id, 0, 2000), now)
+        decide(x, ev.DialogueArrived(id, USE.name, n, f"{id:x}", 9 * SECOND, 1, None, False, False), now)
+        decide(x, ev.DialogueEstablished(id, 0, 2000), now)
         decide(
             x,
             ev.DialEnded(id, 0, f"o{n}", ev.DialResult.ENDED_WELL, ev.ReleaseCause.NONE, 0, True, report),
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -204,15 +204,15 @@
         # Guards against a time without end: past the outer limit a dialogue is worth nothing to anybody.
         left = min(set_up.left, self._use_cases[set_up.use_case].deadline or set_up.left)
         self.feed(
-            ev.Arrived(
+            ev.DialogueArrived(
                 dialogue=taken.id,
                 traffic_class=set_up.use_case,
                 destination=set_up.destination,
-                called=set_up.key,
-                left=max(0, left - ANSWER_MARGIN_US),
+                called_number=set_up.key,
+                time_left=max(0, left - ANSWER_MARGIN_US),
                 width=set_up.width,
-                advised=set_up.advised,
-                redialled=set_up.redialled,
+                advised_tandem=set_up.advised,
+                is_redial=set_up.redialled,
                 transit=set_up.transit,
             ),
             now,
@@ -253,7 +253,7 @@
         """A caller's connection is about to be closed from here: each set-up that is open on it gets its answer."""
         for taken in list(self.by_link.get(link, {}).values()):
             self._refuse(taken, 500, "connection_closed", "", now)
-            self.feed(ev.WentAway(taken.id), now)
+            self.feed(ev.CallerLeft(taken.id), now)
 
     def caller_closed(self, link: Hashable, now: int) -> None:
         """A caller's connection is gone: its open set-ups are given up; calls that stand belong to no connection."""
@@ -276,7 +276,7 @@
         self.outlet.log("set_up_given_up", call=taken.ref, attempts=taken.dials)
         self._forget(taken)
         dial = taken.out
-        self.feed(ev.WentAway(taken.id), now)
+        self.feed(ev.CallerLeft(taken.id), now)
         if dial is not None and dial.step is Step.OUT:
             self._end_dial(dial, now)
             self._let_go(dial.office)
@@ -456,7 +456,7 @@
             ms=(now - dial.sent) // 1000,
             sent=sent,
         )
-        self.feed(ev.Stood(taken.id, dial.number, now - dial.sent), now)
+        self.feed(ev.DialogueEstablished(taken.id, dial.number, now - dial.sent), now)
         report = _report(line)
         if report != NOTHING_TOLD:
             self.feed(ev.Reported(end.id, False, True, report), now)
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -34,9 +34,9 @@
             return opened(x, event, now)
         case ev.OfficeListReceived():
             return listed(x, event)
-        case ev.Arrived():
+        case ev.DialogueArrived():
             return arrived(x, event, now)
-        case ev.Stood():
+        case ev.DialogueEstablished():
             stood(x, event)
         case ev.DialEnded():
             return dial_ended(x, event, now)
@@ -45,7 +45,7 @@
                 take_report(x.offices[event.office], event.report)
         case ev.PeerMessageReceived():
             take_word(x, event, now)
-        case ev.WentAway():
+        case ev.CallerLeft():
             went_away(x, event, now)
         case ev.TimerFired(token) if token == TICK:
             return interval_over(x, now)
@@ -131,13 +131,13 @@
 # ---- a dialogue's way ----
 
 
-def arrived(x: Exchange, event: ev.Arrived, now: int) -> list[Action]:
+def arrived(x: Exchange, event: ev.DialogueArrived, now: int) -> list[Action]:
     """Take a dialogue over and decide on it at once."""
     use = x.traffic_classes[event.traffic_class]
-    called = x.called.get(event.called or "") or CalledNumber()
-    if event.called and not event.transit:
-        x.called[event.called] = called
-        if is_first_try(called, use, event.redialled, x.permissions.callers_mark_redials, now):
+    called = x.called.get(event.called_number or "") or CalledNumber()
+    if event.called_number and not event.transit:
+        x.called[event.called_number] = called
+        if is_first_try(called, use, event.is_redial, x.permissions.callers_mark_redials, now):
             called.first_try = now
     dialogue = Dialogue(
         id=event.dialogue,
@@ -146,11 +146,11 @@
         called=called,
         width=event.width,
         first_try=now if called.first_try is None or event.transit else called.first_try,
-        give_up=now + event.left,
-        advised=event.advised,
+        give_up=now + event.time_left,
+        advised=event.advised_tandem,
         transit=event.transit,
         chance=draw(x),
-        favour=event.favour,
+        favour=event.value_factor,
     )
     x.dialogues[event.dialogue] = dialogue
     called.called_at = now
@@ -327,7 +327,7 @@
     ]
 
 
-def went_away(x: Exchange, event: ev.WentAway, now: int) -> None:
+def went_away(x: Exchange, event: ev.CallerLeft, now: int) -> None:
     """The caller left: forget the dialogue; its dial must not wait for ever among the load signs."""
     dialogue = x.dialogues.pop(event.dialogue, None)
     if dialogue and dialogue.out:
@@ -344,19 +344,19 @@
                 dials.remove(dial)
 
 
-def stood(x: Exchange, event: ev.Stood) -> None:
+def stood(x: Exchange, event: ev.DialogueEstablished) -> None:
     """A dial was answered; its delay is a load sign of the processors crossed."""
     dialogue = x.dialogues.get(event.dialogue)
     if not dialogue or event.dial >= len(dialogue.dials):
         return
     dial = dialogue.dials[event.dial]
     dialogue.stands = True
-    dial.took, dial.answered = event.took, True
+    dial.took, dial.answered = event.setup_delay, True
     dial.office.faults = 0
     # The own processor takes set-ups in order: silence that a later answer has overtaken is not its, but a
     # lost answer or a hung office.
     x.recent = [other for other in x.recent if other.answered or other.sent >= dial.sent]
-    x.usual_delay += (event.took - x.usual_delay) // 16
+    x.usual_delay += (event.setup_delay - x.usual_delay) // 16
     dialogue.called.pause, dialogue.called.first_try = 0, None
     if not dial.direct:
         dial.office.way_on.add(dialogue.destination)
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -240,17 +240,17 @@
         left = min(left, self._outer_limits[taken.use_case])
         taken.came, taken.until = now, now + left
         self.feed(
-            ev.Arrived(
+            ev.DialogueArrived(
                 dialogue=taken.id,
                 traffic_class=taken.use_case,
                 destination=taken.destination,
-                called=taken.called,
-                left=max(0, left - ANSWER_MARGIN_US),
+                called_number=taken.called,
+                time_left=max(0, left - ANSWER_MARGIN_US),
                 width=taken.width,
-                advised=None if advised < 0 or taken.home else advised,
-                redialled=redialled,
+                advised_tandem=None if advised < 0 or taken.home else advised,
+                is_redial=redialled,
                 transit=taken.home is not None,
-                favour=favour,
+                value_factor=favour,
             ),
             now,
         )
@@ -281,7 +281,7 @@
             return
         self._told_answer(taken, "gone")
         self._forget(taken)
-        self.feed(ev.WentAway(taken.id), now)
+        self.feed(ev.CallerLeft(taken.id), now)
         if dial:
             self._end_dial(dial, frames.Cancel(dial.ref), now)
 
@@ -486,7 +486,7 @@
         dial.move(Step.STANDS)
         self._stop_timer(dial)
         self._answer(dial.taken, "stands", 0, now)
-        self.feed(ev.Stood(dial.taken.id, dial.number, now - dial.sent), now)
+        self.feed(ev.DialogueEstablished(dial.taken.id, dial.number, now - dial.sent), now)
 
     def _overdue(self, dial: DialOut, now: int) -> None:
         if dial.step in (Step.PASSING, Step.OUT, Step.ANSWERING):
