--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,7 +23,7 @@
     x.release = ReleaseRule(300_000, SECOND)
     x.cold_start = ColdStartRule(0.4, 10 * SECOND, 2.5, 3 * SECOND)
     for number in (0, 1, 2):
-        office = Office(f"office-{number}", number, OfficeState.READY, None, free=30, size=30)
+        office = Office(f"office-{number}", number, OfficeState.READY, None, free_circuits=30, group_size=30)
         x.offices[office.id] = x.by_number[number] = office
     return x
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -84,7 +84,7 @@
 
 def test_values_below_nought_were_not_told():
     report = codec.read_report({"spare": 3, "total": 5, "busy": -1, "lat_ms": 2.5})
-    assert (report.free, report.utilisation, report.wait) == (3, None, 2500)
+    assert (report.free_circuits, report.utilisation, report.queue_wait) == (3, None, 2500)
 
 
 @pytest.mark.parametrize(("digits", "read"), [("0102", b"\x01\x02"), ("010", b""), ("zz", b""), (None, b"")])
@@ -127,4 +127,9 @@
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -1, "x", [], True])
 def test_a_figure_that_is_none_was_not_told(value):
     report = codec.read_report({"spare": value, "total": value, "busy": value, "lat_ms": value})
-    assert report.free is None and report.size is None and report.utilisation is None and report.wait is None
+    assert (
+        report.free_circuits is None
+        and report.group_size is None
+        and report.utilisation is None
+        and report.queue_wait is None
+    )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -241,7 +241,7 @@
     more = b"X-Office: s-00000001\r\nX-Load: spare:0;total:50\r\nContent-Length: 0"
     caller.say(plain("NOTIFY", A).replace(b"Content-Length: 0", more))
     world.run(0.1)
-    assert not caller.heard and world.core.exchange.offices["s-00000001"].free == 50
+    assert not caller.heard and world.core.exchange.offices["s-00000001"].free_circuits == 50
 
 
 @pytest.mark.parametrize("leaves", ["cancel", "close"])
@@ -759,7 +759,7 @@
         ev.DialEnded,
         ev.CallerLeft,
         ev.TimerFired,
-        ev.Reported,
+        ev.OfficeReported,
         ev.OfficeListReceived,
     ],
 )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,18 +22,18 @@
     ListKind,
     OfficeEntry,
     OfficeListReceived,
+    OfficeReport,
+    OfficeReported,
     OfficeState,
     PeerMessageReceived,
     ReleaseCause,
-    Report,
-    Reported,
     ServerStarted,
     TimerFired,
 )
 from wellhitch.interface.facts import Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.interface.state import Exchange
 
-NOTHING = Report()
+NOTHING = OfficeReport()
 
 
 def ended(dialogue, office, ending, blame=ReleaseCause.NONE, over=False, dial=0):
@@ -63,7 +63,7 @@
     assert rules.decide(exchange, DialogueEstablished(gone.id, 0, 5), SECOND) == []
     assert rules.decide(exchange, CallerLeft(gone.id), SECOND) == []
     assert rules.decide(exchange, TimerFired(gone.id + 1), SECOND) == []
-    assert rules.decide(exchange, Reported("nowhere", True, True, NOTHING), SECOND) == []
+    assert rules.decide(exchange, OfficeReported("nowhere", True, True, NOTHING), SECOND) == []
 
 
 def test_a_use_case_that_may_have_run_is_not_dialled_again(exchange, new_dialogue, dial_out):
@@ -324,25 +324,25 @@
 def test_dial_not_sent_gives_its_circuits_back_and_goes_another_way(exchange, new_dialogue, dial_out):
     dialogue = new_dialogue()
     dial_out(dialogue)
-    exchange.by_number[1].free = 5
+    exchange.by_number[1].free_circuits = 5
     event = ended(dialogue, "office-1", DialResult.NOT_SENT, ReleaseCause.NO_CIRCUIT)
     assert rules.dial_ended(exchange, event, SECOND)[0].office == "office-2"
-    assert exchange.by_number[1].free == 6
+    assert exchange.by_number[1].free_circuits == 6
 
 
 def test_direct_first_then_tandem_then_pushed_back(exchange, new_dialogue):
     dialogue = new_dialogue()
     assert rules.best_route(exchange, dialogue, 0).number == 1
-    exchange.by_number[1].free = 0
+    exchange.by_number[1].free_circuits = 0
     assert rules.best_route(exchange, dialogue, 0).number == 2
-    exchange.by_number[2].free = 1
+    exchange.by_number[2].free_circuits = 1
     assert rules.best_route(exchange, dialogue, 0) is None
 
 
 def test_reservation_shrinks_where_tandems_are_the_plan(exchange):
     office = exchange.by_number[1]
     assert [rules.kept_back(office, linked) for linked in (1.0, 0.75, 0.5, 0.2)] == [4, 2, 1, 1]
-    exchange.by_number[2].size = 0
+    exchange.by_number[2].group_size = 0
     rules.interval_over(exchange, SECOND)
     assert exchange.linked == 0.5
 
@@ -360,8 +360,8 @@
 
 
 def test_last_circuit_of_a_large_group_is_kept_for_dear_dialogues(exchange, new_dialogue):
-    exchange.by_number[1].free = 1
-    exchange.by_number[2].free = 0
+    exchange.by_number[1].free_circuits = 1
+    exchange.by_number[2].free_circuits = 0
     assert rules.best_route(exchange, new_dialogue(CHEAP), 0) is None
     assert rules.best_route(exchange, new_dialogue(DEAR), 0).number == 1
 
@@ -369,14 +369,14 @@
 def test_transit_goes_only_to_its_destination_and_leaves_circuits(exchange, new_dialogue):
     dialogue = new_dialogue(transit=True)
     assert rules.best_route(exchange, dialogue, 0).number == 1
-    exchange.by_number[1].free = 2
+    exchange.by_number[1].free_circuits = 2
     assert rules.best_route(exchange, dialogue, 0) is None
 
 
 def test_tandem_that_turned_back_rests_and_one_that_led_on_is_preferred(exchange, new_dialogue, dial_out):
-    third = rules.Office("office-3", 3, OfficeState.READY, None, free=20, size=30)
+    third = rules.Office("office-3", 3, OfficeState.READY, None, free_circuits=20, group_size=30)
     exchange.offices["office-3"] = exchange.by_number[3] = third
-    exchange.by_number[1].free = 0
+    exchange.by_number[1].free_circuits = 0
     assert rules.best_route(exchange, new_dialogue(), 0).number == 2
     third.way_on.add(1)
     assert rules.best_route(exchange, new_dialogue(), 0).number == 3
@@ -393,7 +393,7 @@
     exchange.topology = ServerTopology(None, 2, False, 0)
     skilled = TrafficClass("skilled", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1, 2), True, 0)
     assert rules.best_route(exchange, new_dialogue(skilled), 0).number == 1
-    exchange.by_number[1].free = 0
+    exchange.by_number[1].free_circuits = 0
     assert rules.best_route(exchange, new_dialogue(skilled), 0).number == 2
 
 
@@ -416,7 +416,7 @@
     assert rules.payoff_now(exchange, dialogue, CHEAP.target_latency) == CHEAP.value
     exchange.own_price = 0.1
     assert rules.payoff_now(exchange, dialogue, CHEAP.target_latency) < CHEAP.value
-    exchange.by_number[1].free = exchange.by_number[2].free = 3
+    exchange.by_number[1].free_circuits = exchange.by_number[2].free_circuits = 3
     assert rules.best_route(exchange, dialogue, 0) is not None
     assert rules.best_route(exchange, dialogue, CHEAP.target_latency + 1) is None
 
@@ -434,9 +434,9 @@
 
 
 def test_word_of_a_peer_steers_tandems(exchange, new_dialogue):
-    third = rules.Office("office-3", 3, OfficeState.READY, None, free=20, size=30)
+    third = rules.Office("office-3", 3, OfficeState.READY, None, free_circuits=20, group_size=30)
     exchange.offices["office-3"] = exchange.by_number[3] = third
-    exchange.by_number[1].free = 0
+    exchange.by_number[1].free_circuits = 0
     rules.take_word(exchange, PeerMessageReceived(9, bytes((rules.FORM, 2, 0, 0))), SECOND)
     assert rules.best_route(exchange, new_dialogue(), SECOND) is third
     rules.take_word(exchange, PeerMessageReceived(9, bytes((rules.FORM, 2, 0, 5))), SECOND)
@@ -451,7 +451,7 @@
 
 
 def test_word_tells_room_beyond_what_is_kept(exchange):
-    exchange.by_number[2].free = 2
+    exchange.by_number[2].free_circuits = 2
     assert rules.word(exchange) == bytes((rules.FORM, 0, 26, 26, 0))
     exchange.permissions = Permissions(4, True, False, True, 0, True)
     assert any(isinstance(action, SendPeerMessage) for action in rules.interval_over(exchange, SECOND))
@@ -476,8 +476,10 @@
 
 def test_many_peers_and_no_trunk_groups_push_back_at_once(exchange, new_dialogue):
     for number in range(3, 300):
-        exchange.by_number[number] = rules.Office(f"o{number}", number, OfficeState.READY, None, size=0)
-    exchange.by_number[1].free = exchange.by_number[2].free = -1  # shrunk below what is in use
+        exchange.by_number[number] = rules.Office(f"o{number}", number, OfficeState.READY, None, group_size=0)
+    exchange.by_number[1].free_circuits = exchange.by_number[
+        2
+    ].free_circuits = -1  # shrunk below what is in use
     for destination in (1, 3, 299, 999, -1):
         dialogue = new_dialogue(destination=destination)
         assert isinstance(rules.place_dialogue(exchange, dialogue, 0)[0], Reject)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -336,7 +336,7 @@
         ev.DialEnded,
         ev.CallerLeft,
         ev.TimerFired,
-        ev.Reported,
+        ev.OfficeReported,
         ev.OfficeListReceived,
     ],
 )
@@ -498,7 +498,7 @@
     office = bench.switch.exchange.offices["o1"]
     office.price = 0.5
     bench.switch.load_told("o1", frames.LoadReport(frames.Load(figure, -1, figure, figure)), 0)
-    assert office.utilisation is None and office.wait is None
+    assert office.utilisation is None and office.queue_wait is None
 
 
 def test_an_id_or_ref_that_comes_again_is_skipped_whether_its_dialogue_is_open_or_over(bench: Bench) -> None:
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -48,10 +48,10 @@
     return value * NS_PER_US
 
 
-def read_report(values: Any) -> events.Report:
+def read_report(values: Any) -> events.OfficeReport:
     """Load report; a value below 0, or no figure, was not told, and keys not known are skipped."""
     if not isinstance(values, dict):
-        return events.Report()
+        return events.OfficeReport()
 
     def told(key: str) -> float | None:
         value = values.get(key)
@@ -61,13 +61,13 @@
         return None
 
     free, size, wait = told("spare"), told("total"), told("lat_ms")
-    return events.Report(
-        free=None if free is None else int(free),
-        size=None if size is None else int(size),
+    return events.OfficeReport(
+        free_circuits=None if free is None else int(free),
+        group_size=None if size is None else int(size),
         utilisation=told("busy"),
-        wait=None if wait is None else int(wait * 1000),
-        takes_per_s=told("allowed"),
-        hold_back=told("cut_by"),
+        queue_wait=None if wait is None else int(wait * 1000),
+        accept_rate_per_s=told("allowed"),
+        load_reduction=told("cut_by"),
     )
 
 
@@ -161,9 +161,9 @@
     return events.DialEnded(m[2], m[3], m[4], ending, blame, wait, bool(m[7]), read_report(m[9]))
 
 
-def read_reported(m: list[Any]) -> events.Reported:
+def read_reported(m: list[Any]) -> events.OfficeReported:
     """A trunk group's change, or a probe's answer."""
-    return events.Reported(m[2], bool(m[4]), m[3] == "Ok", read_report(m[5]))
+    return events.OfficeReported(m[2], bool(m[4]), m[3] == "Ok", read_report(m[5]))
 
 
 def read_bytes(digits: Any) -> bytes:
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -25,7 +25,7 @@
     ev.DialogueArrived: "Arrived",
     ev.DialogueEstablished: "Stood",
     ev.DialEnded: "DialEnded",
-    ev.Reported: "Reported",
+    ev.OfficeReported: "Reported",
     ev.CallerLeft: "WentAway",
     ev.TimerFired: "Rang",
     ev.PeerMessageReceived: "PeerSaid",
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -48,15 +48,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class OfficeReport:
     """Free circuits and size of the trunk group, then the processor's figures; None where not told."""
 
-    free: int | None = None
-    size: int | None = None
+    free_circuits: int | None = None
+    group_size: int | None = None
     utilisation: float | None = None
-    wait: int | None = None
-    takes_per_s: float | None = None
-    hold_back: float | None = None
+    queue_wait: int | None = None
+    accept_rate_per_s: float | None = None
+    load_reduction: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,17 +126,17 @@
     cause: ReleaseCause
     retry_after: int
     dialogue_over: bool
-    report: Report
+    report: OfficeReport
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
+class OfficeReported:
     """A trunk group changed, or a probe came back."""
 
     office: str
-    asked: bool
+    from_probe: bool
     answered: bool
-    report: Report
+    report: OfficeReport
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,7 +167,7 @@
     | DialogueArrived
     | DialogueEstablished
     | DialEnded
-    | Reported
+    | OfficeReported
     | CallerLeft
     | TimerFired
     | PeerMessageReceived
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -61,8 +61,8 @@
     number: int
     state: OfficeState
     started_at: int | None
-    free: int = 0
-    size: int | None = None
+    free_circuits: int = 0
+    group_size: int | None = None
     price: float = 0.0
     fulls: int = 0
     faults: int = (
@@ -70,7 +70,7 @@
     )
     recent: list[Dial] = field(default_factory=list)
     utilisation: float | None = None
-    wait: int | None = None
+    queue_wait: int | None = None
     sent: int = 0
     usual: float = 0.0
     first_budget: float = 0.0
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -406,9 +406,9 @@
     decide(x, facts(0, offices), now)
     entries = tuple(ev.OfficeEntry(f"o{n}", n, ev.OfficeState.READY, None) for n in range(offices))
     decide(x, ev.OfficeListReceived(ev.ListKind.WHOLE, entries), now)
-    report = ev.Report(GROUP, GROUP)
+    report = ev.OfficeReport(GROUP, GROUP)
     for n in range(1, offices):
-        decide(x, ev.Reported(f"o{n}", False, True, report), now)
+        decide(x, ev.OfficeReported(f"o{n}", False, True, report), now)
     chance = random.Random(9)
     gap, tick = int(SECOND / per_s), SECOND // 4
     next_tick = tick
@@ -426,5 +426,5 @@
             ev.DialEnded(id, 0, f"o{n}", ev.DialResult.ENDED_WELL, ev.ReleaseCause.NONE, 0, True, report),
             now + 1,
         )
-        decide(x, ev.Reported(f"o{n}", False, True, report), now + 1)
+        decide(x, ev.OfficeReported(f"o{n}", False, True, report), now + 1)
     return dialogues / (time.process_time() - began)
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -324,7 +324,7 @@
             # destination.
             self.counts["sends_kept_back"] += 1
             self._ended(
-                taken.id, number, office, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, ev.Report(), now
+                taken.id, number, office, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, ev.OfficeReport(), now
             )
             return
         dial = taken.out = DialOut(taken, number, end, now)
@@ -341,7 +341,7 @@
 
     def _give_up_dial(self, dial: DialOut, ending: ev.DialResult, now: int) -> None:
         self._end_dial(dial, now)
-        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.Report(), now)
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
 
     def _end_dial(self, dial: DialOut, now: int) -> None:
         """Give a dial up from this end, and tell its office where the set-up went out."""
@@ -372,10 +372,10 @@
             dial.office.remember_given_up(dial.taken.ref, now)
             self.outlet.to_office(dial.office, lines.down(dial.taken.ref, CAUSE_OVER), None)
         ending = ev.DialResult.RESET if reached else ev.DialResult.UNREACHABLE
-        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.Report(), now)
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
 
     def _dial_ended(
-        self, dial: DialOut, ending: ev.DialResult, blame: ev.ReleaseCause, report: ev.Report, now: int
+        self, dial: DialOut, ending: ev.DialResult, blame: ev.ReleaseCause, report: ev.OfficeReport, now: int
     ) -> None:
         self._ended(dial.taken.id, dial.number, dial.office.id, ending, blame, report, now)
         self._let_go(dial.office)
@@ -387,7 +387,7 @@
         office: str,
         ending: ev.DialResult,
         blame: ev.ReleaseCause,
-        report: ev.Report,
+        report: ev.OfficeReport,
         now: int,
         over: bool = False,
     ) -> None:
@@ -421,7 +421,7 @@
             case "gauge":
                 report = _report(line)
                 if report != NOTHING_TOLD:
-                    self.feed(ev.Reported(end.id, False, True, report), now)
+                    self.feed(ev.OfficeReported(end.id, False, True, report), now)
             case "wait" | "ack" | "hb" | "hb_ok":
                 pass
             case _:
@@ -459,7 +459,7 @@
         self.feed(ev.DialogueEstablished(taken.id, dial.number, now - dial.sent), now)
         report = _report(line)
         if report != NOTHING_TOLD:
-            self.feed(ev.Reported(end.id, False, True, report), now)
+            self.feed(ev.OfficeReported(end.id, False, True, report), now)
 
     def _down(self, end: OfficeEnd, link: Hashable, line: lines.Line, now: int) -> None:
         dial, call = end.dials.get(line.ref), end.calls.get(line.ref)
@@ -503,7 +503,7 @@
         """A link to an office is gone."""
         end.liveness.connection_closed(link)
 
-    def _call_ended(self, call: Call, ending: ev.DialResult, report: ev.Report, now: int) -> None:
+    def _call_ended(self, call: Call, ending: ev.DialResult, report: ev.OfficeReport, now: int) -> None:
         """An established call is over: the decisions hear of it, unless it is from before a restart."""
         if call.dialogue is not None:
             self._ended(
@@ -575,7 +575,7 @@
                 # Guards rule 3: a set-up that waits here for a link to an office that drains is taken back.
                 self.counts["kept_back.drained"] += 1
                 self._over(dial)
-                self._dial_ended(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, ev.Report(), now)
+                self._dial_ended(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
         if end.standing is ev.OfficeState.GONE and end.calls:
             self.established.endpoint_gone(end)
         self._let_go(end)
@@ -617,10 +617,10 @@
 assert (DRAINING, GONE) == (1, 2)  # STANDINGS is indexed by the board's states
 
 
-NOTHING_TOLD = ev.Report()
+NOTHING_TOLD = ev.OfficeReport()
 
 
-def _report(line: lines.Line) -> ev.Report:
+def _report(line: lines.Line) -> ev.OfficeReport:
     load = line.f.get("load")
     if load is None:
         return NOTHING_TOLD
@@ -628,6 +628,6 @@
 
 
 @lru_cache(maxsize=1024)
-def _read_load(load: str) -> ev.Report:
+def _read_load(load: str) -> ev.OfficeReport:
     """A load report's figures. Kept: offices tell fourteen a dialogue, of few different ones."""
     return read_report(lines.figures(load))
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Callable, Hashable
 
-from wellhitch.interface.events import DialResult, OfficeState, Report
+from wellhitch.interface.events import DialResult, OfficeReport, OfficeState
 from wellhitch.net.seam import Timer
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.liveness import CallsLost, LivenessTest
@@ -38,7 +38,7 @@
         outlet: Outlet,
         endpoints: dict[str, OfficeEnd],
         counts: Counter[str],
-        ended: Callable[[Call, DialResult, Report, int], None],
+        ended: Callable[[Call, DialResult, OfficeReport, int], None],
         let_go: Callable[[OfficeEnd], None],
     ) -> None:
         """`ended` hears of each end once; `let_go` of endpoints on which nothing may be left."""
@@ -92,10 +92,10 @@
     def released_by_caller(self, call: Call, now: int) -> None:
         """A call is over from the caller's side; its endpoint is told."""
         self._release_at_endpoint(call, CAUSE_OVER, now)
-        self._end(call, DialResult.CANCELLED, Report(), now, "released by its caller")
+        self._end(call, DialResult.CANCELLED, OfficeReport(), now, "released by its caller")
 
     def released_by_endpoint(
-        self, call: Call, connection: Hashable, cause: int, report: Report, now: int
+        self, call: Call, connection: Hashable, cause: int, report: OfficeReport, now: int
     ) -> None:
         """A call is over from the endpoint's side; its caller is told."""
         call.office.liveness.call_mentioned(call, connection, now)
@@ -165,7 +165,7 @@
         self._by_connection[call.link] += 1
         self._look_later()
 
-    def _end(self, call: Call, ending: DialResult, report: Report, now: int, why: str) -> None:
+    def _end(self, call: Call, ending: DialResult, report: OfficeReport, now: int, why: str) -> None:
         if self.calls.pop(call.ref, None) is None:
             return  # over already: each end is told once
         call.office.calls.pop(call.ref, None)
@@ -197,7 +197,7 @@
         self._outlet.log("calls_cut", endpoint=end.id, calls=len(calls), why=why)
         for call in calls:
             self.tell_over(call.ref, CAUSE_CUT, call.link, now)
-            self._end(call, DialResult.RESET, Report(), now, why)
+            self._end(call, DialResult.RESET, OfficeReport(), now, why)
 
     # ---- endpoints that fall silent ----
 
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -169,8 +169,8 @@
             office.id: {
                 "number": office.number,
                 "standing": office.state.name.lower(),
-                "free": office.free,
-                "size": office.size,
+                "free": office.free_circuits,
+                "size": office.group_size,
                 "price": round(office.price, 3),
                 "links": len(self.links.pools[end].up) if end in self.links.pools else 0,
                 "out": len(end.dials),
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -40,7 +40,7 @@
             stood(x, event)
         case ev.DialEnded():
             return dial_ended(x, event, now)
-        case ev.Reported():
+        case ev.OfficeReported():
             if event.office in x.offices and event.answered:
                 take_report(x.offices[event.office], event.report)
         case ev.PeerMessageReceived():
@@ -108,7 +108,7 @@
         for before in x.offices.values():  # the one replaced has left `by_number` when it drained
             if before.number == entry.number and before is not office:
                 office.usual = max(office.usual, before.usual)
-                office.free, office.size = before.free, before.size
+                office.free_circuits, office.group_size = before.free_circuits, before.group_size
     elif entry.started_at != office.started_at:
         office.price, office.recent = 0.0, []
     office.state, office.started_at = entry.state, entry.started_at
@@ -191,19 +191,19 @@
 def room(x: Exchange, office: Office, dialogue: Dialogue, alternate: bool) -> bool:
     """Whether the trunk group has room, as far as is known; an alternate dialogue leaves some for direct ones
     (trunk reservation, exception), late ones too; a cheap one leaves the last of 20 to dearer ones."""
-    if office.size is None:
+    if office.group_size is None:
         return True
     kept = kept_back(office, x.linked) if alternate else 0
     if dialogue.traffic_class.value * dialogue.favour < 2 * x.unit:
-        kept += min(1, office.size // 20)
-    return office.free >= dialogue.width + kept
+        kept += min(1, office.group_size // 20)
+    return office.free_circuits >= dialogue.width + kept
 
 
 def kept_back(office: Office, linked: float) -> int:
     """Circuits of its group that are kept for direct dialogues: one, and where groups lead to all offices one
     for each 10; by rounds, fewer starved direct ones. Where groups lead to but half of the offices, tandem
     dialogues are the plan and no overflow: one only."""
-    return 1 + int((office.size or 0) * max(0.0, 2 * linked - 1)) // 10
+    return 1 + int((office.group_size or 0) * max(0.0, 2 * linked - 1)) // 10
 
 
 def best_route(x: Exchange, dialogue: Dialogue, now: int) -> Office | None:
@@ -238,7 +238,13 @@
         blind = not proven and office.number != dialogue.advised and not told
         if blind and (len(dialogue.dials) > 1 or dialogue.advised is not None or told == 0):
             continue
-        rank = (net, office.number == dialogue.advised, min(told or 0, office.free), proven, office.free)
+        rank = (
+            net,
+            office.number == dialogue.advised,
+            min(told or 0, office.free_circuits),
+            proven,
+            office.free_circuits,
+        )
         if rank > best_rank and rank[0] > 0:
             best, best_rank = office, rank
     return best
@@ -253,7 +259,11 @@
             continue
         if office in dialogue.tried or not room(x, office, dialogue, late):
             continue
-        rank = (payoff - felt(dialogue, office.price) - (leg if first else 2 * leg), first, office.free)
+        rank = (
+            payoff - felt(dialogue, office.price) - (leg if first else 2 * leg),
+            first,
+            office.free_circuits,
+        )
         if rank > best_rank and rank[0] > 0:
             best, best_rank = office, rank
     return best
@@ -276,7 +286,7 @@
     dial = Dial(dialogue, office, now, direct)
     dialogue.dials.append(dial)
     dialogue.out = dial
-    office.free -= dialogue.width
+    office.free_circuits -= dialogue.width
     if not direct and 0 <= dialogue.destination < len(office.told):  # else counted from the end
         office.told[dialogue.destination] = max(0, office.told[dialogue.destination] - dialogue.width)
     for crossed in {office.number, dialogue.destination}:
@@ -386,7 +396,7 @@
     full = event.cause is ev.ReleaseCause.PROCESSOR_FULL or event.result is ev.DialResult.UNREACHABLE
     if event.result is ev.DialResult.NOT_SENT:
         x.own_fulls += event.cause is ev.ReleaseCause.PROCESSOR_FULL
-        office.free += dialogue.width  # nothing was taken, and no report need follow
+        office.free_circuits += dialogue.width  # nothing was taken, and no report need follow
     elif full or (blamed and dial.direct):
         office.fulls += 1
     elif event.cause is ev.ReleaseCause.FAR_PROCESSOR_FULL and destination:
@@ -448,14 +458,14 @@
 # ---- prices ----
 
 
-def take_report(office: Office, report: ev.Report) -> None:
+def take_report(office: Office, report: ev.OfficeReport) -> None:
     """Free circuits count at once; the processor's figures are load signs of this interval."""
-    if report.free is not None and report.size is not None:
-        office.free, office.size = report.free, report.size
+    if report.free_circuits is not None and report.group_size is not None:
+        office.free_circuits, office.group_size = report.free_circuits, report.group_size
     if report.utilisation is not None:
         office.utilisation = report.utilisation
-    if report.wait is not None:
-        office.wait = report.wait
+    if report.queue_wait is not None:
+        office.queue_wait = report.queue_wait
 
 
 def interval_over(x: Exchange, now: int) -> list[Action]:
@@ -468,12 +478,12 @@
         office.recent = fresh(office.recent, x.bound_delay, now)
         delay = delay_seen(office, x.bound_delay, now)
         far = None if delay is None else delay - (own_delay or 0)
-        load = load_of(x.bound_delay, office.utilisation, office.wait, far, office.fulls)
+        load = load_of(x.bound_delay, office.utilisation, office.queue_wait, far, office.fulls)
         # Unheard, it decays by the signs to be expected: with fewer than one in three intervals the price of
         # a slow office would be gone before the next dial to it. A tenth at least, for one seldom called.
         expected = min(1.0, max(0.1, office.usual * 3 * INTERVAL / SECOND))
         office.price = stepped(office.price, load, x.unit, x.top, expected)
-        office.fulls, office.utilisation, office.wait = 0, None, None
+        office.fulls, office.utilisation, office.queue_wait = 0, None, None
         if not cold(x.cold_start, office, now) and not office.price and not x.own_price:
             # A mean over some 32 intervals, long against a burst and short against a day; what a priced
             # processor gets is not usual, and would starve it when it comes back cold.
@@ -481,7 +491,11 @@
         office.sent = 0
     # A number not called for a minute is forgotten; by then its lines have changed hands.
     x.called = {key: called for key, called in x.called.items() if now - called.called_at < 60 * SECOND}
-    sizes = [o.size for o in x.by_number.values() if o.size is not None and o.number != x.topology.own_number]
+    sizes = [
+        o.group_size
+        for o in x.by_number.values()
+        if o.group_size is not None and o.number != x.topology.own_number
+    ]
     x.linked = sum(size > 0 for size in sizes) / max(1, len(sizes))
     out: list[Action] = [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if x.refollow else [])]
     x.refollow = False
@@ -581,7 +595,7 @@
     spare = bytearray(min(max(x.by_number, default=-1) + 1, 254))
     for number, office in x.by_number.items():
         if 0 <= number < len(spare):
-            spare[number] = max(0, min(255, office.free - kept_back(office, x.linked)))
+            spare[number] = max(0, min(255, office.free_circuits - kept_back(office, x.linked)))
     return bytes((FORM, x.topology.own_number or 0)) + spare
 
 
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -644,12 +644,12 @@
     def load_told(self, office: str, frame: frames.LoadReport, now: int) -> None:
         """A processor told its figures."""
         end = self.offices[office]
-        self.feed(ev.Reported(office, frame.asked, True, self._report(end.number, frame.load)), now)
+        self.feed(ev.OfficeReported(office, frame.asked, True, self._report(end.number, frame.load)), now)
 
     def _heard_load(self, office: str, load: frames.Load | None, now: int) -> None:
         if load is not None:
             report = self._report(self.offices[office].number, load)
-            self.feed(ev.Reported(office, False, True, report), now)
+            self.feed(ev.OfficeReported(office, False, True, report), now)
 
     # ---- groups ----
 
@@ -690,18 +690,18 @@
                 self.outlet.to_office(home.id, frames.GroupState(number, group.ours_count))
             for end in self.offices.values():
                 if end.number == number and end.standing is not ev.OfficeState.GONE:
-                    self.feed(ev.Reported(end.id, False, True, self._report(number, None)), now)
+                    self.feed(ev.OfficeReported(end.id, False, True, self._report(number, None)), now)
 
-    def _report(self, number: int, load: frames.Load | None) -> ev.Report:
+    def _report(self, number: int, load: frames.Load | None) -> ev.OfficeReport:
         group = self.groups.get(number)
         utilisation, wait, takes, hold_back = load_of(load)
-        return ev.Report(
-            free=group.free if group else None,
-            size=group.size if group else None,
+        return ev.OfficeReport(
+            free_circuits=group.free if group else None,
+            group_size=group.size if group else None,
             utilisation=utilisation,
-            wait=wait,
-            takes_per_s=takes,
-            hold_back=hold_back,
+            queue_wait=wait,
+            accept_rate_per_s=takes,
+            load_reduction=hold_back,
         )
 
     def held_for(self, office: str) -> int:
