--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -47,7 +47,7 @@
         office = exchange.by_number[number]
         dial = Dial(dialogue, office, sent, number == dialogue.destination)
         dialogue.dials.append(dial)
-        dialogue.out = dial
+        dialogue.pending_dial = dial
         exchange.recent.append(dial)
         if dial.direct:
             office.recent.append(dial)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -97,7 +97,7 @@
     dialogue = new_dialogue()
     for _ in range(4):
         dial_out(dialogue)
-    dialogue.out = None
+    dialogue.pending_dial = None
     assert isinstance(rules.place_dialogue(exchange, dialogue, SECOND)[0], Reject)
 
 
@@ -187,13 +187,13 @@
     dial_out(new_dialogue())
     assert rules.delay_seen(office, 400_000, 2 * SECOND) == 2 * SECOND
     for _ in range(2):
-        dial_out(new_dialogue(), sent=2 * SECOND).took = 60_000
+        dial_out(new_dialogue(), sent=2 * SECOND).setup_delay = 60_000
     assert rules.delay_seen(office, 400_000, 2 * SECOND + 70_000) == 60_000
 
 
 def test_delay_is_a_sign_only_while_it_is_new(exchange, new_dialogue, dial_out):
     office = exchange.by_number[1]
-    dial_out(new_dialogue()).took = SECOND
+    dial_out(new_dialogue()).setup_delay = SECOND
     assert rules.delay_seen(office, 400_000, SECOND + rules.INTERVAL - 1) == SECOND
     assert rules.delay_seen(office, 400_000, SECOND + rules.INTERVAL) is None
     assert rules.fresh(office.recent, 400_000, 2 * SECOND) == []
@@ -213,21 +213,21 @@
 def test_lost_answers_of_few_offices_do_not_price_the_own_processor(exchange, new_dialogue, dial_out):
     for number in (1, 2):
         dial_out(new_dialogue(destination=number), number)
-    dial_out(new_dialogue(), sent=SECOND).took = 60_000
+    dial_out(new_dialogue(), sent=SECOND).setup_delay = 60_000
     rules.interval_over(exchange, SECOND + 100_000)
     assert exchange.own_price == 0
 
 
 def test_delay_common_to_all_dials_prices_the_own_processor(exchange, new_dialogue, dial_out):
     for number in (1, 2, 1):
-        dial_out(new_dialogue(destination=number), number).took = SECOND - 1
+        dial_out(new_dialogue(destination=number), number).setup_delay = SECOND - 1
     rules.interval_over(exchange, SECOND - 1)
     assert exchange.own_price > 0 and exchange.by_number[1].price == 0
 
 
 def test_delay_of_one_office_prices_that_office(exchange, new_dialogue, dial_out):
-    dial_out(new_dialogue()).took = 2 * SECOND
-    dial_out(new_dialogue(destination=2), 2, sent=2 * SECOND).took = 50_000
+    dial_out(new_dialogue()).setup_delay = 2 * SECOND
+    dial_out(new_dialogue(destination=2), 2, sent=2 * SECOND).setup_delay = 50_000
     rules.interval_over(exchange, 2 * SECOND + 60_000)
     assert exchange.own_price == 0 and exchange.by_number[1].price > 0 == exchange.by_number[2].price
 
@@ -237,7 +237,7 @@
     dial_out(early), dial_out(late)
     rules.went_away(exchange, CallerLeft(early.id), exchange.bound_delay)
     rules.went_away(exchange, CallerLeft(late.id), SECOND)
-    assert [dial.took for dial in exchange.by_number[1].recent] == [SECOND] and not exchange.dialogues
+    assert [dial.setup_delay for dial in exchange.by_number[1].recent] == [SECOND] and not exchange.dialogues
 
 
 @pytest.mark.parametrize(
@@ -271,7 +271,7 @@
 
 def test_interval_calls_off_a_lost_dial_and_leaves_standing_ones(exchange, new_dialogue, dial_out):
     lost, stands = dial_out(new_dialogue()), dial_out(new_dialogue(destination=2), 2)
-    exchange.waiting, stands.took = [lost, stands], 50_000
+    exchange.waiting, stands.setup_delay = [lost, stands], 50_000
     assert Cancel(lost.dialogue.id, 0) in rules.interval_over(exchange, 900_000)
     assert exchange.waiting == [lost]
 
@@ -309,7 +309,7 @@
 ):
     # On a day of lost answers three such turn-backs shut the only tandem for most of it: 250 dialogues pushed back.
     answered = dial_out(new_dialogue(), 2)
-    answered.took, answered.answered = 40_000, True
+    answered.setup_delay, answered.answered = 40_000, True
     waited, at_once = new_dialogue(), new_dialogue()
     dial_out(waited, number=2, sent=0), dial_out(at_once, number=2, sent=SECOND - 50_000)
     rules.dial_ended(exchange, ended(waited, "office-2", DialResult.FULL, ReleaseCause.TURNED_BACK), SECOND)
@@ -402,13 +402,13 @@
     dial_out(dialogue)
     rules.dial_ended(exchange, ended(dialogue, "office-1", DialResult.FAULT, ReleaseCause.LINES_BUSY), SECOND)
     other = new_dialogue()
-    other.called = dialogue.called
+    other.called_number = dialogue.called_number
     assert isinstance(rules.place_dialogue(exchange, other, SECOND + 1)[0], Reject)
     again = new_dialogue()
-    again.called = dialogue.called
-    assert isinstance(rules.place_dialogue(exchange, again, dialogue.called.open_at)[0], Send)
+    again.called_number = dialogue.called_number
+    assert isinstance(rules.place_dialogue(exchange, again, dialogue.called_number.blocked_until)[0], Send)
     rules.stood(exchange, DialogueEstablished(again.id, 0, 10))
-    assert dialogue.called.pause == 0
+    assert dialogue.called_number.pause == 0
 
 
 def test_redial_counts_from_the_first_try_and_late_ones_leave_circuits(exchange, new_dialogue):
@@ -424,7 +424,7 @@
 def test_unmarked_redial_is_known_by_the_number_called():
     called = rules.CalledNumber()
     assert rules.is_first_try(called, CHEAP, False, False, 0)
-    called.first_try = 0
+    called.first_try_at = 0
     assert not rules.is_first_try(called, CHEAP, False, False, SECOND)
     assert rules.is_first_try(called, CHEAP, False, True, SECOND)
     assert rules.is_first_try(called, CHEAP, False, False, CHEAP.deadline + 1)
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -119,9 +119,9 @@
         "use_case": dialogue.traffic_class.name,
         "destination": dialogue.destination,
         "transit": dialogue.transit,
-        "give_up": dialogue.give_up,
+        "give_up": dialogue.expires_at,
         "not_before": dialogue.not_before,
-        "stands": dialogue.stands,
-        "dials": [(dial.office.id, dial.sent, dial.took) for dial in dialogue.dials],
-        "out": dialogue.out is not None,
+        "stands": dialogue.established,
+        "dials": [(dial.office.id, dial.sent_at, dial.setup_delay) for dial in dialogue.dials],
+        "out": dialogue.pending_dial is not None,
     }
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -14,9 +14,9 @@
 
     dialogue: Dialogue
     office: Office
-    sent: int
+    sent_at: int
     direct: bool
-    took: int | None = None
+    setup_delay: int | None = None
     answered: bool = False
 
 
@@ -27,20 +27,20 @@
     id: int
     traffic_class: TrafficClass
     destination: int
-    called: CalledNumber
+    called_number: CalledNumber
     width: int
-    first_try: int
-    give_up: int
-    advised: int | None
+    first_try_at: int
+    expires_at: int
+    advised_tandem: int | None
     transit: bool
-    chance: float
-    favour: float = 1.0
+    random_draw: float
+    value_factor: float = 1.0
     dials: list[Dial] = field(default_factory=list)
-    tried: list[Office] = field(default_factory=list)
-    out: Dial | None = None
-    may_have_run: int | None = None
+    excluded_offices: list[Office] = field(default_factory=list)
+    pending_dial: Dial | None = None
+    may_have_run_at: int | None = None
     not_before: int = 0
-    stands: bool = False
+    established: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -48,9 +48,9 @@
     """A number called of late."""
 
     pause: int = 0
-    open_at: int = 0
-    called_at: int = 0
-    first_try: int | None = None
+    blocked_until: int = 0
+    last_called_at: int = 0
+    first_try_at: int | None = None
 
 
 @dataclass(slots=True, eq=False)
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -51,7 +51,7 @@
             return interval_over(x, now)
         case ev.TimerFired(token):
             dialogue = x.dialogues.get(token - 1)
-            if dialogue and not dialogue.out and not dialogue.stands:
+            if dialogue and not dialogue.pending_dial and not dialogue.established:
                 return place_dialogue(x, dialogue, now)
     return []
 
@@ -138,22 +138,22 @@
     if event.called_number and not event.transit:
         x.called[event.called_number] = called
         if is_first_try(called, use, event.is_redial, x.permissions.callers_mark_redials, now):
-            called.first_try = now
+            called.first_try_at = now
     dialogue = Dialogue(
         id=event.dialogue,
         traffic_class=use,
         destination=event.destination,
-        called=called,
+        called_number=called,
         width=event.width,
-        first_try=now if called.first_try is None or event.transit else called.first_try,
-        give_up=now + event.time_left,
-        advised=event.advised_tandem,
+        first_try_at=now if called.first_try_at is None or event.transit else called.first_try_at,
+        expires_at=now + event.time_left,
+        advised_tandem=event.advised_tandem,
         transit=event.transit,
-        chance=draw(x),
-        favour=event.value_factor,
+        random_draw=draw(x),
+        value_factor=event.value_factor,
     )
     x.dialogues[event.dialogue] = dialogue
-    called.called_at = now
+    called.last_called_at = now
     return place_dialogue(x, dialogue, now)
 
 
@@ -161,7 +161,7 @@
     """Whether a dialogue is its caller's first try. Where callers do not mark redials (exception), one to a
     number that was called within the outer limit and has not stood since is taken for a redial: its payoff is
     due only within the agreed time of the first try, or redials would shut first tries out."""
-    if called.first_try is None or now - called.first_try > use.deadline:
+    if called.first_try_at is None or now - called.first_try_at > use.deadline:
         return True
     return marked and not redialled
 
@@ -171,16 +171,18 @@
     pressed processor of its ends, only the late share is left."""
     destination = x.by_number.get(dialogue.destination)
     pressed = (x.own_price > 0) + (destination is not None and destination.price > 0)
-    late = now + pressed * x.bound_delay - dialogue.first_try > dialogue.traffic_class.target_latency
+    late = now + pressed * x.bound_delay - dialogue.first_try_at > dialogue.traffic_class.target_latency
     return (
-        dialogue.traffic_class.value * dialogue.favour * (dialogue.traffic_class.late_share if late else 1.0)
+        dialogue.traffic_class.value
+        * dialogue.value_factor
+        * (dialogue.traffic_class.late_share if late else 1.0)
     )
 
 
 def felt(dialogue: Dialogue, price: float) -> float:
     """Price as this dialogue feels it: half to one and a half of it, by chance, so that a price near the
     payoff admits a share, as the paper's programme does, and all-or-nothing swings are spared."""
-    return price * (0.5 + dialogue.chance)
+    return price * (0.5 + dialogue.random_draw)
 
 
 def leg_cost(x: Exchange, dialogue: Dialogue, payoff: float) -> float:
@@ -194,7 +196,7 @@
     if office.group_size is None:
         return True
     kept = kept_back(office, x.linked) if alternate else 0
-    if dialogue.traffic_class.value * dialogue.favour < 2 * x.unit:
+    if dialogue.traffic_class.value * dialogue.value_factor < 2 * x.unit:
         kept += min(1, office.group_size // 20)
     return office.free_circuits >= dialogue.width + kept
 
@@ -220,13 +222,19 @@
     payoff -= felt(dialogue, destination.price)
     if payoff - leg <= 0 or not cold_room(x.cold_start, destination, now):
         return None
-    if destination not in dialogue.tried and room(x, destination, dialogue, dialogue.transit or late):
+    if destination not in dialogue.excluded_offices and room(
+        x, destination, dialogue, dialogue.transit or late
+    ):
         return destination
     if dialogue.transit or late:
         return None
     best, best_rank = None, (0.0, False, 0, False, 0)
     for office in x.by_number.values():
-        if office is destination or office.number == x.topology.own_number or office in dialogue.tried:
+        if (
+            office is destination
+            or office.number == x.topology.own_number
+            or office in dialogue.excluded_offices
+        ):
             continue
         if not room(x, office, dialogue, True) or not cold_room(x.cold_start, office, now):
             continue
@@ -235,12 +243,12 @@
         net = payoff - felt(dialogue, office.price) - 2 * leg
         proven = dialogue.destination in office.way_on
         told = told_room(x, office, dialogue.destination, now)
-        blind = not proven and office.number != dialogue.advised and not told
-        if blind and (len(dialogue.dials) > 1 or dialogue.advised is not None or told == 0):
+        blind = not proven and office.number != dialogue.advised_tandem and not told
+        if blind and (len(dialogue.dials) > 1 or dialogue.advised_tandem is not None or told == 0):
             continue
         rank = (
             net,
-            office.number == dialogue.advised,
+            office.number == dialogue.advised_tandem,
             min(told or 0, office.free_circuits),
             proven,
             office.free_circuits,
@@ -257,7 +265,7 @@
         first = office.number == dialogue.destination
         if not first and office.number not in dialogue.traffic_class.pools:
             continue
-        if office in dialogue.tried or not room(x, office, dialogue, late):
+        if office in dialogue.excluded_offices or not room(x, office, dialogue, late):
             continue
         rank = (
             payoff - felt(dialogue, office.price) - (leg if first else 2 * leg),
@@ -275,17 +283,17 @@
         return [StartTimer(dialogue.not_before - now, dialogue.id + 1)]
     if (
         len(dialogue.dials) >= x.permissions.max_dials
-        or now >= dialogue.give_up
+        or now >= dialogue.expires_at
         or not may_repeat(dialogue, now)
     ):
         return give_up(x, dialogue, now)
-    office = best_route(x, dialogue, now) if now >= dialogue.called.open_at else None
+    office = best_route(x, dialogue, now) if now >= dialogue.called_number.blocked_until else None
     if office is None:
         return give_up(x, dialogue, now)
     direct = office.number == dialogue.destination
     dial = Dial(dialogue, office, now, direct)
     dialogue.dials.append(dial)
-    dialogue.out = dial
+    dialogue.pending_dial = dial
     office.free_circuits -= dialogue.width
     if not direct and 0 <= dialogue.destination < len(office.told):  # else counted from the end
         office.told[dialogue.destination] = max(0, office.told[dialogue.destination] - dialogue.width)
@@ -298,7 +306,7 @@
         office.recent.append(dial)
     if x.permissions.may_cancel and not dialogue.transit:
         x.waiting.append(dial)
-    return [Send(dialogue.id, office.id, dialogue.give_up - now)]
+    return [Send(dialogue.id, office.id, dialogue.expires_at - now)]
 
 
 def answer_lost(x: Exchange, dial: Dial, now: int) -> bool:
@@ -309,26 +317,26 @@
     destination = x.by_number.get(dialogue.destination)
     if destination is None or x.own_price or dial.office.price or destination.price:
         return False
-    agreed = dialogue.first_try + dialogue.traffic_class.target_latency
-    half = (agreed - dial.sent - x.release.release_wait) // 2
-    if now - dial.sent < max(4 * x.usual_delay, half - INTERVAL // 2, x.bound_delay):
+    agreed = dialogue.first_try_at + dialogue.traffic_class.target_latency
+    half = (agreed - dial.sent_at - x.release.release_wait) // 2
+    if now - dial.sent_at < max(4 * x.usual_delay, half - INTERVAL // 2, x.bound_delay):
         return False
-    return now + x.release.release_wait + x.usual_delay < min(agreed, dialogue.give_up)
+    return now + x.release.release_wait + x.usual_delay < min(agreed, dialogue.expires_at)
 
 
 def may_repeat(dialogue: Dialogue, now: int) -> bool:
     """Whether a use case that must not run twice may be dialled again."""
     use = dialogue.traffic_class
-    if dialogue.may_have_run is None or (use.repeatable and not use.repeat_within):
+    if dialogue.may_have_run_at is None or (use.repeatable and not use.repeat_within):
         return True
-    return use.repeatable and now - dialogue.may_have_run < use.repeat_within
+    return use.repeatable and now - dialogue.may_have_run_at < use.repeat_within
 
 
 def give_up(x: Exchange, dialogue: Dialogue, now: int) -> list[Action]:
     """Rule 1: the one final answer, at once; the dialogue is forgotten with it, so nothing can follow."""
     x.dialogues.pop(dialogue.id, None)
-    if now >= dialogue.give_up or (
-        dialogue.may_have_run is not None and not dialogue.traffic_class.repeatable
+    if now >= dialogue.expires_at or (
+        dialogue.may_have_run_at is not None and not dialogue.traffic_class.repeatable
     ):
         return [Fail(dialogue.id)]
     # Come back soon enough that two more tries still fall within the agreed time, where callers heed it.
@@ -340,15 +348,15 @@
 def went_away(x: Exchange, event: ev.CallerLeft, now: int) -> None:
     """The caller left: forget the dialogue; its dial must not wait for ever among the load signs."""
     dialogue = x.dialogues.pop(event.dialogue, None)
-    if dialogue and dialogue.out:
-        no_answer(x, dialogue.out, now - dialogue.out.sent)
+    if dialogue and dialogue.pending_dial:
+        no_answer(x, dialogue.pending_dial, now - dialogue.pending_dial.sent_at)
 
 
 def no_answer(x: Exchange, dial: Dial, waited: int) -> None:
     """A dial ended unanswered: silence past the bound is a sign of load, anything else is none."""
-    if dial.took is None and waited > x.bound_delay:
-        dial.took = waited
-    elif dial.took is None:
+    if dial.setup_delay is None and waited > x.bound_delay:
+        dial.setup_delay = waited
+    elif dial.setup_delay is None:
         for dials in (x.recent, dial.office.recent):
             if dial in dials:
                 dials.remove(dial)
@@ -360,14 +368,14 @@
     if not dialogue or event.dial >= len(dialogue.dials):
         return
     dial = dialogue.dials[event.dial]
-    dialogue.stands = True
-    dial.took, dial.answered = event.setup_delay, True
+    dialogue.established = True
+    dial.setup_delay, dial.answered = event.setup_delay, True
     dial.office.faults = 0
     # The own processor takes set-ups in order: silence that a later answer has overtaken is not its, but a
     # lost answer or a hung office.
-    x.recent = [other for other in x.recent if other.answered or other.sent >= dial.sent]
+    x.recent = [other for other in x.recent if other.answered or other.sent_at >= dial.sent_at]
     x.usual_delay += (event.setup_delay - x.usual_delay) // 16
-    dialogue.called.pause, dialogue.called.first_try = 0, None
+    dialogue.called_number.pause, dialogue.called_number.first_try_at = 0, None
     if not dial.direct:
         dial.office.way_on.add(dialogue.destination)
 
@@ -381,10 +389,12 @@
         return []
     dial = dialogue.dials[event.dial]
     office = dial.office
-    if dialogue.out is dial:
-        dialogue.out = None
+    if dialogue.pending_dial is dial:
+        dialogue.pending_dial = None
     no_answer(
-        x, dial, now - dial.sent if event.result in (ev.DialResult.TIMED_OUT, ev.DialResult.CANCELLED) else 0
+        x,
+        dial,
+        now - dial.sent_at if event.result in (ev.DialResult.TIMED_OUT, ev.DialResult.CANCELLED) else 0,
     )
     destination = x.by_number.get(dialogue.destination)
     # A processor that fails every set-up answers quickly and its groups look free, so that it would draw all.
@@ -408,25 +418,25 @@
     if event.dialogue_over:
         x.dialogues.pop(dialogue.id, None)
         return []
-    if dialogue.stands:
+    if dialogue.established:
         return give_up(x, dialogue, now)
     if (
         event.result not in (ev.DialResult.FULL, ev.DialResult.UNREACHABLE, ev.DialResult.NOT_SENT)
-        and dialogue.may_have_run is None
+        and dialogue.may_have_run_at is None
     ):
-        dialogue.may_have_run = dial.sent
+        dialogue.may_have_run_at = dial.sent_at
     if event.result in (ev.DialResult.TIMED_OUT, ev.DialResult.RESET, ev.DialResult.CANCELLED):
         dialogue.not_before = now + x.release.release_wait
-        if dialogue.not_before >= dialogue.give_up:
+        if dialogue.not_before >= dialogue.expires_at:
             return give_up(x, dialogue, now)
     if event.cause is ev.ReleaseCause.LINES_BUSY:
-        lines_busy(dialogue.called, now)
+        lines_busy(dialogue.called_number, now)
     if event.cause in (ev.ReleaseCause.LINES_BUSY, ev.ReleaseCause.FAR_PROCESSOR_FULL) or (
         (full or fault) and (dial.direct or event.result is ev.DialResult.NOT_SENT)
     ):
         return give_up(x, dialogue, now)
     if fault or event.result in (ev.DialResult.FULL, ev.DialResult.UNREACHABLE, ev.DialResult.NOT_SENT):
-        dialogue.tried.append(office)
+        dialogue.excluded_offices.append(office)
     return place_dialogue(x, dialogue, now)
 
 
@@ -443,16 +453,16 @@
 def met_silence(x: Exchange, dial: Dial, now: int) -> bool:
     """Whether a tandem turned back only after it had waited in vain (exception), while it leads others on: an
     answer beyond it was lost, and its next group is not full. Full groups turn back in the usual delay."""
-    return now - dial.sent > max(4 * x.usual_delay, x.bound_delay) and answers_others(x, dial)
+    return now - dial.sent_at > max(4 * x.usual_delay, x.bound_delay) and answers_others(x, dial)
 
 
 def lines_busy(called: CalledNumber, now: int) -> None:
     """Many callers of one number (exception): while its lines are busy, set-ups to it are pushed back unsent,
     for a pause that doubles with each busy answer and ends with the first dialogue that stands. From half a
     second, as a line is seldom free sooner, to four, so that a freed line is found soon."""
-    if now >= called.open_at:
+    if now >= called.blocked_until:
         called.pause = min(max(2 * called.pause, SECOND // 2), 4 * SECOND)
-        called.open_at = now + called.pause
+        called.blocked_until = now + called.pause
 
 
 # ---- prices ----
@@ -470,7 +480,11 @@
 
 def interval_over(x: Exchange, now: int) -> list[Action]:
     """Step every price once and start the next interval."""
-    x.recent = [dial for dial in x.recent if dial.took is None or now - dial.sent - dial.took < SECOND]
+    x.recent = [
+        dial
+        for dial in x.recent
+        if dial.setup_delay is None or now - dial.sent_at - dial.setup_delay < SECOND
+    ]
     own_delay = own_delay_seen(x.recent, x.bound_delay, now)
     own_load = load_of(x.bound_delay, None, None, own_delay, x.own_fulls)
     x.own_price, x.own_fulls = stepped(x.own_price, own_load, x.unit, x.top), 0
@@ -490,7 +504,7 @@
             office.usual += (office.sent * SECOND / INTERVAL - office.usual) / 32
         office.sent = 0
     # A number not called for a minute is forgotten; by then its lines have changed hands.
-    x.called = {key: called for key, called in x.called.items() if now - called.called_at < 60 * SECOND}
+    x.called = {key: called for key, called in x.called.items() if now - called.last_called_at < 60 * SECOND}
     sizes = [
         o.group_size
         for o in x.by_number.values()
@@ -499,7 +513,9 @@
     x.linked = sum(size > 0 for size in sizes) / max(1, len(sizes))
     out: list[Action] = [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if x.refollow else [])]
     x.refollow = False
-    x.waiting = [dial for dial in x.waiting if dial.took is None and dial.dialogue.out is dial]
+    x.waiting = [
+        dial for dial in x.waiting if dial.setup_delay is None and dial.dialogue.pending_dial is dial
+    ]
     for dial in x.waiting:
         if answer_lost(x, dial, now):
             out.append(Cancel(dial.dialogue.id, len(dial.dialogue.dials) - 1))
@@ -519,12 +535,16 @@
     """Dials of which the delay became known within the last second, or that have waited past the bound for no
     longer: four intervals, so that few dials to an office still make a sign, yet a few lost answers do not
     shut it, or the whole exchange, until their callers give up."""
-    return [dial for dial in dials if now - dial.sent - (bound if dial.took is None else dial.took) < SECOND]
+    return [
+        dial
+        for dial in dials
+        if now - dial.sent_at - (bound if dial.setup_delay is None else dial.setup_delay) < SECOND
+    ]
 
 
 def news(dials: list[Dial], bound: int, now: int) -> bool:
     """Whether a delay became known in the interval just over, or a dial waits past the bound."""
-    ages = ((now - dial.sent, dial.took) for dial in dials)
+    ages = ((now - dial.sent_at, dial.setup_delay) for dial in dials)
     return any(age > bound if took is None else age - took < INTERVAL for age, took in ages)
 
 
@@ -532,9 +552,9 @@
     """Delays in the order of sending. A dial that waits past the bound counts with its age: silence is
     evidence, and taking dials as they were sent lets those answered since stand beside it."""
     return [
-        now - dial.sent if dial.took is None else dial.took
+        now - dial.sent_at if dial.setup_delay is None else dial.setup_delay
         for dial in dials
-        if dial.took is not None or now - dial.sent > bound
+        if dial.setup_delay is not None or now - dial.sent_at > bound
     ]
 
 
@@ -544,7 +564,7 @@
     if not news(office.recent, bound, now):
         return None
     delays = known_delays(office.recent, bound, now)[-3:]
-    if len(delays) == 1 and delays[0] > bound and office.recent[-1].took is None:
+    if len(delays) == 1 and delays[0] > bound and office.recent[-1].setup_delay is None:
         return None
     return median_low(delays)
 
