--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -50,7 +50,7 @@
         dialogue.pending_dial = dial
         exchange.recent.append(dial)
         if dial.direct:
-            office.recent.append(dial)
+            office.recent_dials.append(dial)
         return dial
 
     return make
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -114,7 +114,7 @@
 
 
 def test_office_missing_from_a_whole_list_is_gone_and_a_new_one_takes_its_number(exchange):
-    exchange.offices["office-1"].usual = 4.0
+    exchange.offices["office-1"].usual_rate = 4.0
     rules.listed(
         exchange,
         OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, OfficeState.DRAINING, None),)),
@@ -125,7 +125,7 @@
     )
     rules.listed(exchange, OfficeListReceived(ListKind.WHOLE, entries))
     assert exchange.offices["office-1"].state is OfficeState.GONE
-    assert exchange.by_number[1].id == "fresh" and exchange.by_number[1].usual == 4.0
+    assert exchange.by_number[1].id == "fresh" and exchange.by_number[1].usual_rate == 4.0
     assert 2 not in exchange.by_number
 
 
@@ -134,7 +134,7 @@
 
 def test_cold_office_gets_a_bounded_share_of_what_is_usual(exchange):
     office = exchange.by_number[1]
-    office.usual, office.started_at = 10.0, 0
+    office.usual_rate, office.started_at = 10.0, 0
     taken = 0
     for now in range(0, 3 * SECOND, 10_000):
         if rules.cold_room(exchange.cold_start, office, now):
@@ -147,7 +147,7 @@
 
 
 def test_first_dials_of_many_servers_to_a_cold_office_come_spread(exchange):
-    offices = [rules.Office(f"o{n}", n, OfficeState.READY, SECOND, first_budget=n / 60) for n in range(60)]
+    offices = [rules.Office(f"o{n}", n, OfficeState.READY, SECOND, initial_budget=n / 60) for n in range(60)]
     at_once = [office for office in offices if rules.cold_room(exchange.cold_start, office, SECOND)]
     later = [office for office in offices if rules.cold_room(exchange.cold_start, office, 3 * SECOND)]
     assert len(at_once) == 0 and 15 < len(later) < 45
@@ -166,7 +166,7 @@
 
 def test_price_of_an_office_seldom_called_outlives_the_pause_between_dials(exchange):
     seldom, busy = exchange.by_number[1], exchange.by_number[2]
-    seldom.usual, busy.usual = 0.2, 5.0
+    seldom.usual_rate, busy.usual_rate = 0.2, 5.0
     seldom.price = busy.price = 1.0
     for second in range(4):
         rules.interval_over(exchange, second * SECOND)
@@ -196,7 +196,7 @@
     dial_out(new_dialogue()).setup_delay = SECOND
     assert rules.delay_seen(office, 400_000, SECOND + rules.INTERVAL - 1) == SECOND
     assert rules.delay_seen(office, 400_000, SECOND + rules.INTERVAL) is None
-    assert rules.fresh(office.recent, 400_000, 2 * SECOND) == []
+    assert rules.fresh(office.recent_dials, 400_000, 2 * SECOND) == []
     waiting = dial_out(new_dialogue())
     assert rules.fresh([waiting], 400_000, SECOND + 399_999) == [waiting]
     assert rules.fresh([waiting], 400_000, SECOND + 400_000) == []
@@ -207,7 +207,7 @@
     assert rules.own_delay_seen(exchange.recent, 400_000, SECOND) == SECOND
     later = dial_out(new_dialogue(destination=2), 2, sent=SECOND)
     rules.stood(exchange, DialogueEstablished(later.dialogue.id, 0, 60_000))
-    assert exchange.recent == [later] and exchange.by_number[1].recent == silent
+    assert exchange.recent == [later] and exchange.by_number[1].recent_dials == silent
 
 
 def test_lost_answers_of_few_offices_do_not_price_the_own_processor(exchange, new_dialogue, dial_out):
@@ -237,7 +237,9 @@
     dial_out(early), dial_out(late)
     rules.went_away(exchange, CallerLeft(early.id), exchange.bound_delay)
     rules.went_away(exchange, CallerLeft(late.id), SECOND)
-    assert [dial.setup_delay for dial in exchange.by_number[1].recent] == [SECOND] and not exchange.dialogues
+    assert [dial.setup_delay for dial in exchange.by_number[1].recent_dials] == [
+        SECOND
+    ] and not exchange.dialogues
 
 
 @pytest.mark.parametrize(
@@ -252,7 +254,7 @@
     dialogue = new_dialogue()
     dial_out(dialogue, number=2)
     rules.dial_ended(exchange, ended(dialogue, "office-2", DialResult.FULL, blame), SECOND)
-    assert [n for n in (1, 2) if exchange.by_number[n].fulls] == ([blamed] if blamed else [])
+    assert [n for n in (1, 2) if exchange.by_number[n].full_count] == ([blamed] if blamed else [])
 
 
 def test_silent_dial_is_called_off_in_time_to_dial_again_unless_a_processor_is_priced(
@@ -280,9 +282,9 @@
     direct, round_about = new_dialogue(), new_dialogue(destination=1)
     dial_out(direct), dial_out(round_about, number=2)
     out = rules.dial_ended(exchange, ended(direct, "office-1", DialResult.FAULT), SECOND)
-    assert isinstance(out[0], Reject) and exchange.by_number[1].fulls == 1
+    assert isinstance(out[0], Reject) and exchange.by_number[1].full_count == 1
     rules.dial_ended(exchange, ended(round_about, "office-2", DialResult.FAULT), SECOND)
-    assert exchange.by_number[2].fulls == 0 and 1 in exchange.by_number[2].no_way_on
+    assert exchange.by_number[2].full_count == 0 and 1 in exchange.by_number[2].blocked_destinations
 
 
 def test_one_fault_after_an_answer_is_its_dialogues_own_and_two_are_the_offices(
@@ -301,7 +303,9 @@
             rules.dial_ended(exchange, ended(direct, "office-1", DialResult.FAULT), SECOND)[0], Reject
         )
         rules.dial_ended(exchange, ended(round_about, "office-2", DialResult.FAULT), SECOND)
-        assert exchange.by_number[1].fulls == times and bool(exchange.by_number[2].no_way_on) == bool(times)
+        assert exchange.by_number[1].full_count == times and bool(
+            exchange.by_number[2].blocked_destinations
+        ) == bool(times)
 
 
 def test_tandem_that_turned_back_after_waiting_in_vain_does_not_rest_while_it_leads_on(
@@ -313,9 +317,9 @@
     waited, at_once = new_dialogue(), new_dialogue()
     dial_out(waited, number=2, sent=0), dial_out(at_once, number=2, sent=SECOND - 50_000)
     rules.dial_ended(exchange, ended(waited, "office-2", DialResult.FULL, ReleaseCause.TURNED_BACK), SECOND)
-    assert not exchange.by_number[2].no_way_on
+    assert not exchange.by_number[2].blocked_destinations
     rules.dial_ended(exchange, ended(at_once, "office-2", DialResult.FULL, ReleaseCause.TURNED_BACK), SECOND)
-    assert exchange.by_number[2].no_way_on
+    assert exchange.by_number[2].blocked_destinations
 
 
 # routes
@@ -378,7 +382,7 @@
     exchange.offices["office-3"] = exchange.by_number[3] = third
     exchange.by_number[1].free_circuits = 0
     assert rules.best_route(exchange, new_dialogue(), 0).number == 2
-    third.way_on.add(1)
+    third.proven_destinations.add(1)
     assert rules.best_route(exchange, new_dialogue(), 0).number == 3
     dialogue = new_dialogue()
     dial_out(dialogue, number=3)
@@ -447,7 +451,7 @@
 @pytest.mark.parametrize("text", [b"", b"\x01", b"\x02\x01\x00\x05", b"\x01\x63\x05"])
 def test_word_that_is_empty_cut_or_unknown_tells_nothing(exchange, text):
     rules.take_word(exchange, PeerMessageReceived(9, text), SECOND)
-    assert not any(office.told for office in exchange.offices.values())
+    assert not any(office.reported_spare for office in exchange.offices.values())
 
 
 def test_word_tells_room_beyond_what_is_kept(exchange):
@@ -464,12 +468,12 @@
 
 def test_office_back_under_its_id_with_a_new_start_is_cold_and_unpriced(exchange):
     office = exchange.by_number[1]
-    office.price, office.usual = 2.0, 4.0
+    office.price, office.usual_rate = 2.0, 4.0
     rules.listed(
         exchange,
         OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, OfficeState.READY, SECOND),)),
     )
-    assert exchange.by_number[1] is office and office.price == 0.0 and office.usual == 4.0
+    assert exchange.by_number[1] is office and office.price == 0.0 and office.usual_rate == 4.0
     assert rules.cold(exchange.cold_start, office, 2 * SECOND)
     assert not rules.cold_room(exchange.cold_start, office, SECOND)
 
@@ -561,8 +565,8 @@
     """Counted from the end it would be another's, or none: an IndexError in the middle of a dial."""
     exchange.topology = ServerTopology(None, 2, False, 0)
     use = TrafficClass("any", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1,), True, 0)
-    exchange.by_number[1].told, exchange.by_number[1].told_at = list(told), 0
+    exchange.by_number[1].reported_spare, exchange.by_number[1].reported_at = list(told), 0
     dialogue = new_dialogue(use, destination=-1)
     [sent] = rules.place_dialogue(exchange, dialogue, 0)
-    assert isinstance(sent, Send) and exchange.by_number[1].told == told
+    assert isinstance(sent, Send) and exchange.by_number[1].reported_spare == told
     assert rules.told_room(exchange, exchange.by_number[1], -1, 0) is None
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -64,22 +64,22 @@
     free_circuits: int = 0
     group_size: int | None = None
     price: float = 0.0
-    fulls: int = 0
-    faults: int = (
+    full_count: int = 0
+    consecutive_faults: int = (
         1  # in a row since a dial here was last answered; one with a new office, which has proven nothing
     )
-    recent: list[Dial] = field(default_factory=list)
+    recent_dials: list[Dial] = field(default_factory=list)
     utilisation: float | None = None
     queue_wait: int | None = None
-    sent: int = 0
-    usual: float = 0.0
-    first_budget: float = 0.0
+    dials_in_interval: int = 0
+    usual_rate: float = 0.0
+    initial_budget: float = 0.0
     budget: float = 0.0
-    budget_at: int = 0
-    way_on: set[int] = field(default_factory=set)
-    told: list[int] = field(default_factory=list)
-    told_at: int = 0
-    no_way_on: dict[int, int] = field(default_factory=dict)
+    budget_updated_at: int = 0
+    proven_destinations: set[int] = field(default_factory=set)
+    reported_spare: list[int] = field(default_factory=list)
+    reported_at: int = 0
+    blocked_destinations: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -104,13 +104,13 @@
     office = x.offices.get(entry.office)
     if office is None:
         office = x.offices[entry.office] = Office(entry.office, entry.number, entry.state, entry.started_at)
-        office.first_budget = draw(x)
+        office.initial_budget = draw(x)
         for before in x.offices.values():  # the one replaced has left `by_number` when it drained
             if before.number == entry.number and before is not office:
-                office.usual = max(office.usual, before.usual)
+                office.usual_rate = max(office.usual_rate, before.usual_rate)
                 office.free_circuits, office.group_size = before.free_circuits, before.group_size
     elif entry.started_at != office.started_at:
-        office.price, office.recent = 0.0, []
+        office.price, office.recent_dials = 0.0, []
     office.state, office.started_at = entry.state, entry.started_at
 
 
@@ -238,10 +238,10 @@
             continue
         if not room(x, office, dialogue, True) or not cold_room(x.cold_start, office, now):
             continue
-        if office.no_way_on.get(dialogue.destination, 0) > now:
+        if office.blocked_destinations.get(dialogue.destination, 0) > now:
             continue
         net = payoff - felt(dialogue, office.price) - 2 * leg
-        proven = dialogue.destination in office.way_on
+        proven = dialogue.destination in office.proven_destinations
         told = told_room(x, office, dialogue.destination, now)
         blind = not proven and office.number != dialogue.advised_tandem and not told
         if blind and (len(dialogue.dials) > 1 or dialogue.advised_tandem is not None or told == 0):
@@ -295,15 +295,17 @@
     dialogue.dials.append(dial)
     dialogue.pending_dial = dial
     office.free_circuits -= dialogue.width
-    if not direct and 0 <= dialogue.destination < len(office.told):  # else counted from the end
-        office.told[dialogue.destination] = max(0, office.told[dialogue.destination] - dialogue.width)
+    if not direct and 0 <= dialogue.destination < len(office.reported_spare):  # else counted from the end
+        office.reported_spare[dialogue.destination] = max(
+            0, office.reported_spare[dialogue.destination] - dialogue.width
+        )
     for crossed in {office.number, dialogue.destination}:
         if crossed in x.by_number:
-            x.by_number[crossed].sent += 1
+            x.by_number[crossed].dials_in_interval += 1
             x.by_number[crossed].budget -= 1
     x.recent.append(dial)
     if direct:
-        office.recent.append(dial)
+        office.recent_dials.append(dial)
     if x.permissions.may_cancel and not dialogue.transit:
         x.waiting.append(dial)
     return [Send(dialogue.id, office.id, dialogue.expires_at - now)]
@@ -357,7 +359,7 @@
     if dial.setup_delay is None and waited > x.bound_delay:
         dial.setup_delay = waited
     elif dial.setup_delay is None:
-        for dials in (x.recent, dial.office.recent):
+        for dials in (x.recent, dial.office.recent_dials):
             if dial in dials:
                 dials.remove(dial)
 
@@ -370,14 +372,14 @@
     dial = dialogue.dials[event.dial]
     dialogue.established = True
     dial.setup_delay, dial.answered = event.setup_delay, True
-    dial.office.faults = 0
+    dial.office.consecutive_faults = 0
     # The own processor takes set-ups in order: silence that a later answer has overtaken is not its, but a
     # lost answer or a hung office.
     x.recent = [other for other in x.recent if other.answered or other.sent_at >= dial.sent_at]
     x.usual_delay += (event.setup_delay - x.usual_delay) // 16
     dialogue.called_number.pause, dialogue.called_number.first_try_at = 0, None
     if not dial.direct:
-        dial.office.way_on.add(dialogue.destination)
+        dial.office.proven_destinations.add(dialogue.destination)
 
 
 def dial_ended(x: Exchange, event: ev.DialEnded, now: int) -> list[Action]:
@@ -401,20 +403,20 @@
     fault = event.result is ev.DialResult.FAULT and event.cause is not ev.ReleaseCause.LINES_BUSY
     # One fault after an answer is its dialogue's own (exception), such as a number that nobody has: a few
     # such callers priced offices and shut tandems. Two in a row are the office's.
-    office.faults += fault
-    blamed = fault and office.faults > 1
+    office.consecutive_faults += fault
+    blamed = fault and office.consecutive_faults > 1
     full = event.cause is ev.ReleaseCause.PROCESSOR_FULL or event.result is ev.DialResult.UNREACHABLE
     if event.result is ev.DialResult.NOT_SENT:
         x.own_fulls += event.cause is ev.ReleaseCause.PROCESSOR_FULL
         office.free_circuits += dialogue.width  # nothing was taken, and no report need follow
     elif full or (blamed and dial.direct):
-        office.fulls += 1
+        office.full_count += 1
     elif event.cause is ev.ReleaseCause.FAR_PROCESSOR_FULL and destination:
-        destination.fulls += 1
+        destination.full_count += 1
     elif blamed or (event.cause is ev.ReleaseCause.TURNED_BACK and not met_silence(x, dial, now)):
         # Five seconds by rounds: two or three waste dials on groups still full, eight misses freed circuits.
-        office.no_way_on[dialogue.destination] = now + 5 * SECOND
-        office.way_on.discard(dialogue.destination)
+        office.blocked_destinations[dialogue.destination] = now + 5 * SECOND
+        office.proven_destinations.discard(dialogue.destination)
     if event.dialogue_over:
         x.dialogues.pop(dialogue.id, None)
         return []
@@ -489,20 +491,20 @@
     own_load = load_of(x.bound_delay, None, None, own_delay, x.own_fulls)
     x.own_price, x.own_fulls = stepped(x.own_price, own_load, x.unit, x.top), 0
     for office in x.by_number.values():
-        office.recent = fresh(office.recent, x.bound_delay, now)
+        office.recent_dials = fresh(office.recent_dials, x.bound_delay, now)
         delay = delay_seen(office, x.bound_delay, now)
         far = None if delay is None else delay - (own_delay or 0)
-        load = load_of(x.bound_delay, office.utilisation, office.queue_wait, far, office.fulls)
+        load = load_of(x.bound_delay, office.utilisation, office.queue_wait, far, office.full_count)
         # Unheard, it decays by the signs to be expected: with fewer than one in three intervals the price of
         # a slow office would be gone before the next dial to it. A tenth at least, for one seldom called.
-        expected = min(1.0, max(0.1, office.usual * 3 * INTERVAL / SECOND))
+        expected = min(1.0, max(0.1, office.usual_rate * 3 * INTERVAL / SECOND))
         office.price = stepped(office.price, load, x.unit, x.top, expected)
-        office.fulls, office.utilisation, office.queue_wait = 0, None, None
+        office.full_count, office.utilisation, office.queue_wait = 0, None, None
         if not cold(x.cold_start, office, now) and not office.price and not x.own_price:
             # A mean over some 32 intervals, long against a burst and short against a day; what a priced
             # processor gets is not usual, and would starve it when it comes back cold.
-            office.usual += (office.sent * SECOND / INTERVAL - office.usual) / 32
-        office.sent = 0
+            office.usual_rate += (office.dials_in_interval * SECOND / INTERVAL - office.usual_rate) / 32
+        office.dials_in_interval = 0
     # A number not called for a minute is forgotten; by then its lines have changed hands.
     x.called = {key: called for key, called in x.called.items() if now - called.last_called_at < 60 * SECOND}
     sizes = [
@@ -561,10 +563,10 @@
 def delay_seen(office: Office, bound: int, now: int) -> int | None:
     """Middle of the last three delays, if one is new. One silent dial alone is no sign: its answer may be
     lost, and an office seldom called would be shut for it."""
-    if not news(office.recent, bound, now):
+    if not news(office.recent_dials, bound, now):
         return None
-    delays = known_delays(office.recent, bound, now)[-3:]
-    if len(delays) == 1 and delays[0] > bound and office.recent[-1].setup_delay is None:
+    delays = known_delays(office.recent_dials, bound, now)[-3:]
+    if len(delays) == 1 and delays[0] > bound and office.recent_dials[-1].setup_delay is None:
         return None
     return median_low(delays)
 
@@ -623,16 +625,16 @@
     """A peer told its groups' room; what is empty, cut short or of another form tells nothing."""
     if len(event.text) > 1 and event.text[0] == FORM and event.text[1] in x.by_number:
         office = x.by_number[event.text[1]]
-        office.told, office.told_at = list(event.text[2:]), now
+        office.reported_spare, office.reported_at = list(event.text[2:]), now
 
 
 def told_room(x: Exchange, office: Office, destination: int, now: int) -> int | None:
     """Dialogues that the tandem's second group would take, or None where it was not told of late."""
-    if not 0 <= destination < len(office.told) or now - office.told_at > 3 * tell_period(
+    if not 0 <= destination < len(office.reported_spare) or now - office.reported_at > 3 * tell_period(
         x.topology.peer_count
     ):
         return None
-    return office.told[destination]
+    return office.reported_spare[destination]
 
 
 # ---- cold offices ----
@@ -648,13 +650,17 @@
     first allowance is left to chance: however many servers hear at once that it started, and have callers
     waiting, their first dials come at the rate of all, not together."""
     if not cold(rule, office, now):
-        office.budget, office.budget_at = 0.0, 0
+        office.budget, office.budget_updated_at = 0.0, 0
         return True
     grown = max(0.0, (now - (office.started_at or 0)) / rule.warm_after)
     share = rule.start_share + (1 - rule.start_share) * grown
     # Never under one dial in four seconds, so that an office not used before can still be tried.
-    rate = max(office.usual, 0.25) * share * rule.multiple
-    grown_by = rate * (now - office.budget_at) / SECOND if office.budget_at else office.first_budget
+    rate = max(office.usual_rate, 0.25) * share * rule.multiple
+    grown_by = (
+        rate * (now - office.budget_updated_at) / SECOND
+        if office.budget_updated_at
+        else office.initial_budget
+    )
     office.budget = min(office.budget + grown_by, 1.0 + rate)
-    office.budget_at = now
+    office.budget_updated_at = now
     return office.budget >= 1.0
