--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,7 +16,11 @@
 @pytest.fixture
 def exchange() -> Exchange:
     x = Exchange(
-        chance=7, traffic_classes={"cheap": CHEAP, "dear": DEAR}, unit=1.0, top=5.0, bound_delay=400_000
+        rng_state=7,
+        traffic_classes={"cheap": CHEAP, "dear": DEAR},
+        min_value=1.0,
+        max_value=5.0,
+        delay_bound=400_000,
     )
     x.topology = ServerTopology(0, 2, False, 0)
     x.permissions = Permissions(4, True, False, False, 2 * SECOND, True)
@@ -48,7 +52,7 @@
         dial = Dial(dialogue, office, sent, number == dialogue.destination)
         dialogue.dials.append(dial)
         dialogue.pending_dial = dial
-        exchange.recent.append(dial)
+        exchange.recent_dials.append(dial)
         if dial.direct:
             office.recent_dials.append(dial)
         return dial
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -204,10 +204,10 @@
 
 def test_answer_overtaking_silence_clears_the_own_processor(exchange, new_dialogue, dial_out):
     silent = [dial_out(new_dialogue()) for _ in range(3)]
-    assert rules.own_delay_seen(exchange.recent, 400_000, SECOND) == SECOND
+    assert rules.own_delay_seen(exchange.recent_dials, 400_000, SECOND) == SECOND
     later = dial_out(new_dialogue(destination=2), 2, sent=SECOND)
     rules.stood(exchange, DialogueEstablished(later.dialogue.id, 0, 60_000))
-    assert exchange.recent == [later] and exchange.by_number[1].recent_dials == silent
+    assert exchange.recent_dials == [later] and exchange.by_number[1].recent_dials == silent
 
 
 def test_lost_answers_of_few_offices_do_not_price_the_own_processor(exchange, new_dialogue, dial_out):
@@ -235,7 +235,7 @@
 def test_dial_of_a_caller_who_left_waits_no_longer(exchange, new_dialogue, dial_out):
     early, late = new_dialogue(), new_dialogue()
     dial_out(early), dial_out(late)
-    rules.went_away(exchange, CallerLeft(early.id), exchange.bound_delay)
+    rules.went_away(exchange, CallerLeft(early.id), exchange.delay_bound)
     rules.went_away(exchange, CallerLeft(late.id), SECOND)
     assert [dial.setup_delay for dial in exchange.by_number[1].recent_dials] == [
         SECOND
@@ -273,9 +273,9 @@
 
 def test_interval_calls_off_a_lost_dial_and_leaves_standing_ones(exchange, new_dialogue, dial_out):
     lost, stands = dial_out(new_dialogue()), dial_out(new_dialogue(destination=2), 2)
-    exchange.waiting, stands.setup_delay = [lost, stands], 50_000
+    exchange.unanswered_dials, stands.setup_delay = [lost, stands], 50_000
     assert Cancel(lost.dialogue.id, 0) in rules.interval_over(exchange, 900_000)
-    assert exchange.waiting == [lost]
+    assert exchange.unanswered_dials == [lost]
 
 
 def test_fault_prices_its_office_and_is_not_dialled_again(exchange, new_dialogue, dial_out):
@@ -348,7 +348,7 @@
     assert [rules.kept_back(office, linked) for linked in (1.0, 0.75, 0.5, 0.2)] == [4, 2, 1, 1]
     exchange.by_number[2].group_size = 0
     rules.interval_over(exchange, SECOND)
-    assert exchange.linked == 0.5
+    assert exchange.direct_share == 0.5
 
 
 def test_priced_destination_sheds_cheap_dialogues_and_keeps_dear_ones(exchange, new_dialogue):
@@ -557,7 +557,7 @@
     )
     x = Exchange()
     rules.decide(x, opened, 0)
-    assert x.bound_delay == 1 and rules.load_of(x.bound_delay, None, 5, None, 0) == 5.0
+    assert x.delay_bound == 1 and rules.load_of(x.delay_bound, None, 5, None, 0) == 5.0
 
 
 @pytest.mark.parametrize("told", [[], [3, 3, 3]])
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -86,7 +86,7 @@
 class Exchange:
     """All that one call server knows, from its start until it is stopped."""
 
-    chance: int = 0
+    rng_state: int = 0
     traffic_classes: dict[str, TrafficClass] = field(default_factory=dict)
     topology: ServerTopology = ServerTopology(None, 0, False, 0)
     permissions: Permissions = Permissions(0, False, False, False, 0, False)
@@ -94,16 +94,16 @@
     cold_start: ColdStartRule = ColdStartRule(0.0, 0, 0.0, 0)
     offices: dict[str, Office] = field(default_factory=dict)
     by_number: dict[int, Office] = field(default_factory=dict)
-    called: dict[str, CalledNumber] = field(default_factory=dict)
+    called_numbers: dict[str, CalledNumber] = field(default_factory=dict)
     dialogues: dict[int, Dialogue] = field(default_factory=dict)
     own_price: float = 0.0
-    own_fulls: int = 0
-    recent: list[Dial] = field(default_factory=list)
+    own_full_count: int = 0
+    recent_dials: list[Dial] = field(default_factory=list)
     usual_delay: int = 0
-    waiting: list[Dial] = field(default_factory=list)
-    refollow: bool = False
-    tell_at: int = 0
-    linked: float = 1.0
-    bound_delay: int = 0
-    unit: float = 0.0
-    top: float = 0.0
+    unanswered_dials: list[Dial] = field(default_factory=list)
+    resubscribe: bool = False
+    next_peer_message_at: int = 0
+    direct_share: float = 1.0
+    delay_bound: int = 0
+    min_value: float = 0.0
+    max_value: float = 0.0
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -61,7 +61,7 @@
 
 def opened(x: Exchange, event: ev.ServerStarted, now: int) -> list[Action]:
     """Remember the facts and start the interval."""
-    x.chance = event.seed
+    x.rng_state = event.seed
     x.traffic_classes = {use.name: use for use in event.traffic_classes}
     x.topology, x.permissions, x.release, x.cold_start = (
         event.topology,
@@ -69,19 +69,19 @@
         event.release,
         event.cold_start,
     )
-    x.unit = min((use.value for use in event.traffic_classes if use.value > 0), default=1.0)
+    x.min_value = min((use.value for use in event.traffic_classes if use.value > 0), default=1.0)
     # Two processors at their bound take half the shortest agreed time; the rest is left to chance.
     # One at least: it is divided by.
-    x.bound_delay = max(1, min((use.target_latency for use in event.traffic_classes), default=SECOND) // 4)
-    x.top = max((use.value for use in event.traffic_classes), default=1.0)
-    x.tell_at = now + int(draw(x) * tell_period(event.topology.peer_count))  # not all at once
+    x.delay_bound = max(1, min((use.target_latency for use in event.traffic_classes), default=SECOND) // 4)
+    x.max_value = max((use.value for use in event.traffic_classes), default=1.0)
+    x.next_peer_message_at = now + int(draw(x) * tell_period(event.topology.peer_count))  # not all at once
     return [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if event.topology.must_subscribe else [])]
 
 
 def listed(x: Exchange, event: ev.OfficeListReceived) -> list[Action]:
     """Follow the list. An office missing from a whole list is gone; a new one at a number takes it over."""
     if event.kind is ev.ListKind.FAILED:
-        x.refollow = x.topology.must_subscribe
+        x.resubscribe = x.topology.must_subscribe
         return []
     for entry in event.entries:
         take_entry(x, entry)
@@ -124,8 +124,8 @@
 
 def draw(x: Exchange) -> float:
     """Next number in [0, 1): a linear congruential generator (Knuth's MMIX figures), high bits only."""
-    x.chance = (x.chance * 6364136223846793005 + 1442695040888963407) % (1 << 64)
-    return (x.chance >> 32) / (1 << 32)
+    x.rng_state = (x.rng_state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
+    return (x.rng_state >> 32) / (1 << 32)
 
 
 # ---- a dialogue's way ----
@@ -134,9 +134,9 @@
 def arrived(x: Exchange, event: ev.DialogueArrived, now: int) -> list[Action]:
     """Take a dialogue over and decide on it at once."""
     use = x.traffic_classes[event.traffic_class]
-    called = x.called.get(event.called_number or "") or CalledNumber()
+    called = x.called_numbers.get(event.called_number or "") or CalledNumber()
     if event.called_number and not event.transit:
-        x.called[event.called_number] = called
+        x.called_numbers[event.called_number] = called
         if is_first_try(called, use, event.is_redial, x.permissions.callers_mark_redials, now):
             called.first_try_at = now
     dialogue = Dialogue(
@@ -171,7 +171,7 @@
     pressed processor of its ends, only the late share is left."""
     destination = x.by_number.get(dialogue.destination)
     pressed = (x.own_price > 0) + (destination is not None and destination.price > 0)
-    late = now + pressed * x.bound_delay - dialogue.first_try_at > dialogue.traffic_class.target_latency
+    late = now + pressed * x.delay_bound - dialogue.first_try_at > dialogue.traffic_class.target_latency
     return (
         dialogue.traffic_class.value
         * dialogue.value_factor
@@ -187,7 +187,7 @@
 
 def leg_cost(x: Exchange, dialogue: Dialogue, payoff: float) -> float:
     """Cost of one leg: a fifth of the least payoff, so that two legs never outweigh a tandem dialogue."""
-    return min(x.unit, payoff) * dialogue.width / 5
+    return min(x.min_value, payoff) * dialogue.width / 5
 
 
 def room(x: Exchange, office: Office, dialogue: Dialogue, alternate: bool) -> bool:
@@ -195,8 +195,8 @@
     (trunk reservation, exception), late ones too; a cheap one leaves the last of 20 to dearer ones."""
     if office.group_size is None:
         return True
-    kept = kept_back(office, x.linked) if alternate else 0
-    if dialogue.traffic_class.value * dialogue.value_factor < 2 * x.unit:
+    kept = kept_back(office, x.direct_share) if alternate else 0
+    if dialogue.traffic_class.value * dialogue.value_factor < 2 * x.min_value:
         kept += min(1, office.group_size // 20)
     return office.free_circuits >= dialogue.width + kept
 
@@ -211,7 +211,7 @@
 def best_route(x: Exchange, dialogue: Dialogue, now: int) -> Office | None:
     """First office of the route with the highest positive net payoff and room; ties go direct."""
     payoff = payoff_now(x, dialogue, now)
-    late = payoff < x.unit
+    late = payoff < x.min_value
     leg = leg_cost(x, dialogue, payoff)
     payoff -= felt(dialogue, x.own_price)
     if x.topology.own_number is None:
@@ -303,11 +303,11 @@
         if crossed in x.by_number:
             x.by_number[crossed].dials_in_interval += 1
             x.by_number[crossed].budget -= 1
-    x.recent.append(dial)
+    x.recent_dials.append(dial)
     if direct:
         office.recent_dials.append(dial)
     if x.permissions.may_cancel and not dialogue.transit:
-        x.waiting.append(dial)
+        x.unanswered_dials.append(dial)
     return [Send(dialogue.id, office.id, dialogue.expires_at - now)]
 
 
@@ -321,7 +321,7 @@
         return False
     agreed = dialogue.first_try_at + dialogue.traffic_class.target_latency
     half = (agreed - dial.sent_at - x.release.release_wait) // 2
-    if now - dial.sent_at < max(4 * x.usual_delay, half - INTERVAL // 2, x.bound_delay):
+    if now - dial.sent_at < max(4 * x.usual_delay, half - INTERVAL // 2, x.delay_bound):
         return False
     return now + x.release.release_wait + x.usual_delay < min(agreed, dialogue.expires_at)
 
@@ -356,10 +356,10 @@
 
 def no_answer(x: Exchange, dial: Dial, waited: int) -> None:
     """A dial ended unanswered: silence past the bound is a sign of load, anything else is none."""
-    if dial.setup_delay is None and waited > x.bound_delay:
+    if dial.setup_delay is None and waited > x.delay_bound:
         dial.setup_delay = waited
     elif dial.setup_delay is None:
-        for dials in (x.recent, dial.office.recent_dials):
+        for dials in (x.recent_dials, dial.office.recent_dials):
             if dial in dials:
                 dials.remove(dial)
 
@@ -375,7 +375,7 @@
     dial.office.consecutive_faults = 0
     # The own processor takes set-ups in order: silence that a later answer has overtaken is not its, but a
     # lost answer or a hung office.
-    x.recent = [other for other in x.recent if other.answered or other.sent_at >= dial.sent_at]
+    x.recent_dials = [other for other in x.recent_dials if other.answered or other.sent_at >= dial.sent_at]
     x.usual_delay += (event.setup_delay - x.usual_delay) // 16
     dialogue.called_number.pause, dialogue.called_number.first_try_at = 0, None
     if not dial.direct:
@@ -407,7 +407,7 @@
     blamed = fault and office.consecutive_faults > 1
     full = event.cause is ev.ReleaseCause.PROCESSOR_FULL or event.result is ev.DialResult.UNREACHABLE
     if event.result is ev.DialResult.NOT_SENT:
-        x.own_fulls += event.cause is ev.ReleaseCause.PROCESSOR_FULL
+        x.own_full_count += event.cause is ev.ReleaseCause.PROCESSOR_FULL
         office.free_circuits += dialogue.width  # nothing was taken, and no report need follow
     elif full or (blamed and dial.direct):
         office.full_count += 1
@@ -448,14 +448,14 @@
         other.answered
         and other.office is dial.office
         and other.dialogue.destination == dial.dialogue.destination
-        for other in x.recent
+        for other in x.recent_dials
     )
 
 
 def met_silence(x: Exchange, dial: Dial, now: int) -> bool:
     """Whether a tandem turned back only after it had waited in vain (exception), while it leads others on: an
     answer beyond it was lost, and its next group is not full. Full groups turn back in the usual delay."""
-    return now - dial.sent_at > max(4 * x.usual_delay, x.bound_delay) and answers_others(x, dial)
+    return now - dial.sent_at > max(4 * x.usual_delay, x.delay_bound) and answers_others(x, dial)
 
 
 def lines_busy(called: CalledNumber, now: int) -> None:
@@ -482,23 +482,23 @@
 
 def interval_over(x: Exchange, now: int) -> list[Action]:
     """Step every price once and start the next interval."""
-    x.recent = [
+    x.recent_dials = [
         dial
-        for dial in x.recent
+        for dial in x.recent_dials
         if dial.setup_delay is None or now - dial.sent_at - dial.setup_delay < SECOND
     ]
-    own_delay = own_delay_seen(x.recent, x.bound_delay, now)
-    own_load = load_of(x.bound_delay, None, None, own_delay, x.own_fulls)
-    x.own_price, x.own_fulls = stepped(x.own_price, own_load, x.unit, x.top), 0
+    own_delay = own_delay_seen(x.recent_dials, x.delay_bound, now)
+    own_load = load_of(x.delay_bound, None, None, own_delay, x.own_full_count)
+    x.own_price, x.own_full_count = stepped(x.own_price, own_load, x.min_value, x.max_value), 0
     for office in x.by_number.values():
-        office.recent_dials = fresh(office.recent_dials, x.bound_delay, now)
-        delay = delay_seen(office, x.bound_delay, now)
+        office.recent_dials = fresh(office.recent_dials, x.delay_bound, now)
+        delay = delay_seen(office, x.delay_bound, now)
         far = None if delay is None else delay - (own_delay or 0)
-        load = load_of(x.bound_delay, office.utilisation, office.queue_wait, far, office.full_count)
+        load = load_of(x.delay_bound, office.utilisation, office.queue_wait, far, office.full_count)
         # Unheard, it decays by the signs to be expected: with fewer than one in three intervals the price of
         # a slow office would be gone before the next dial to it. A tenth at least, for one seldom called.
         expected = min(1.0, max(0.1, office.usual_rate * 3 * INTERVAL / SECOND))
-        office.price = stepped(office.price, load, x.unit, x.top, expected)
+        office.price = stepped(office.price, load, x.min_value, x.max_value, expected)
         office.full_count, office.utilisation, office.queue_wait = 0, None, None
         if not cold(x.cold_start, office, now) and not office.price and not x.own_price:
             # A mean over some 32 intervals, long against a burst and short against a day; what a priced
@@ -506,26 +506,28 @@
             office.usual_rate += (office.dials_in_interval * SECOND / INTERVAL - office.usual_rate) / 32
         office.dials_in_interval = 0
     # A number not called for a minute is forgotten; by then its lines have changed hands.
-    x.called = {key: called for key, called in x.called.items() if now - called.last_called_at < 60 * SECOND}
+    x.called_numbers = {
+        key: called for key, called in x.called_numbers.items() if now - called.last_called_at < 60 * SECOND
+    }
     sizes = [
         o.group_size
         for o in x.by_number.values()
         if o.group_size is not None and o.number != x.topology.own_number
     ]
-    x.linked = sum(size > 0 for size in sizes) / max(1, len(sizes))
-    out: list[Action] = [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if x.refollow else [])]
-    x.refollow = False
-    x.waiting = [
-        dial for dial in x.waiting if dial.setup_delay is None and dial.dialogue.pending_dial is dial
+    x.direct_share = sum(size > 0 for size in sizes) / max(1, len(sizes))
+    out: list[Action] = [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if x.resubscribe else [])]
+    x.resubscribe = False
+    x.unanswered_dials = [
+        dial for dial in x.unanswered_dials if dial.setup_delay is None and dial.dialogue.pending_dial is dial
     ]
-    for dial in x.waiting:
+    for dial in x.unanswered_dials:
         if answer_lost(x, dial, now):
             out.append(Cancel(dial.dialogue.id, len(dial.dialogue.dials) - 1))
     tells = (
         x.permissions.may_message_peers and not x.topology.has_centre and (x.topology.own_number or 0) < 256
     )
-    if tells and x.topology.peer_count and now >= x.tell_at:
-        x.tell_at = now + tell_period(x.topology.peer_count)
+    if tells and x.topology.peer_count and now >= x.next_peer_message_at:
+        x.next_peer_message_at = now + tell_period(x.topology.peer_count)
         out.append(SendPeerMessage(word(x)))
     return out
 
@@ -617,7 +619,7 @@
     spare = bytearray(min(max(x.by_number, default=-1) + 1, 254))
     for number, office in x.by_number.items():
         if 0 <= number < len(spare):
-            spare[number] = max(0, min(255, office.free_circuits - kept_back(office, x.linked)))
+            spare[number] = max(0, min(255, office.free_circuits - kept_back(office, x.direct_share)))
     return bytes((FORM, x.topology.own_number or 0)) + spare
 
 
