--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -123,7 +123,7 @@
         OfficeEntry("office-0", 0, OfficeState.READY, None),
         OfficeEntry("fresh", 1, OfficeState.READY, SECOND),
     )
-    rules.listed(exchange, OfficeListReceived(ListKind.WHOLE, entries))
+    rules.listed(exchange, OfficeListReceived(ListKind.FULL, entries))
     assert exchange.offices["office-1"].state is OfficeState.GONE
     assert exchange.by_number[1].id == "fresh" and exchange.by_number[1].usual_rate == 4.0
     assert 2 not in exchange.by_number
@@ -540,7 +540,7 @@
         facts = (exchange.topology, exchange.permissions, exchange.release, exchange.cold_start)
         rules.decide(x, ServerStarted(11, (CHEAP,), *facts), 0)
         entries = tuple(OfficeEntry(f"o{n}", n, OfficeState.READY, None) for n in range(4))
-        rules.decide(x, OfficeListReceived(ListKind.REMEMBERED, entries), 0)
+        rules.decide(x, OfficeListReceived(ListKind.CACHED, entries), 0)
         arrivals = (
             DialogueArrived(n, "cheap", 1 + n % 3, None, SECOND, 1, None, False, False) for n in range(50)
         )
--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -32,8 +32,8 @@
 }
 LISTS = {
     "Partial": events.ListKind.CHANGES,
-    "Complete": events.ListKind.WHOLE,
-    "Persisted": events.ListKind.REMEMBERED,
+    "Complete": events.ListKind.FULL,
+    "Persisted": events.ListKind.CACHED,
     "Error": events.ListKind.FAILED,
 }
 
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -42,8 +42,8 @@
     """Which kind of list came."""
 
     CHANGES = auto()
-    WHOLE = auto()
-    REMEMBERED = auto()
+    FULL = auto()
+    CACHED = auto()
     FAILED = auto()
 
 
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -405,7 +405,7 @@
     now = 0
     decide(x, facts(0, offices), now)
     entries = tuple(ev.OfficeEntry(f"o{n}", n, ev.OfficeState.READY, None) for n in range(offices))
-    decide(x, ev.OfficeListReceived(ev.ListKind.WHOLE, entries), now)
+    decide(x, ev.OfficeListReceived(ev.ListKind.FULL, entries), now)
     report = ev.OfficeReport(GROUP, GROUP)
     for n in range(1, offices):
         decide(x, ev.OfficeReported(f"o{n}", False, True, report), now)
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -74,7 +74,7 @@
         draining offices too: calls from before a restart may be up there, and their releases come on the first one."""
         self.feed(self.opened, now)
         for notice in known:
-            self._take_notice(notice, ev.ListKind.REMEMBERED, now)
+            self._take_notice(notice, ev.ListKind.CACHED, now)
         for end in list(self.offices.values()):
             self._follow_standing(end, now)
             if end.standing is ev.OfficeState.DRAINING and end.number != self.number:
@@ -517,7 +517,7 @@
         """The board told an event."""
         if notice.empty:
             return
-        self._take_notice(notice, ev.ListKind.WHOLE, now)
+        self._take_notice(notice, ev.ListKind.FULL, now)
         for end in list(self.offices.values()):
             self._follow_standing(end, now)
 
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -799,8 +799,8 @@
                     end.standing = ev.OfficeState.GONE
         heard = {
             "changes": ev.ListKind.CHANGES,
-            "whole": ev.ListKind.WHOLE,
-            "remembered": ev.ListKind.REMEMBERED,
+            "whole": ev.ListKind.FULL,
+            "remembered": ev.ListKind.CACHED,
         }
         entries = [self.offices[line.office] for line in frame.lines]
         lines = tuple(ev.OfficeEntry(end.id, end.number, end.standing, end.started) for end in entries)
