--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -38,10 +38,10 @@
     def feed(self, event: ev.Event, now: int) -> None:
         """Take an event in where the server's own are taken in, so that a timer's passes the same door."""
 
-    def carry_out(self, action: act.Action, now: int) -> None:
+    def execute(self, action: act.Action, now: int) -> None:
         """Do what the decisions ask for; Wake never comes here."""
 
-    def rescued(self, dialogue: int, now: int) -> None:
+    def decision_failed(self, dialogue: int, now: int) -> None:
         """The decisions raised on this dialogue and have forgotten it: it is owed an answer, if it still waits."""
 
 
@@ -79,7 +79,7 @@
                     if isinstance(action, act.StartTimer):
                         self._wake(action)
                     else:
-                        self._server.carry_out(action, now)
+                        self._server.execute(action, now)
         finally:
             self._feeding = False
 
@@ -110,7 +110,7 @@
             # The interval's timer is armed by the decision that raised; without it no price would step again.
             self._wake(act.StartTimer(INTERVAL_AGAIN, 0))
         self.exchange.dialogues.pop(about, None)
-        self._server.rescued(about, now)
+        self._server.decision_failed(about, now)
 
 
 def _shown(dialogue: Dialogue) -> dict[str, Any]:
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -92,13 +92,13 @@
         """Tell the decisions one event."""
         self.runner.feed(event, now)
 
-    def rescued(self, dialogue: int, now: int) -> None:
+    def decision_failed(self, dialogue: int, now: int) -> None:
         """The decisions raised on this dialogue: it gets its one final answer."""
         taken = self.taken.get(dialogue)
         if taken:
             self._refuse(taken, 500, "forfeited", "", now)
 
-    def carry_out(self, action: act.Action, now: int) -> None:
+    def execute(self, action: act.Action, now: int) -> None:
         """Do one thing that the decisions ask for."""
         match action:
             case act.Send(dialogue, office, within):
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -140,13 +140,13 @@
         come up meanwhile, which wait their turn."""
         self.runner.feed(event, now)
 
-    def rescued(self, dialogue: int, now: int) -> None:
+    def decision_failed(self, dialogue: int, now: int) -> None:
         """The decisions raised on this dialogue: it gets its one final answer."""
         taken = self.taken.get(dialogue)
         if taken and not taken.stands:
             self._answer(taken, "forfeited", 0, now)
 
-    def carry_out(self, action: act.Action, now: int) -> None:
+    def execute(self, action: act.Action, now: int) -> None:
         """Do one thing that the decisions ask for."""
         match action:
             case act.Send(dialogue, office, within):
