--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -18,6 +18,19 @@
     250_000  # us until the interval rings again where the decision that arms it raised: its own length
 )
 
+# Names of the event counters in the metrics; operators' tools match them.
+COUNTER_NAMES: dict[type[ev.Event], str] = {
+    ev.ServerStarted: "Opened",
+    ev.OfficeListReceived: "Listed",
+    ev.DialogueArrived: "Arrived",
+    ev.DialogueEstablished: "Stood",
+    ev.DialEnded: "DialEnded",
+    ev.OfficeReported: "Reported",
+    ev.CallerLeft: "WentAway",
+    ev.TimerFired: "Rang",
+    ev.PeerMessageReceived: "PeerSaid",
+}
+
 
 class Server(Protocol):
     """What the runner needs of the server that holds it."""
@@ -25,10 +38,10 @@
     def feed(self, event: ev.Event, now: int) -> None:
         """Take an event in where the server's own are taken in, so that a timer's passes the same door."""
 
-    def carry_out(self, action: act.Action, now: int) -> None:
+    def execute(self, action: act.Action, now: int) -> None:
         """Do what the decisions ask for; Wake never comes here."""
 
-    def rescued(self, dialogue: int, now: int) -> None:
+    def decision_failed(self, dialogue: int, now: int) -> None:
         """The decisions raised on this dialogue and have forgotten it: it is owed an answer, if it still waits."""
 
 
@@ -56,23 +69,23 @@
         try:
             while self._events:
                 event = self._events.popleft()
-                self._counts[f"event.{type(event).__name__}"] += 1
+                self._counts[f"event.{COUNTER_NAMES[type(event)]}"] += 1
                 try:
                     wanted = decide(self.exchange, event, now)
                 except Exception as fault:  # the call server outlives a fault in one decision
                     self._rescue(event, fault, now)
                     continue
                 for action in wanted:
-                    if isinstance(action, act.Wake):
+                    if isinstance(action, act.StartTimer):
                         self._wake(action)
                     else:
-                        self._server.carry_out(action, now)
+                        self._server.execute(action, now)
         finally:
             self._feeding = False
 
-    def _wake(self, action: act.Wake) -> None:
-        rang = ev.Rang(action.token)
-        self._timer(action.after, lambda at: self._server.feed(rang, at))
+    def _wake(self, action: act.StartTimer) -> None:
+        rang = ev.TimerFired(action.token)
+        self._timer(action.delay, lambda at: self._server.feed(rang, at))
 
     def _rescue(self, event: ev.Event, fault: Exception, now: int) -> None:
         """Guards against a decision that raises: the dialogue concerned gets its one final answer, its dial is
@@ -82,7 +95,7 @@
         while where and where.tb_next:
             where = where.tb_next
         line = where.tb_lineno if where else 0
-        about = getattr(event, "dialogue", event.token - 1 if isinstance(event, ev.Rang) else -1)
+        about = getattr(event, "dialogue", event.token - 1 if isinstance(event, ev.TimerFired) else -1)
         known = self.exchange.dialogues.get(about)
         self._log(
             "decision_fault",
@@ -93,22 +106,22 @@
             held=len(self.exchange.dialogues),
             dialogue=known and _shown(known),
         )
-        if isinstance(event, ev.Rang) and event.token == 0:
+        if isinstance(event, ev.TimerFired) and event.token == 0:
             # The interval's timer is armed by the decision that raised; without it no price would step again.
-            self._wake(act.Wake(INTERVAL_AGAIN, 0))
+            self._wake(act.StartTimer(INTERVAL_AGAIN, 0))
         self.exchange.dialogues.pop(about, None)
-        self._server.rescued(about, now)
+        self._server.decision_failed(about, now)
 
 
 def _shown(dialogue: Dialogue) -> dict[str, Any]:
     """A dialogue's record for the log, without the records that it points to."""
     return {
-        "use_case": dialogue.use_case.name,
+        "use_case": dialogue.traffic_class.name,
         "destination": dialogue.destination,
         "transit": dialogue.transit,
-        "give_up": dialogue.give_up,
+        "give_up": dialogue.expires_at,
         "not_before": dialogue.not_before,
-        "stands": dialogue.stands,
-        "dials": [(dial.office.id, dial.sent, dial.took) for dial in dialogue.dials],
-        "out": dialogue.out is not None,
+        "stands": dialogue.established,
+        "dials": [(dial.office.id, dial.sent_at, dial.setup_delay) for dial in dialogue.dials],
+        "out": dialogue.pending_dial is not None,
     }
