--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -45,7 +45,7 @@
 
 def test_given_up_dialogue_is_answered_once_and_forgotten(exchange, new_dialogue):
     dialogue = new_dialogue()
-    assert rules.give_up(exchange, dialogue, SECOND) == [Reject(dialogue.id, CHEAP.target_latency // 4)]
+    assert rules.final_answer(exchange, dialogue, SECOND) == [Reject(dialogue.id, CHEAP.target_latency // 4)]
     assert dialogue.id not in exchange.dialogues
 
 
@@ -83,8 +83,8 @@
     dial_out(dialogue)
     out = rules.dial_ended(exchange, ended(dialogue, "office-1", ending), SECOND)
     assert out == [StartTimer(300_000, dialogue.id + 1)]
-    assert rules.place_dialogue(exchange, dialogue, SECOND + 299_999) == [StartTimer(1, dialogue.id + 1)]
-    assert isinstance(rules.place_dialogue(exchange, dialogue, SECOND + 300_000)[0], Send)
+    assert rules.route_dialogue(exchange, dialogue, SECOND + 299_999) == [StartTimer(1, dialogue.id + 1)]
+    assert isinstance(rules.route_dialogue(exchange, dialogue, SECOND + 300_000)[0], Send)
 
 
 def test_a_timer_does_not_dial_while_a_dial_is_out(exchange, new_dialogue, dial_out):
@@ -98,7 +98,7 @@
     for _ in range(4):
         dial_out(dialogue)
     dialogue.pending_dial = None
-    assert isinstance(rules.place_dialogue(exchange, dialogue, SECOND)[0], Reject)
+    assert isinstance(rules.route_dialogue(exchange, dialogue, SECOND)[0], Reject)
 
 
 # rule 3: drains
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("standing", [OfficeState.DRAINING, OfficeState.GONE])
 def test_nothing_new_to_an_office_that_drains_or_is_gone(exchange, new_dialogue, standing):
-    rules.listed(
+    rules.office_list_received(
         exchange, OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, standing, None),))
     )
     assert rules.best_route(exchange, new_dialogue(), 0) is None
@@ -115,7 +115,7 @@
 
 def test_office_missing_from_a_whole_list_is_gone_and_a_new_one_takes_its_number(exchange):
     exchange.offices["office-1"].usual_rate = 4.0
-    rules.listed(
+    rules.office_list_received(
         exchange,
         OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, OfficeState.DRAINING, None),)),
     )
@@ -123,7 +123,7 @@
         OfficeEntry("office-0", 0, OfficeState.READY, None),
         OfficeEntry("fresh", 1, OfficeState.READY, SECOND),
     )
-    rules.listed(exchange, OfficeListReceived(ListKind.FULL, entries))
+    rules.office_list_received(exchange, OfficeListReceived(ListKind.FULL, entries))
     assert exchange.offices["office-1"].state is OfficeState.GONE
     assert exchange.by_number[1].id == "fresh" and exchange.by_number[1].usual_rate == 4.0
     assert 2 not in exchange.by_number
@@ -137,19 +137,23 @@
     office.usual_rate, office.started_at = 10.0, 0
     taken = 0
     for now in range(0, 3 * SECOND, 10_000):
-        if rules.cold_room(exchange.cold_start, office, now):
+        if rules.has_cold_start_budget(exchange.cold_start, office, now):
             office.budget -= 1
             taken += 1
     assert (
         0 < taken <= exchange.cold_start.multiple * 0.6 * 10.0 * 3
     )  # the share has grown from 0.4 to under 0.6
-    assert not rules.cold(exchange.cold_start, office, exchange.cold_start.warm_after)
+    assert not rules.is_cold(exchange.cold_start, office, exchange.cold_start.warm_after)
 
 
 def test_first_dials_of_many_servers_to_a_cold_office_come_spread(exchange):
     offices = [rules.Office(f"o{n}", n, OfficeState.READY, SECOND, initial_budget=n / 60) for n in range(60)]
-    at_once = [office for office in offices if rules.cold_room(exchange.cold_start, office, SECOND)]
-    later = [office for office in offices if rules.cold_room(exchange.cold_start, office, 3 * SECOND)]
+    at_once = [
+        office for office in offices if rules.has_cold_start_budget(exchange.cold_start, office, SECOND)
+    ]
+    later = [
+        office for office in offices if rules.has_cold_start_budget(exchange.cold_start, office, 3 * SECOND)
+    ]
     assert len(at_once) == 0 and 15 < len(later) < 45
 
 
@@ -157,11 +161,11 @@
 
 
 def test_price_steps_up_over_the_bound_down_under_it_and_decays_unheard():
-    assert rules.stepped(0.0, 1.5, 1.0, 5.0) > 0
-    assert 0 < rules.stepped(2.0, 0.5, 1.0, 5.0) < 2.0
-    assert rules.stepped(0.05, 0.0, 1.0, 5.0) == 0.0
-    assert 0 < rules.stepped(2.0, None, 1.0, 5.0) < 2.0
-    assert rules.stepped(3.4, 9.0, 1.0, 5.0) == 3.5
+    assert rules.adjusted_price(0.0, 1.5, 1.0, 5.0) > 0
+    assert 0 < rules.adjusted_price(2.0, 0.5, 1.0, 5.0) < 2.0
+    assert rules.adjusted_price(0.05, 0.0, 1.0, 5.0) == 0.0
+    assert 0 < rules.adjusted_price(2.0, None, 1.0, 5.0) < 2.0
+    assert rules.adjusted_price(3.4, 9.0, 1.0, 5.0) == 3.5
 
 
 def test_price_of_an_office_seldom_called_outlives_the_pause_between_dials(exchange):
@@ -169,44 +173,44 @@
     seldom.usual_rate, busy.usual_rate = 0.2, 5.0
     seldom.price = busy.price = 1.0
     for second in range(4):
-        rules.interval_over(exchange, second * SECOND)
+        rules.interval_elapsed(exchange, second * SECOND)
     assert seldom.price > 0.5 and busy.price == pytest.approx(0.7**4)
 
 
 def test_load_is_taken_from_reports_first_then_from_delay_and_full_is_over():
-    assert rules.load_of(400_000, 0.45, 9 * SECOND, 9 * SECOND, 0) == pytest.approx(0.5)
-    assert rules.load_of(400_000, None, None, 400_000, 0) == pytest.approx(1.0)
-    assert rules.load_of(400_000, None, None, None, 0) is None
-    assert rules.load_of(400_000, 0.1, None, None, 1) > 1
+    assert rules.relative_load(400_000, 0.45, 9 * SECOND, 9 * SECOND, 0) == pytest.approx(0.5)
+    assert rules.relative_load(400_000, None, None, 400_000, 0) == pytest.approx(1.0)
+    assert rules.relative_load(400_000, None, None, None, 0) is None
+    assert rules.relative_load(400_000, 0.1, None, None, 1) > 1
 
 
 def test_silence_counts_as_delay_but_one_lost_dial_does_not(exchange, new_dialogue, dial_out):
     office = exchange.by_number[1]
     dial_out(new_dialogue())
-    assert rules.delay_seen(office, 400_000, 2 * SECOND) is None
+    assert rules.office_delay(office, 400_000, 2 * SECOND) is None
     dial_out(new_dialogue())
-    assert rules.delay_seen(office, 400_000, 2 * SECOND) == 2 * SECOND
+    assert rules.office_delay(office, 400_000, 2 * SECOND) == 2 * SECOND
     for _ in range(2):
         dial_out(new_dialogue(), sent=2 * SECOND).setup_delay = 60_000
-    assert rules.delay_seen(office, 400_000, 2 * SECOND + 70_000) == 60_000
+    assert rules.office_delay(office, 400_000, 2 * SECOND + 70_000) == 60_000
 
 
 def test_delay_is_a_sign_only_while_it_is_new(exchange, new_dialogue, dial_out):
     office = exchange.by_number[1]
     dial_out(new_dialogue()).setup_delay = SECOND
-    assert rules.delay_seen(office, 400_000, SECOND + rules.INTERVAL - 1) == SECOND
-    assert rules.delay_seen(office, 400_000, SECOND + rules.INTERVAL) is None
-    assert rules.fresh(office.recent_dials, 400_000, 2 * SECOND) == []
+    assert rules.office_delay(office, 400_000, SECOND + rules.INTERVAL_US - 1) == SECOND
+    assert rules.office_delay(office, 400_000, SECOND + rules.INTERVAL_US) is None
+    assert rules.unexpired_dials(office.recent_dials, 400_000, 2 * SECOND) == []
     waiting = dial_out(new_dialogue())
-    assert rules.fresh([waiting], 400_000, SECOND + 399_999) == [waiting]
-    assert rules.fresh([waiting], 400_000, SECOND + 400_000) == []
+    assert rules.unexpired_dials([waiting], 400_000, SECOND + 399_999) == [waiting]
+    assert rules.unexpired_dials([waiting], 400_000, SECOND + 400_000) == []
 
 
 def test_answer_overtaking_silence_clears_the_own_processor(exchange, new_dialogue, dial_out):
     silent = [dial_out(new_dialogue()) for _ in range(3)]
-    assert rules.own_delay_seen(exchange.recent_dials, 400_000, SECOND) == SECOND
+    assert rules.own_processor_delay(exchange.recent_dials, 400_000, SECOND) == SECOND
     later = dial_out(new_dialogue(destination=2), 2, sent=SECOND)
-    rules.stood(exchange, DialogueEstablished(later.dialogue.id, 0, 60_000))
+    rules.dialogue_established(exchange, DialogueEstablished(later.dialogue.id, 0, 60_000))
     assert exchange.recent_dials == [later] and exchange.by_number[1].recent_dials == silent
 
 
@@ -214,29 +218,29 @@
     for number in (1, 2):
         dial_out(new_dialogue(destination=number), number)
     dial_out(new_dialogue(), sent=SECOND).setup_delay = 60_000
-    rules.interval_over(exchange, SECOND + 100_000)
+    rules.interval_elapsed(exchange, SECOND + 100_000)
     assert exchange.own_price == 0
 
 
 def test_delay_common_to_all_dials_prices_the_own_processor(exchange, new_dialogue, dial_out):
     for number in (1, 2, 1):
         dial_out(new_dialogue(destination=number), number).setup_delay = SECOND - 1
-    rules.interval_over(exchange, SECOND - 1)
+    rules.interval_elapsed(exchange, SECOND - 1)
     assert exchange.own_price > 0 and exchange.by_number[1].price == 0
 
 
 def test_delay_of_one_office_prices_that_office(exchange, new_dialogue, dial_out):
     dial_out(new_dialogue()).setup_delay = 2 * SECOND
     dial_out(new_dialogue(destination=2), 2, sent=2 * SECOND).setup_delay = 50_000
-    rules.interval_over(exchange, 2 * SECOND + 60_000)
+    rules.interval_elapsed(exchange, 2 * SECOND + 60_000)
     assert exchange.own_price == 0 and exchange.by_number[1].price > 0 == exchange.by_number[2].price
 
 
 def test_dial_of_a_caller_who_left_waits_no_longer(exchange, new_dialogue, dial_out):
     early, late = new_dialogue(), new_dialogue()
     dial_out(early), dial_out(late)
-    rules.went_away(exchange, CallerLeft(early.id), exchange.delay_bound)
-    rules.went_away(exchange, CallerLeft(late.id), SECOND)
+    rules.caller_left(exchange, CallerLeft(early.id), exchange.delay_bound)
+    rules.caller_left(exchange, CallerLeft(late.id), SECOND)
     assert [dial.setup_delay for dial in exchange.by_number[1].recent_dials] == [
         SECOND
     ] and not exchange.dialogues
@@ -262,19 +266,19 @@
 ):
     dial = dial_out(new_dialogue())  # agreed time 2 s, release wait 0.3 s
     exchange.usual_delay = 100_000
-    assert not rules.answer_lost(exchange, dial, 700_000)
-    assert rules.answer_lost(exchange, dial, 800_000)
-    assert not rules.answer_lost(exchange, dial, 1_600_000)
+    assert not rules.answer_presumed_lost(exchange, dial, 700_000)
+    assert rules.answer_presumed_lost(exchange, dial, 800_000)
+    assert not rules.answer_presumed_lost(exchange, dial, 1_600_000)
     exchange.usual_delay = 250_000
-    assert not rules.answer_lost(exchange, dial, 800_000)
+    assert not rules.answer_presumed_lost(exchange, dial, 800_000)
     exchange.usual_delay, exchange.by_number[1].price = 100_000, 0.1
-    assert not rules.answer_lost(exchange, dial, 800_000)
+    assert not rules.answer_presumed_lost(exchange, dial, 800_000)
 
 
 def test_interval_calls_off_a_lost_dial_and_leaves_standing_ones(exchange, new_dialogue, dial_out):
     lost, stands = dial_out(new_dialogue()), dial_out(new_dialogue(destination=2), 2)
     exchange.unanswered_dials, stands.setup_delay = [lost, stands], 50_000
-    assert Cancel(lost.dialogue.id, 0) in rules.interval_over(exchange, 900_000)
+    assert Cancel(lost.dialogue.id, 0) in rules.interval_elapsed(exchange, 900_000)
     assert exchange.unanswered_dials == [lost]
 
 
@@ -295,7 +299,7 @@
     for number in (1, 2):
         answered = new_dialogue()
         dial_out(answered, number)
-        rules.stood(exchange, DialogueEstablished(answered.id, 0, 40_000))
+        rules.dialogue_established(exchange, DialogueEstablished(answered.id, 0, 40_000))
     pairs = [(new_dialogue(), new_dialogue()) for _ in range(2)]
     for times, (direct, round_about) in enumerate(pairs):
         dial_out(direct), dial_out(round_about, number=2)
@@ -345,9 +349,9 @@
 
 def test_reservation_shrinks_where_tandems_are_the_plan(exchange):
     office = exchange.by_number[1]
-    assert [rules.kept_back(office, linked) for linked in (1.0, 0.75, 0.5, 0.2)] == [4, 2, 1, 1]
+    assert [rules.reserved_circuits(office, linked) for linked in (1.0, 0.75, 0.5, 0.2)] == [4, 2, 1, 1]
     exchange.by_number[2].group_size = 0
-    rules.interval_over(exchange, SECOND)
+    rules.interval_elapsed(exchange, SECOND)
     assert exchange.direct_share == 0.5
 
 
@@ -407,19 +411,19 @@
     rules.dial_ended(exchange, ended(dialogue, "office-1", DialResult.FAULT, ReleaseCause.LINES_BUSY), SECOND)
     other = new_dialogue()
     other.called_number = dialogue.called_number
-    assert isinstance(rules.place_dialogue(exchange, other, SECOND + 1)[0], Reject)
+    assert isinstance(rules.route_dialogue(exchange, other, SECOND + 1)[0], Reject)
     again = new_dialogue()
     again.called_number = dialogue.called_number
-    assert isinstance(rules.place_dialogue(exchange, again, dialogue.called_number.blocked_until)[0], Send)
-    rules.stood(exchange, DialogueEstablished(again.id, 0, 10))
+    assert isinstance(rules.route_dialogue(exchange, again, dialogue.called_number.blocked_until)[0], Send)
+    rules.dialogue_established(exchange, DialogueEstablished(again.id, 0, 10))
     assert dialogue.called_number.pause == 0
 
 
 def test_redial_counts_from_the_first_try_and_late_ones_leave_circuits(exchange, new_dialogue):
     dialogue = new_dialogue()
-    assert rules.payoff_now(exchange, dialogue, CHEAP.target_latency) == CHEAP.value
+    assert rules.current_value(exchange, dialogue, CHEAP.target_latency) == CHEAP.value
     exchange.own_price = 0.1
-    assert rules.payoff_now(exchange, dialogue, CHEAP.target_latency) < CHEAP.value
+    assert rules.current_value(exchange, dialogue, CHEAP.target_latency) < CHEAP.value
     exchange.by_number[1].free_circuits = exchange.by_number[2].free_circuits = 3
     assert rules.best_route(exchange, dialogue, 0) is not None
     assert rules.best_route(exchange, dialogue, CHEAP.target_latency + 1) is None
@@ -441,26 +445,30 @@
     third = rules.Office("office-3", 3, OfficeState.READY, None, free_circuits=20, group_size=30)
     exchange.offices["office-3"] = exchange.by_number[3] = third
     exchange.by_number[1].free_circuits = 0
-    rules.take_word(exchange, PeerMessageReceived(9, bytes((rules.FORM, 2, 0, 0))), SECOND)
+    rules.apply_peer_message(
+        exchange, PeerMessageReceived(9, bytes((rules.PEER_MESSAGE_FORMAT, 2, 0, 0))), SECOND
+    )
     assert rules.best_route(exchange, new_dialogue(), SECOND) is third
-    rules.take_word(exchange, PeerMessageReceived(9, bytes((rules.FORM, 2, 0, 5))), SECOND)
+    rules.apply_peer_message(
+        exchange, PeerMessageReceived(9, bytes((rules.PEER_MESSAGE_FORMAT, 2, 0, 5))), SECOND
+    )
     assert rules.best_route(exchange, new_dialogue(), SECOND).number == 2
-    assert rules.told_room(exchange, exchange.by_number[2], 1, 9 * SECOND) is None
+    assert rules.reported_capacity(exchange, exchange.by_number[2], 1, 9 * SECOND) is None
 
 
 @pytest.mark.parametrize("text", [b"", b"\x01", b"\x02\x01\x00\x05", b"\x01\x63\x05"])
 def test_word_that_is_empty_cut_or_unknown_tells_nothing(exchange, text):
-    rules.take_word(exchange, PeerMessageReceived(9, text), SECOND)
+    rules.apply_peer_message(exchange, PeerMessageReceived(9, text), SECOND)
     assert not any(office.reported_spare for office in exchange.offices.values())
 
 
 def test_word_tells_room_beyond_what_is_kept(exchange):
     exchange.by_number[2].free_circuits = 2
-    assert rules.word(exchange) == bytes((rules.FORM, 0, 26, 26, 0))
+    assert rules.encode_peer_message(exchange) == bytes((rules.PEER_MESSAGE_FORMAT, 0, 26, 26, 0))
     exchange.permissions = Permissions(4, True, False, True, 0, True)
-    assert any(isinstance(action, SendPeerMessage) for action in rules.interval_over(exchange, SECOND))
+    assert any(isinstance(action, SendPeerMessage) for action in rules.interval_elapsed(exchange, SECOND))
     exchange.topology = ServerTopology(256, 300, False, 0)  # a number that no word can name
-    assert len(rules.interval_over(exchange, 99 * SECOND)) == 1
+    assert len(rules.interval_elapsed(exchange, 99 * SECOND)) == 1
 
 
 # bad or extreme input: a sound answer for every dialogue
@@ -469,13 +477,13 @@
 def test_office_back_under_its_id_with_a_new_start_is_cold_and_unpriced(exchange):
     office = exchange.by_number[1]
     office.price, office.usual_rate = 2.0, 4.0
-    rules.listed(
+    rules.office_list_received(
         exchange,
         OfficeListReceived(ListKind.CHANGES, (OfficeEntry("office-1", 1, OfficeState.READY, SECOND),)),
     )
     assert exchange.by_number[1] is office and office.price == 0.0 and office.usual_rate == 4.0
-    assert rules.cold(exchange.cold_start, office, 2 * SECOND)
-    assert not rules.cold_room(exchange.cold_start, office, SECOND)
+    assert rules.is_cold(exchange.cold_start, office, 2 * SECOND)
+    assert not rules.has_cold_start_budget(exchange.cold_start, office, SECOND)
 
 
 def test_many_peers_and_no_trunk_groups_push_back_at_once(exchange, new_dialogue):
@@ -486,8 +494,8 @@
     ].free_circuits = -1  # shrunk below what is in use
     for destination in (1, 3, 299, 999, -1):
         dialogue = new_dialogue(destination=destination)
-        assert isinstance(rules.place_dialogue(exchange, dialogue, 0)[0], Reject)
-    assert len(rules.word(exchange)) == 256
+        assert isinstance(rules.route_dialogue(exchange, dialogue, 0)[0], Reject)
+    assert len(rules.encode_peer_message(exchange)) == 256
 
 
 @pytest.mark.parametrize(
@@ -499,11 +507,11 @@
     exchange.release = ReleaseRule(wait, 0)
     dialogue = new_dialogue(TrafficClass("any", payoff, 0.0, SECOND, 3 * SECOND, width, SECOND, (), True, 0))
     dialogue.width = width
-    out, dial, now = rules.place_dialogue(exchange, dialogue, 0), 0, 0
+    out, dial, now = rules.route_dialogue(exchange, dialogue, 0), 0, 0
     while not isinstance(out[0], Reject | Fail):
         now += out[0].delay if isinstance(out[0], StartTimer) else SECOND // 2
         if isinstance(out[0], StartTimer):
-            out = rules.place_dialogue(exchange, dialogue, now)
+            out = rules.route_dialogue(exchange, dialogue, now)
         else:
             event = ended(dialogue, out[0].office, DialResult.RESET, dial=dial)
             out, dial = rules.dial_ended(exchange, event, now), dial + 1
@@ -523,15 +531,15 @@
         exchange.cold_start,
     )
     assert rules.decide(Exchange(), event, 0) == [
-        StartTimer(rules.INTERVAL, rules.TICK),
+        StartTimer(rules.INTERVAL_US, rules.INTERVAL_TIMER),
         SubscribeDiscovery(),
     ]
 
 
 def test_failed_discovery_is_asked_again_where_it_must_be(exchange):
     exchange.topology = ServerTopology(0, 1, True, SECOND)
-    rules.listed(exchange, OfficeListReceived(ListKind.FAILED, ()))
-    assert SubscribeDiscovery() in rules.interval_over(exchange, SECOND)
+    rules.office_list_received(exchange, OfficeListReceived(ListKind.FAILED, ()))
+    assert SubscribeDiscovery() in rules.interval_elapsed(exchange, SECOND)
 
 
 def test_same_seed_same_actions(exchange):
@@ -557,7 +565,7 @@
     )
     x = Exchange()
     rules.decide(x, opened, 0)
-    assert x.delay_bound == 1 and rules.load_of(x.delay_bound, None, 5, None, 0) == 5.0
+    assert x.delay_bound == 1 and rules.relative_load(x.delay_bound, None, 5, None, 0) == 5.0
 
 
 @pytest.mark.parametrize("told", [[], [3, 3, 3]])
@@ -567,6 +575,6 @@
     use = TrafficClass("any", 1.0, 0.2, SECOND, 9 * SECOND, 1, SECOND, (1,), True, 0)
     exchange.by_number[1].reported_spare, exchange.by_number[1].reported_at = list(told), 0
     dialogue = new_dialogue(use, destination=-1)
-    [sent] = rules.place_dialogue(exchange, dialogue, 0)
+    [sent] = rules.route_dialogue(exchange, dialogue, 0)
     assert isinstance(sent, Send) and exchange.by_number[1].reported_spare == told
-    assert rules.told_room(exchange, exchange.by_number[1], -1, 0) is None
+    assert rules.reported_capacity(exchange, exchange.by_number[1], -1, 0) is None
