--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -10,13 +10,21 @@
 from wellhitch.cli.check import read_day
 from wellhitch.cli.errors import told_plainly
 from wellhitch.hooks.check import check as check_file
-from wellhitch.hooks.emit import compiled
-from wellhitch.hooks.grammar import MAX_SOURCE, Parser
-from wellhitch.hooks.host import LOAD_STEPS, MEMORY, STEPS, Version, as_value, load, run_tests
-from wellhitch.hooks.layout import lay_out
-from wellhitch.hooks.points import POINTS, BadAnswer, read_answer
-from wellhitch.hooks.tree import BadHooks
-from wellhitch.hooks.values import Budget, HookFault, text_of
+from wellhitch.hooks.emit import compile_file
+from wellhitch.hooks.formatter import format_source
+from wellhitch.hooks.grammar import MAX_SOURCE_CHARS, Parser
+from wellhitch.hooks.host import (
+    LOAD_BUDGET,
+    MAX_MEMORY_CELLS,
+    MAX_STEPS,
+    Version,
+    load_version,
+    run_tests,
+    to_value,
+)
+from wellhitch.hooks.points import POINTS, InvalidHookResult, parse_result
+from wellhitch.hooks.tree import InvalidHooks
+from wellhitch.hooks.values import Budget, HookError, to_text
 from wellhitch.judge.page import service_page, verdict_page
 from wellhitch.lab.hook_runs import differences, facts_of, page, run, shown
 from wellhitch.lab.play import play_virtual
@@ -48,7 +56,7 @@
     if not files:
         raise Faults(str(folder), ["no files *.hook in it"])
     try:
-        return {file.name: read_file(file, 4 * MAX_SOURCE).decode() for file in files}
+        return {file.name: read_file(file, 4 * MAX_SOURCE_CHARS).decode() for file in files}
     except (OSError, UnicodeDecodeError) as fault:
         raise Faults(str(folder), [str(fault)]) from None
 
@@ -58,8 +66,8 @@
     with told_plainly():
         texts = texts_of(folder)
     try:
-        return load(texts, Parser())
-    except BadHooks as bad:
+        return load_version(texts, Parser())
+    except InvalidHooks as bad:
         click.echo(str(bad), err=True)
         sys.exit(1)
 
@@ -78,8 +86,8 @@
     for name, text in texts.items():
         try:
             faults = check_file(parser.parse(text, name))
-        except BadHooks as bad:
-            faults = bad.faults
+        except InvalidHooks as bad:
+            faults = bad.diagnostics
         wrong += len(faults)
         for fault in faults:
             click.echo(str(fault), err=True)
@@ -104,12 +112,12 @@
             file = parser.parse(text, name)
             wrong = check_file(file)
             if not wrong:
-                wrong = run_tests(compiled(file, Budget(LOAD_STEPS, LOAD_STEPS)))
+                wrong = run_tests(compile_file(file, Budget(LOAD_BUDGET, LOAD_BUDGET)))
                 passed += len(file.tests) - len(wrong)
-        except BadHooks as bad:
-            wrong = bad.faults
-        except HookFault as fault:
-            click.echo(f"{name}:{fault.at[0]}:{fault.at[1]}: {fault.text}", err=True)
+        except InvalidHooks as bad:
+            wrong = bad.diagnostics
+        except HookError as fault:
+            click.echo(f"{name}:{fault.position[0]}:{fault.position[1]}: {fault.text}", err=True)
             failed += 1
             continue
         failed += len(wrong)
@@ -132,11 +140,11 @@
     """
     with told_plainly():
         texts = texts_of(folder)
-    changed = [name for name, text in texts.items() if lay_out(text) != text]
+    changed = [name for name, text in texts.items() if format_source(text) != text]
     for name in changed:
         click.echo(f"{name}: {'would be ' if only_check else ''}laid out anew")
         if not only_check:
-            (folder / name).write_text(lay_out(texts[name]), encoding="utf-8")
+            (folder / name).write_text(format_source(texts[name]), encoding="utf-8")
     sys.exit(1 if changed and only_check else 0)
 
 
@@ -167,21 +175,21 @@
         click.echo(f"--call: {name}{str(fault).partition(' - at')[0]}", err=True)
         sys.exit(2)
     facts = facts_of(made, 0, hour * 3600 * 1_000_000)
-    inputs = {name: as_value(facts[name], wanted) for name, wanted in POINTS["arrive"].inputs.items()}
+    inputs = {name: to_value(facts[name], wanted) for name, wanted in POINTS["arrive"].inputs.items()}
     use_cases = frozenset({made.use_case, "balance-check", "card-lock", "loan-simulation"})
     for program in version.programs:
         if "arrive" not in program.hooks:
             continue
-        budget = Budget(STEPS, MEMORY)
+        budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
         try:
             value = program.run("arrive", inputs, budget)
-            said = shown(read_answer("arrive", value, use_cases))
+            said = shown(parse_result("arrive", value, use_cases))
             click.echo(
-                f"{program.file.name}: {said}  (returned {text_of(value, Budget())}; {STEPS - budget.steps} steps)"
+                f"{program.file.name}: {said}  (returned {to_text(value, Budget())}; {MAX_STEPS - budget.steps} steps)"
             )
-        except HookFault as fault:
-            click.echo(f"{program.file.name}:{fault.at[0]}:{fault.at[1]}: fails: {fault.text}")
-        except BadAnswer as bad:
+        except HookError as fault:
+            click.echo(f"{program.file.name}:{fault.position[0]}:{fault.position[1]}: fails: {fault.text}")
+        except InvalidHookResult as bad:
             click.echo(f"{program.file.name}: its answer is not taken: {bad}")
 
 
--- a/wellhitch/lab/hook_runs.py
+++ b/wellhitch/lab/hook_runs.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from wellhitch.hooks.host import Hooks, Version
-from wellhitch.hooks.points import Said
+from wellhitch.hooks.points import HookResult
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Capture, Note
 
@@ -31,17 +31,17 @@
 
     by_use_case: dict[str, Tally] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
-    said: list[tuple[frames.Call, Said]] = field(default_factory=list)
+    said: list[tuple[frames.Call, HookResult]] = field(default_factory=list)
 
 
 def arrivals(captures: list[Capture]) -> list[tuple[int, int, frames.Call]]:
     """Every Call that callers sent, in the order of time: when, at which exchange, the call."""
     found = [
-        (line.t, int(capture.facts["number"]), line.frame)
+        (line.time_us, int(capture.facts["number"]), line.frame)
         for capture in captures
         if capture.party == "callers"
-        for line in capture.lines
-        if not isinstance(line, Note) and isinstance(line.frame, frames.Call) and line.way == "out"
+        for line in capture.records
+        if not isinstance(line, Note) and isinstance(line.frame, frames.Call) and line.direction == "out"
     ]
     return sorted(found, key=lambda one: (one[0], one[1], one[2].id))
 
@@ -82,7 +82,7 @@
         hooks = servers.get(number)
         if hooks is None:
             hooks = servers[number] = Hooks(version, use_cases, _silent, out.counts)
-        said = hooks.said("arrive", facts_of(call, number, t), call.tenant or call.use_case, t)
+        said = hooks.evaluate("arrive", facts_of(call, number, t), call.tenant or call.use_case, t)
         tally = out.by_use_case.setdefault(call.use_case, Tally())
         tally.arrivals += 1
         tally.pushed_back += said.push_back is not None
@@ -125,7 +125,7 @@
     return "\n".join(out)
 
 
-def shown(said: Said) -> str:
+def shown(said: HookResult) -> str:
     """What was said, without what was not."""
     parts: Mapping[str, object] = {
         "use case": said.use_case,
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -21,15 +21,15 @@
 from wellhitch.interface import events as ev
 from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.interface.state import Exchange
-from wellhitch.ledger.desk import Desk
 from wellhitch.ledger.entries import NumberKeys
-from wellhitch.net.seam import Listener, LoopbackNetwork, now_us
+from wellhitch.ledger.service import SettlementService
+from wellhitch.net.transport import Listener, LoopbackNetwork, now_us
 from wellhitch.rules import decide
 from wellhitch.server.daemon import Daemon, Doors, Log
 from wellhitch.server.switch import Outlet, Switch
 from wellhitch.store.system import SystemDisk
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import KeptLink, Port
+from wellhitch.trunk.channel import Channel, PersistentChannel
 
 SECOND = 1_000_000
 USE = TrafficClass("measured", 1.0, 0.2, 1_500_000, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
@@ -67,23 +67,23 @@
     def __init__(self, number: int) -> None:
         self.number = number
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """The own call server is told the sizes of its groups."""
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """Nothing is held."""
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """Nothing is held."""
         return 0
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """Answer at once."""
         match frame:
             case frames.Setup(ref):
                 port.send(frames.Answer(ref))
-            case frames.Pass(ref, what) if ref:
-                port.send(frames.Passed(ref, what))
+            case frames.ProcessStep(ref, what) if ref:
+                port.send(frames.StepProcessed(ref, what))
             case frames.Release(ref) | frames.Cancel(ref):
                 port.send(frames.Released(ref))
 
@@ -93,19 +93,19 @@
         super().__init__(number)
         self.offices = offices
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         for other in range(self.offices):
             if other != self.number:
                 port.send(frames.GroupState(other, 0, GROUP))
 
 
 class _List(_Echo):
-    def __init__(self, lines: list[frames.ListLine]) -> None:
+    def __init__(self, lines: list[frames.OfficeListEntry]) -> None:
         super().__init__(-1)
         self.lines = lines
 
-    def link_up(self, port: Port) -> None:
-        port.send(frames.List("whole", 1, self.lines))
+    def channel_opened(self, port: Channel) -> None:
+        port.send(frames.OfficeList("whole", 1, self.lines))
 
 
 def _listen(
@@ -113,7 +113,7 @@
 ) -> None:
     hello = frames.Hello(role, number, 1)
     LoopbackNetwork(loop).listen(
-        "127.0.0.1:0", lambda: Port(loop, owner, hello, ("call_server",)), lambda listener: ready(listener)
+        "127.0.0.1:0", lambda: Channel(loop, owner, hello, ("call_server",)), lambda listener: ready(listener)
     )
 
 
@@ -148,7 +148,9 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        lines = [frames.ListLine(f"o{n}", n, "ready", None, address) for n, address in sorted(known.items())]
+        lines = [
+            frames.OfficeListEntry(f"o{n}", n, "ready", None, address) for n, address in sorted(known.items())
+        ]
         register: list[str] = []
         _listen(loop, _List(lines), "register", -1, lambda made: register.append(made.address))
         while not register:
@@ -159,10 +161,14 @@
 
         doors = Doors("127.0.0.1:0", "", "", register[0], "")
 
-        def desk(on: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log) -> Desk:
+        def desk(
+            on: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log
+        ) -> SettlementService:
             disk = SystemDisk(on, Path(ledger))
             keys = NumberKeys({1: b"k" * 32})
-            return Desk(on, disk, 0, (0,), keys, lambda now: EPOCH + now, send, log, random.Random(1))
+            return SettlementService(
+                on, disk, 0, (0,), keys, lambda now: EPOCH + now, send, log, random.Random(1)
+            )
 
         daemon = Daemon(
             loop,
@@ -215,18 +221,18 @@
     stood: int = 0
     others: int = 0
     next_id: int = 0
-    port: Port | None = None
+    port: Channel | None = None
     closed: bool = False
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """The call server answers."""
         self.port = port
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """It is gone."""
         self.port = None
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """No circuits."""
         return 0
 
@@ -239,7 +245,7 @@
         if self.port:
             self.port.send(call)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """An answer."""
         if not isinstance(frame, frames.Final):
             return
@@ -259,14 +265,16 @@
 
     def _leave(self, id: int) -> None:
         if self.port:
-            self.port.send(frames.Leave(id))
+            self.port.send(frames.HangUp(id))
 
 
-async def _linked(address: str, offices: int) -> tuple[_Load, KeptLink]:
+async def _linked(address: str, offices: int) -> tuple[_Load, PersistentChannel]:
     loop = asyncio.get_running_loop()
     load = _Load(loop, offices, random.Random(3))
     hello = frames.Hello("caller", 0, 1)
-    link = KeptLink(loop, LoopbackNetwork(loop), address, load, hello, ("call_server",), random.Random(4))
+    link = PersistentChannel(
+        loop, LoopbackNetwork(loop), address, load, hello, ("call_server",), random.Random(4)
+    )
     while load.port is None:
         await asyncio.sleep(0.01)
     return load, link
