--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -19,8 +19,8 @@
 from wellhitch.server.daemon import Daemon, Doors
 from wellhitch.settings.sheet import opened
 from wellhitch.trunk import frames
-from wellhitch.trunk.link import MAY_SAY
-from wellhitch.trunk.port import Port
+from wellhitch.trunk.channel import Channel
+from wellhitch.trunk.connection import ALLOWED_FRAMES
 
 
 class Asking(asyncio.BufferedProtocol):
@@ -87,13 +87,13 @@
         """Somebody who listens at an address."""
         hand = Hand()
         self.net.at(address.partition(":")[0]).listen(
-            address, lambda: Port(self.loop, hand, hello, ("call_server",)), lambda listener: None
+            address, lambda: Channel(self.loop, hand, hello, ("call_server",)), lambda listener: None
         )
         return hand
 
-    def listed(self, *lines: frames.ListLine, kind: str = "whole", revision: int = 1) -> None:
-        frame = frames.List(kind, revision, list(lines))
-        self.daemon.guides.link_frame(cast(Port, None), frame)
+    def listed(self, *lines: frames.OfficeListEntry, kind: str = "whole", revision: int = 1) -> None:
+        frame = frames.OfficeList(kind, revision, list(lines))
+        self.daemon.guides.frame_received(cast(Channel, None), frame)
         self.loop.advance(1.0)
 
 
@@ -111,7 +111,7 @@
 def test_whatever_an_operator_says_is_answered_in_one_line(text: str, said: str) -> None:
     door = Door()
     if text.startswith("hooks canary"):
-        door.daemon.switch.hooked.hooks.try_beside(door.daemon.switch.hooked.hooks.version)  # type: ignore[union-attr]
+        door.daemon.switch.hooked.hooks.start_shadow(door.daemon.switch.hooked.hooks.version)  # type: ignore[union-attr]
     assert said in door.ask(text.encode("utf-8", "surrogateescape")).decode()
 
 
@@ -128,7 +128,7 @@
     """An address that was given to another office: dialogues for 1 went to 2, which handed them on."""
     door = Door()
     wrong = door.party("o1:1", frames.Hello("office", 2, 1))
-    door.listed(frames.ListLine("o1", 1, "ready", None, "o1:1"))
+    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1"))
     assert not door.daemon.switch.offices["o1"].up
     assert wrong.down and "office 2, not 1" in wrong.down[0] and "office_not_as_listed" in door.said
 
@@ -137,9 +137,9 @@
     door = Door(limits={"may_tell_peers": True})
     hello = frames.Hello("call_server", 1, 1)
     old, new = door.party("p1:1", hello), door.party("p1:2", hello)
-    door.listed(frames.ListLine("o1", 1, "ready", None, "o1:1", "p1:1"))
+    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:1"))
     assert len(old.up) == 1
-    door.listed(frames.ListLine("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
+    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
     assert old.down and len(new.up) == 1 and list(door.daemon.peer_links) == ["p1:2"]
 
 
@@ -147,7 +147,7 @@
 def test_a_malformed_list_is_not_followed_to_its_peers(kind: str) -> None:
     door = Door(limits={"may_tell_peers": True})
     standing = "ready" if kind == "odd" else "broken"
-    door.listed(frames.ListLine("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
+    door.listed(frames.OfficeListEntry("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
     assert not door.daemon.peer_links and door.daemon.switch.counts["lists_malformed"] == 1
 
 
@@ -188,16 +188,18 @@
     ref = chance.randrange(1, 6)
     own: dict[type[Any], Any] = {
         frames.Call: frames.Call(chance.randrange(1 << 20), "cheap", 1, "aa", 2_000_000, 1, False, "north"),
-        frames.Leave: frames.Leave(ref),
+        frames.HangUp: frames.HangUp(ref),
         frames.Setup: frames.Setup(chance.randrange(1 << 20), 2, 77, 0, "cheap", 1, "aa", 2_000_000, 1),
         frames.Answer: frames.Answer(ref, frames.Load(0.5, 1000, 5.0, 0.1)),
-        frames.PushBack: frames.PushBack(ref, "processor_full", 0, frames.Load(0.5, 1000)),
-        frames.Passed: frames.Passed(ref, "setup"),
+        frames.Reject: frames.Reject(ref, "processor_full", 0, frames.Load(0.5, 1000)),
+        frames.StepProcessed: frames.StepProcessed(ref, "setup"),
         frames.GroupState: frames.GroupState(1, 0, 20),
         frames.LoadReport: frames.LoadReport(frames.Load(0.5, 1000)),
-        frames.Carried: frames.Carried(1, 7, "cheap", "aa", 1, "released", 5_000),
-        frames.Word: frames.Word(bytes((1, 1, 5, 5, 5))),
-        frames.List: frames.List("changes", 2, [frames.ListLine("o1", 1, "ready", 10**6, "o1:1", "p1:1")]),
+        frames.CarriedDialogue: frames.CarriedDialogue(1, 7, "cheap", "aa", 1, "released", 5_000),
+        frames.PeerMessage: frames.PeerMessage(bytes((1, 1, 5, 5, 5))),
+        frames.OfficeList: frames.OfficeList(
+            "changes", 2, [frames.OfficeListEntry("o1", 1, "ready", 10**6, "o1:1", "p1:1")]
+        ),
         frames.Advice: frames.Advice([-1, 1, 2]),
     }
     return own.get(kind) or any_frame(kind, chance)
@@ -231,11 +233,13 @@
     }
     caller = frames.Hello("caller", 0, 1)
     door.net.at("c").connect(
-        "s:1", lambda: Port(door.loop, hands["caller"][0], caller, ("call_server",)), print
+        "s:1", lambda: Channel(door.loop, hands["caller"][0], caller, ("call_server",)), print
     )
     door.loop.advance(5.0)
-    lines = [frames.ListLine(f"o{n}", n, "ready", None, f"o{n}:1", f"p{n}:1" if n else "") for n in range(3)]
-    known = frames.List("whole", 1, lines)
+    lines = [
+        frames.OfficeListEntry(f"o{n}", n, "ready", None, f"o{n}:1", f"p{n}:1" if n else "") for n in range(3)
+    ]
+    known = frames.OfficeList("whole", 1, lines)
     for _ in range(500):
         role = chance.choice(list(hands))
         ports = [hand.up[-1] for hand in hands[role] if hand.up]
@@ -244,13 +248,13 @@
                 known  # or all offices would soon be gone by an odd list, and nothing said of them heard
             )
         else:
-            kind = chance.choice(MAY_SAY[role, "call_server"])
+            kind = chance.choice(ALLOWED_FRAMES[role, "call_server"])
             frame = any_frame(kind, chance)
             if chance.random() < 0.8:
                 frame = a_sound_frame(kind, chance)
                 if chance.random() < 0.7:
                     frame = with_one_odd_figure(frame, chance)
-        if isinstance(frame, frames.List):
+        if isinstance(frame, frames.OfficeList):
             frame = msgspec.structs.replace(frame, revision=1)
         if ports:
             (ports[0] if chance.random() < 0.5 else chance.choice(ports)).send(frame)
@@ -264,6 +268,6 @@
 def test_a_stranger_who_says_he_is_a_call_server_is_let_go() -> None:
     door, stranger = Door(limits={"may_tell_peers": True}), Hand()
     hello = frames.Hello("call_server", 9, 1)
-    door.net.at("x").connect("s:2", lambda: Port(door.loop, stranger, hello, ("call_server",)), print)
+    door.net.at("x").connect("s:2", lambda: Channel(door.loop, stranger, hello, ("call_server",)), print)
     door.loop.advance(1.0)
     assert stranger.down
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -23,7 +23,7 @@
 from wellhitch.ledger.entries import Answered
 from wellhitch.ledger.outbox import quarantine, write_atomically
 from wellhitch.ledger.rating import Tariff, invoice, tariff_errors, to_cents
-from wellhitch.net.seam import split
+from wellhitch.net.transport import split
 from wellhitch.settings.checked import Faults
 from wellhitch.settings.checked import read as read_settings
 from wellhitch.settings.sheet import Sheet
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -16,14 +16,14 @@
 from wellhitch.cli.check import read_sheet
 from wellhitch.cli.errors import told_plainly
 from wellhitch.cli.logs import set_up
-from wellhitch.hooks.keeping import MAX_BYTES
+from wellhitch.hooks.state_file import MAX_STATE_BYTES
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.outbox import FolderOutbox
 from wellhitch.ledger.service import AccountingChannel, SettlementService
 from wellhitch.net.collector import freeze_startup_objects
-from wellhitch.net.seam import LoopbackNetwork, now_us
+from wellhitch.net.transport import LoopbackNetwork, now_us
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
-from wellhitch.server.hooked import WallClock
+from wellhitch.server.hook_runner import WallClock
 from wellhitch.settings.checked import Faults
 from wellhitch.settings.sheet import Sheet, opened
 from wellhitch.store.files import read_file
@@ -131,7 +131,7 @@
 def read_state(state: Path, log: Log) -> bytes:
     """What hooks remembered, as far as it can be read; a start waits for no pipe and fails for no directory."""
     try:
-        return read_file(state, MAX_BYTES)
+        return read_file(state, MAX_STATE_BYTES)
     except FileNotFoundError:
         return b""  # the first start
     except OSError as fault:
--- a/wellhitch/ledger/service.py
+++ b/wellhitch/ledger/service.py
@@ -43,7 +43,7 @@
     previous_period,
 )
 from wellhitch.ledger.reconcile import Collection, Pull, TokenBucket
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 from wellhitch.store.engine import Engine
 from wellhitch.store.records import Change, DamagedRecord
 from wellhitch.store.service import Disk, StoreService
--- a/wellhitch/stand_ins/register.py
+++ b/wellhitch/stand_ins/register.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wellhitch.net.seam import Listener, Network, now_us
+from wellhitch.net.transport import Listener, Network, now_us
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
-from wellhitch.trunk.port import Port
+from wellhitch.trunk.channel import Channel
 
 
 @dataclass(slots=True)
@@ -43,9 +43,9 @@
         self.hello = frames.Hello("register", -1, boot)
         self.known: dict[str, Known] = {}
         self.revision = 0
-        self.told: dict[Port, int] = {}
+        self.told: dict[Channel, int] = {}
         self.goes_back = False  # trouble: an old revision is told after each new one
-        self._last: frames.List | None = None
+        self._last: frames.OfficeList | None = None
         self.listener: Listener | None = None
         self.address = address
         network.listen(address, self._port, self._ready)
@@ -53,16 +53,18 @@
     def _ready(self, listener: Listener) -> None:
         self.listener = listener
 
-    def _port(self) -> Port:
-        return Port(self.loop, self, self.hello, ("call_server",), self.recorder.tap)
+    def _port(self) -> Channel:
+        return Channel(self.loop, self, self.hello, ("call_server",), self.recorder.tap)
 
     def now(self) -> int:
         """Time in us."""
         return now_us(self.loop)
 
-    def _line(self, known: Known) -> frames.ListLine:
+    def _line(self, known: Known) -> frames.OfficeListEntry:
         age = None if known.started is None else max(0, self.now() - known.started)
-        return frames.ListLine(known.office, known.number, known.standing, age, known.address, known.peer)
+        return frames.OfficeListEntry(
+            known.office, known.number, known.standing, age, known.address, known.peer
+        )
 
     def change(
         self, office: str, number: int, standing: str, started: int | None, address: str, peer: str = ""
@@ -78,13 +80,13 @@
             # What is told is as it was at the change; its age counts on.
             self.loop.call_later((due - self.now()) / 1e6, self._tell, port, known, standing, revision)
 
-    def _tell(self, port: Port, known: Known, standing: str, revision: int) -> None:
+    def _tell(self, port: Channel, known: Known, standing: str, revision: int) -> None:
         if port not in self.told:
             return
         line = self._line(
             Known(known.office, known.number, standing, known.started, known.address, known.peer)
         )
-        frame = frames.List("changes", revision, [line])
+        frame = frames.OfficeList("changes", revision, [line])
         port.send(frame)
         if self.goes_back and self._last is not None:
             port.send(self._last)
@@ -94,22 +96,24 @@
         """The register restarts with a list `older_by` revisions old: all links drop and come back."""
         self.revision = max(0, self.revision - older_by)
         for port in list(self.told):
-            port.fail("register restarted", tell=False)
+            port.fail("register restarted", notify_peer=False)
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """A call server came: it is told the whole list at once."""
         self.told[port] = self.now()
-        port.send(frames.List("whole", self.revision, [self._line(known) for known in self.known.values()]))
+        port.send(
+            frames.OfficeList("whole", self.revision, [self._line(known) for known in self.known.values()])
+        )
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """It left."""
         self.told.pop(port, None)
         self.recorder.down(port)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """Call servers say nothing here."""
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """No circuits."""
         return 0
 
@@ -133,15 +137,15 @@
         self.loop, self.free, self.numbers = loop, free, numbers
         self.period, self.late, self.recorder = period, late, recorder
         self.hello = frames.Hello("centre", -1, boot)
-        self.ports: dict[Port, None] = {}
+        self.ports: dict[Channel, None] = {}
         self.lost = False  # trouble: what it says is lost
         network.listen(address, self._port, self._ready)
 
     def _ready(self, listener: Listener) -> None:
         self.loop.call_later(self.period / 1e6, self._look)
 
-    def _port(self) -> Port:
-        return Port(self.loop, self, self.hello, ("call_server",), self.recorder.tap)
+    def _port(self) -> Channel:
+        return Channel(self.loop, self, self.hello, ("call_server",), self.recorder.tap)
 
     def _look(self) -> None:
         self.loop.call_later(self.period / 1e6, self._look)
@@ -166,21 +170,21 @@
             out.append(tandem if room > 0 and destination != here else -1)
         return out
 
-    def _tell(self, port: Port, tandems: list[int]) -> None:
+    def _tell(self, port: Channel, tandems: list[int]) -> None:
         if port in self.ports and not self.lost:
             port.send(frames.Advice(tandems))
 
-    def link_up(self, port: Port) -> None:
+    def channel_opened(self, port: Channel) -> None:
         """A call server came."""
         self.ports[port] = None
 
-    def link_down(self, port: Port, why: str) -> None:
+    def channel_closed(self, port: Channel, why: str) -> None:
         """It left."""
         self.ports.pop(port, None)
 
-    def link_frame(self, port: Port, frame: frames.Any) -> None:
+    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """Call servers say nothing here."""
 
-    def link_held(self, port: Port) -> int:
+    def circuits_held(self, port: Channel) -> int:
         """No circuits."""
         return 0
--- a/wellhitch/store/service.py
+++ b/wellhitch/store/service.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from wellhitch.net.seam import now_us
+from wellhitch.net.transport import now_us
 from wellhitch.store.engine import Engine, ScrubProgress, StoreError
 from wellhitch.store.maintenance import SCRUB_STEP_RECORDS, Maintenance
 from wellhitch.store.records import Change, DamagedRecord
