--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -172,7 +172,7 @@
 
 
 def rows_of(changes: list[Change]) -> list[Entry]:
-    return [decode(decode_row(one.body).entry) for one in changes if one.shelf == "chain" and one.body]
+    return [decode(decode_row(one.body).entry) for one in changes if one.bucket == "chain" and one.body]
 
 
 SEEN = DialogueFacts("origin", 3, 9, "card-lock", 5, "0800123", 1, "north", ("a",), "v1")
@@ -216,7 +216,7 @@
         Restarted(DECEMBER + 60 * SECOND, DECEMBER + 5 * SECOND, 20_000, 77, 1, book.chain.last_hash),
         Ended("origin", 3, 9, "restart", DECEMBER + 5 * SECOND, 5 * SECOND),
     ]
-    with pytest.raises(WrongDiskError, match="that of call server 3, not 4"):
+    with pytest.raises(WrongDiskError, match="belongs to call server 3, not 4"):
         open_journal(4, identity, None, 1, NumberKeys({}))
 
 
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -168,7 +168,7 @@
 
 def test_a_full_disk_makes_a_gap_that_is_said_and_ends_are_never_refused() -> None:
     one = OneDesk()
-    one.desk.keeper.writer.max_waiting = 60
+    one.desk.store.writer.max_waiting = 60
     one.stands(1)
     one.loop.advance(0.5)
     one.disk.full = True
@@ -248,7 +248,7 @@
     assert "15 digits" in _refused(one, f"correct 3/1 {'9' * 150} ana reason")
     assert "15 digits" in _refused(one, f"correct 3/{'9' * 150} 5 ana reason")
     assert "15 digits" in _refused(one, "correct ³/1 5 ana reason")
-    assert "call server 4's to correct" in _refused(one, "correct 4/1 5 ana reason")
+    assert "must be corrected at call server 4" in _refused(one, "correct 4/1 5 ana reason")
     assert "such as 2026-12" in _refused(one, "close 2026-13x")
     assert "the open one is 2026-12" in _refused(one, "close 2030-01")
     assert "a name in the ledger's folder" in _refused(one, "snapshot ../x")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -48,8 +48,8 @@
 SECOND = 1_000_000
 
 
-def change(n: int, size: int = 40, shelf: str = "a") -> Change:
-    return Change(shelf, n.to_bytes(4, "big"), bytes([n % 251]) * size)
+def change(n: int, size: int = 40, bucket: str = "a") -> Change:
+    return Change(bucket, n.to_bytes(4, "big"), bytes([n % 251]) * size)
 
 
 # ---- records ----
@@ -68,9 +68,9 @@
 def test_a_flipped_bit_or_another_place_is_found(body: bytes, data: st.DataObject) -> None:
     packed = bytearray(pack(Change("a", b"k", body)))
     assert unpack("a", b"k", bytes(packed)) == (1, body)
-    for shelf, key in (("b", b"k"), ("a", b"l"), ("ak", b"")):
+    for bucket, key in (("b", b"k"), ("a", b"l"), ("ak", b"")):
         with pytest.raises(DamagedRecord):
-            unpack(shelf, key, bytes(packed))
+            unpack(bucket, key, bytes(packed))
     packed[data.draw(st.integers(0, len(packed) - 1))] ^= 1 << data.draw(st.integers(0, 7))
     with pytest.raises(DamagedRecord):
         unpack("a", b"k", bytes(packed))
@@ -341,7 +341,7 @@
     state, seen = ScrubProgress(), []
     while (some := engine.scrub(state, 8)) is not None:
         seen += some
-    assert [(one.shelf, one.key) for one in seen] == [("a", change(7).key), ("a", b"\xff")]
+    assert [(one.bucket, one.key) for one in seen] == [("a", change(7).key), ("a", b"\xff")]
     assert state.records == 50 and state.damage == 2
 
 
@@ -414,7 +414,7 @@
     world.disk.full = False
     world.loop.advance(6)
     assert world.safe == list(range(50)) and world.keeper.condition().state == "well"
-    told = world.keeper.refused()
+    told = world.keeper.take_refused()
     assert told.count == 30 and world.events().count("store_condition") == 2
 
 
@@ -521,7 +521,7 @@
         child.wait()
         child.stdout.close()
         engine = Engine(str(path))
-        a, b = (len(list(engine.scan(shelf))) for shelf in "ab")
+        a, b = (len(list(engine.scan(bucket))) for bucket in "ab")
         assert a == b and a > last and not any(isinstance(one, DamagedRecord) for one in engine.scan("a"))
         engine.close()
     assert HEADER_BYTES + CHECKSUM_BYTES == 19
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -17,7 +17,7 @@
 from wellhitch.ledger import reader
 from wellhitch.ledger.chain import ChainFault, ChainId, verify
 from wellhitch.ledger.periods import CLOCK_MARGIN_US, next_period, period_end
-from wellhitch.ledger.service import STORE, AccountingChannel
+from wellhitch.ledger.service import STORE_NAME, AccountingChannel
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
 from wellhitch.settings.sheet import span
@@ -158,7 +158,7 @@
 
 def verified(disk: EmulatedDisk) -> list[ChainFault]:
     """What is wrong with the chains on a disk."""
-    engine = disk.after_kill().open(STORE)
+    engine = disk.after_kill().open(STORE_NAME)
     chains: dict[ChainId, list[tuple[int, bytes | None]]] = {}
     for one in engine.scan("chain"):
         key = one.key if isinstance(one, DamagedRecord) else one[0]
--- a/wellhitch/lab/measure_ledger.py
+++ b/wellhitch/lab/measure_ledger.py
@@ -24,7 +24,7 @@
     Pull,
     compare_ranges,
 )
-from wellhitch.ledger.service import READ_ROWS, read_digests, read_store
+from wellhitch.ledger.service import DIGESTS_PER_READ, read_digests, read_store
 from wellhitch.store.engine import Engine
 from wellhitch.store.records import Change
 from wellhitch.store.writer import MAX_CHANGES_PER_COMMIT
@@ -103,7 +103,7 @@
     )
     began, count, after = time.perf_counter(), 0, b""
     while True:
-        some, last = read_digests(again, "chain", after, READ_ROWS)
+        some, last = read_digests(again, "chain", after, DIGESTS_PER_READ)
         count += len(some)
         if last is None:
             break
--- a/wellhitch/ledger/journal.py
+++ b/wellhitch/ledger/journal.py
@@ -1,15 +1,15 @@
-"""Makes entries of what the server sees and binds them into the chain. Pure: changes for the store are returned, the
-wall clock and the loop's are handed in.
+"""Turns what the server reports into entries and appends them to the chain. Pure: changes for the store are returned;
+wall time and the loop's time are passed in.
 
-A dialogue that stands is noted on a shelf of its own, so that after a crash it is known what stood, without reading the
-chain. Shelves:
+Each established dialogue also has a record of its own, so that after a crash the open dialogues are known without
+reading the chain. Buckets:
 
-    identity   whose disk this is, the present chain, the last moment it surely lived
-    chain      rows of own chains, by chain and row
-    standing   dialogues that stand now
-    about      own rows about another's dialogues, by their origin: period (7 bytes) and hash; what it may ask for
-    period     what must not be forgotten of each period (`periods.Kept`)
-    heard      rows of others, about dialogues of this origin"""
+    identity   the instance that owns the disk, its chains, its last heartbeat
+    chain      rows of the own chains, by chain and sequence
+    standing   dialogues that are established now
+    about      own rows about another instance's dialogues, by origin: period (7 bytes) and hash; the origin pulls these
+    period     the state of each period that must survive a restart (`periods.PeriodRecord`)
+    heard      rows of other instances: about own dialogues, or all rows of the instance that is replicated here"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -21,15 +21,22 @@
 from wellhitch.ledger.periods import Statement, next_period, period_at, period_end, previous_period
 from wellhitch.store.records import Change
 
-CHAIN, STANDING, ABOUT, PERIOD, IDENTITY, HEARD = "chain", "standing", "about", "period", "identity", "heard"
-ALIVE_EVERY = (
-    1_000_000  # us between notes of life: what a dialogue cut by a crash is billed too little at most
-)
+(
+    CHAIN_BUCKET,
+    ESTABLISHED_BUCKET,
+    ABOUT_BUCKET,
+    PERIOD_BUCKET,
+    IDENTITY_BUCKET,
+    PEER_ROWS_BUCKET,
+) = "chain", "standing", "about", "period", "identity", "heard"
+# Time between heartbeat records: the most that a dialogue cut by a crash is billed too little.
+HEARTBEAT_INTERVAL_US = 1_000_000
 SIDE_CODES = {"origin": 0, "tandem": 1, "destination": 2}
 
 
 class Identity(msgspec.Struct, array_like=True):
-    """Whose disk this is. `marks`: of all its chains, the present last."""
+    """The instance that owns the disk. `marks`: the marks of all its chains, the present one last. `alive_at`: the wall
+    time of the last heartbeat."""
 
     number: int
     marks: list[int]
@@ -37,7 +44,7 @@
 
 
 class EstablishedDialogue(msgspec.Struct, frozen=True, array_like=True):
-    """A dialogue that stands."""
+    """An established dialogue. `at`: wall time at which it was established."""
 
     side: str
     origin: int
@@ -52,7 +59,8 @@
 
 @dataclass(frozen=True, slots=True)
 class DialogueFacts:
-    """A dialogue as the server tells it."""
+    """A dialogue as the server reports it. The fields are those of `entries.Answered`, with the called number in
+    clear."""
 
     side: str
     origin: int
@@ -69,158 +77,165 @@
     via: int = -1
 
 
-def standing_key(side: str, origin: int, dialogue: int, dial: int) -> bytes:
-    """The store's key of a dialogue that stands. A tandem may be asked for the same dialogue by several dials."""
+def established_key(side: str, origin: int, dialogue: int, dial: int) -> bytes:
+    """The store's key of an established dialogue. Several dials may ask a tandem for the same dialogue."""
     name = origin.to_bytes(4, "big") + (dialogue & (1 << 64) - 1).to_bytes(8, "big")
     return name + bytes([SIDE_CODES[side]]) + (dial + 1 & 0xFFFF).to_bytes(2, "big")
 
 
 NewRow = tuple[str, bytes, bytes, int | None]
-"""Period, key and hash of a row, and whose dialogue it is about."""
+"""Period, key and hash of a row, and the origin of the dialogue that it is about."""
 
 
 @dataclass(slots=True)
 class Journal:
-    """One instance's own entries."""
+    """The entries of one instance. `new_rows`: rows appended since the caller last cleared it."""
 
     identity: Identity
     chain: Chain
     keys: NumberKeys
-    previous_end: tuple[int, int, bytes] = (0, 0, b"")  # mark, row and hash where the chain before ended
+    previous_end: tuple[int, int, bytes] = (0, 0, b"")  # mark, row and hash where the previous chain ended
     stated_periods: set[str] = field(default_factory=set)
     established: dict[bytes, tuple[EstablishedDialogue, int]] = field(default_factory=dict)
-    new_rows: list[NewRow] = field(default_factory=list)  # rows added since this was last emptied
-    _month: tuple[int, int, str] = (0, 0, "")
+    new_rows: list[NewRow] = field(default_factory=list)
+    _current_period: tuple[int, int, str] = (0, 0, "")  # start and end in wall time, name
 
     # -- rows --
 
-    def _row(self, entry: Entry, wall: int, about: int | None = None) -> list[Change]:
-        if not self._month[0] <= wall < self._month[1]:
+    def _append_row(self, entry: Entry, wall: int, about: int | None = None) -> list[Change]:
+        if not self._current_period[0] <= wall < self._current_period[1]:
             name = period_at(wall)
-            self._month = period_end(previous_period(name)), period_end(name), name
-        period, late_for = self._month[2], ""
+            self._current_period = period_end(previous_period(name)), period_end(name), name
+        period, late_for = self._current_period[2], ""
         while period in self.stated_periods:
-            # The clock was set back, or staff closed early: the statement holds, the row goes on into the next.
+            # The clock was set back, or an operator closed the period early. The statement holds: the row counts in
+            # the next period.
             late_for = late_for or period
             period = next_period(period)
         row = self.chain.append(entry, period, late_for)
         key = self.chain.name.key(row.seq)
         self.new_rows.append((period, key, self.chain.last_hash, about))
-        out = [Change(CHAIN, key, self.chain.last_row)]
+        changes = [Change(CHAIN_BUCKET, key, self.chain.last_row)]
         if about is not None and about != self.identity.number:
             body = period.encode() + self.chain.last_hash
-            out.append(Change(ABOUT, about.to_bytes(4, "big") + key, body))
-        return out
+            changes.append(Change(ABOUT_BUCKET, about.to_bytes(4, "big") + key, body))
+        return changes
 
-    def _answered(self, seen: DialogueFacts, answer: str, at: int) -> Answered:
-        number, number_key = self.keys.hashed(seen.called)
+    def _answer_entry(self, facts: DialogueFacts, answer: str, at: int) -> Answered:
+        number, number_key = self.keys.hashed(facts.called)
         return Answered(
-            seen.side,
-            seen.origin,
-            seen.dialogue,
-            seen.traffic_class,
-            seen.destination,
+            facts.side,
+            facts.origin,
+            facts.dialogue,
+            facts.traffic_class,
+            facts.destination,
             answer,
             at,
-            seen.width,
-            seen.tenant or "",
+            facts.width,
+            facts.tenant or "",
             number,
             number_key,
-            seen.tags,
-            seen.hooks,
-            seen.dial,
-            seen.onward,
-            seen.via,
+            facts.tags,
+            facts.hooks,
+            facts.dial,
+            facts.onward,
+            facts.via,
         )
 
-    def answered(self, seen: DialogueFacts, answer: str, wall: int, now: int) -> list[Change]:
-        """A dialogue got its answer here."""
-        entry = self._answered(seen, answer, wall)
-        out = self._row(entry, wall, seen.origin)
+    def answered(self, facts: DialogueFacts, answer: str, wall: int, now: int) -> list[Change]:
+        """A dialogue was answered here."""
+        entry = self._answer_entry(facts, answer, wall)
+        changes = self._append_row(entry, wall, facts.origin)
         if answer == "stands":
-            key = standing_key(seen.side, seen.origin, seen.dialogue, seen.dial)
-            held = EstablishedDialogue(seen.side, seen.origin, seen.dialogue, wall, seen.dial)
-            self.established[key] = held, now
-            out.append(Change(STANDING, key, msgspec.msgpack.encode(held)))
-        return out
+            key = established_key(facts.side, facts.origin, facts.dialogue, facts.dial)
+            dialogue = EstablishedDialogue(facts.side, facts.origin, facts.dialogue, wall, facts.dial)
+            self.established[key] = dialogue, now
+            changes.append(Change(ESTABLISHED_BUCKET, key, msgspec.msgpack.encode(dialogue)))
+        return changes
 
     def ended(
         self, side: str, origin: int, dialogue: int, how: str, wall: int, now: int, dial: int = -1
     ) -> list[Change]:
-        """A dialogue that stood is over. How long it stood is by the loop's clock, which nobody sets back."""
-        key = standing_key(side, origin, dialogue, dial)
-        held = self.established.pop(key, None)
-        if held is None:
-            return []  # it never stood as far as this ledger was told: nothing to end
-        entry = Ended(side, origin, dialogue, how, wall, max(0, now - held[1]), dial)
-        return [*self._row(entry, wall, origin), Change(STANDING, key, None)]
-
-    def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int, wall: int) -> list[Change]:
-        """The own office told of a dialogue that ended in this exchange and is over: both entries at once."""
-        answer = self._answered(seen, "stands", wall - stood)
-        ended = Ended(seen.side, seen.origin, seen.dialogue, how, wall, stood, seen.dial)
-        return self._row(answer, wall, seen.origin) + self._row(ended, wall, seen.origin)
+        """An established dialogue ended. Its duration is measured by the loop's clock, which is never set back."""
+        key = established_key(side, origin, dialogue, dial)
+        established = self.established.pop(key, None)
+        if established is None:
+            return []  # this ledger never saw it established
+        entry = Ended(side, origin, dialogue, how, wall, max(0, now - established[1]), dial)
+        return [*self._append_row(entry, wall, origin), Change(ESTABLISHED_BUCKET, key, None)]
+
+    def local_dialogue_ended(self, facts: DialogueFacts, how: str, stood: int, wall: int) -> list[Change]:
+        """The own office reported a dialogue within this exchange after its end: both entries are made at once."""
+        answer = self._answer_entry(facts, "stands", wall - stood)
+        ended = Ended(facts.side, facts.origin, facts.dialogue, how, wall, stood, facts.dial)
+        return self._append_row(answer, wall, facts.origin) + self._append_row(ended, wall, facts.origin)
 
     def append(self, entry: Entry, wall: int) -> list[Change]:
-        """An entry of staff's, or of the ledger itself."""
-        return self._row(entry, wall)
+        """Append an entry of an operator or of the ledger itself."""
+        return self._append_row(entry, wall)
 
     def entries_lost(self, count: int, first: int, last: int, wall: int) -> list[Change]:
-        """Entries found no room on the disk: say so."""
-        return self._row(EntriesLost(count, first, last), wall)
+        """Record that entries were dropped because the store was at capacity."""
+        return self._append_row(EntriesLost(count, first, last), wall)
 
-    # -- life --
+    # -- lifetime --
 
     def heartbeat(self, wall: int) -> list[Change]:
-        """Note that this instance lives."""
+        """Record that this instance is running."""
         self.identity.alive_at = max(self.identity.alive_at, wall)
-        return [Change(IDENTITY, b"", msgspec.msgpack.encode(self.identity))]
+        return [Change(IDENTITY_BUCKET, b"", msgspec.msgpack.encode(self.identity))]
 
     def statement(self, period: str) -> Statement:
-        """How far the chain goes for a period; nothing is added to it for that period from now on."""
+        """How far the chain goes for a period. From now on no row is added to that period."""
         self.stated_periods.add(period)
         return Statement(self.identity.number, self.chain.name.mark, self.chain.seq, self.chain.last_hash)
 
     def resume(self, established: Iterable[EstablishedDialogue], unsafe: int, wall: int) -> list[Change]:
-        """What a process says first: where the chain before ended, and that what stood is cut as of the last moment
-        that the one before surely lived."""
+        """The first entries of a process: where the previous chain ended, and that the dialogues it left were cut as of
+        the previous process's last heartbeat."""
         alive_at = self.identity.alive_at
         end = self.previous_end
-        out = self._row(Restarted(wall, alive_at, unsafe, *end), wall)
-        for held in established:
-            # A clock set back between the two lives must not make a span under nought.
+        changes = self._append_row(Restarted(wall, alive_at, unsafe, *end), wall)
+        for left in established:
+            # A clock set back between the two processes must not make the duration negative.
             ended = Ended(
-                held.side,
-                held.origin,
-                held.dialogue,
+                left.side,
+                left.origin,
+                left.dialogue,
                 "restart",
                 alive_at,
-                max(0, alive_at - held.at),
-                held.dial,
+                max(0, alive_at - left.at),
+                left.dial,
             )
-            out += self._row(ended, wall, held.origin)
-            out.append(Change(STANDING, standing_key(held.side, held.origin, held.dialogue, held.dial), None))
-        return out
+            changes += self._append_row(ended, wall, left.origin)
+            changes.append(
+                Change(
+                    ESTABLISHED_BUCKET,
+                    established_key(left.side, left.origin, left.dialogue, left.dial),
+                    None,
+                )
+            )
+        return changes
 
 
 def open_journal(
     number: int, found: bytes | None, last: tuple[int, bytes] | None, mark: int, keys: NumberKeys
 ) -> tuple[Journal, bool]:
-    """The book of an instance, from its identity record and the last row of its latest chain (its place and hash); and
-    whether the disk is new. Each process begins a chain of its own, named by `mark`: on an old disk the numbers of the
-    rows that follow may be used up. Raises OtherDisk where it is another instance's."""
+    """The journal of an instance, from its identity record and the position of the last row of its latest chain; and
+    whether the disk is new. Each process starts a new chain, named by `mark`: on an old disk the sequence numbers that
+    follow may be in use already. Raises WrongDiskError if the disk belongs to another instance."""
     if found is None:
         return Journal(Identity(number, [mark]), Chain(ChainId(number, mark)), keys), True
     identity = msgspec.msgpack.decode(found, type=Identity)
     if identity.number != number:
-        raise WrongDiskError(f"this disk is that of call server {identity.number}, not {number}")
+        raise WrongDiskError(f"the disk belongs to call server {identity.number}, not {number}")
     end = (identity.marks[-1], *(last or (0, INITIAL_HASH)))
-    while mark in identity.marks:  # drawn again by chance: its rows would take the place of the old ones
+    while mark in identity.marks:  # the same mark drawn again: its rows would overwrite the old ones
         mark += 1
     identity.marks.append(mark)
     return Journal(identity, Chain(ChainId(number, mark)), keys, end), False
 
 
-def last_of(name: ChainId, row: Row | None) -> tuple[int, bytes]:
-    """Place and hash of a chain's last row."""
+def last_position(name: ChainId, row: Row | None) -> tuple[int, bytes]:
+    """Sequence and hash of a chain's last row."""
     return (row.seq, row.hash(name)) if row else (0, INITIAL_HASH)
--- a/wellhitch/ledger/reader.py
+++ b/wellhitch/ledger/reader.py
@@ -8,7 +8,7 @@
 
 from wellhitch.ledger.chain import ChainFault, ChainId, Row, decode_row, verify
 from wellhitch.ledger.entries import EntriesLost, Entry, InvalidEntryError, decode
-from wellhitch.ledger.journal import CHAIN, HEARD, IDENTITY, PERIOD, Identity
+from wellhitch.ledger.journal import CHAIN_BUCKET, IDENTITY_BUCKET, PEER_ROWS_BUCKET, PERIOD_BUCKET, Identity
 from wellhitch.ledger.periods import RECORD_DECODER, PeriodRecord, period_end, previous_period
 from wellhitch.ledger.settle import DialogueEvidence, DialogueId, Settled, group_by_dialogue
 from wellhitch.store.engine import Engine, StoreError
@@ -61,27 +61,27 @@
 
 def _read(engine: Engine, where: str) -> LedgerContents:
     try:
-        found = engine.get(IDENTITY, b"")
+        found = engine.get(IDENTITY_BUCKET, b"")
     except DamagedRecord as damage:
         raise StoreError("damaged", f"{where}: {damage}") from None
     if found is None:
         raise StoreError("foreign", f"{where}: no ledger was begun there")
     out = LedgerContents(msgspec.msgpack.decode(found[1], type=Identity).number)
-    for one in engine.scan(PERIOD):
+    for one in engine.scan(PERIOD_BUCKET):
         if isinstance(one, DamagedRecord):
             out.faults.append(str(one))
         else:
             kept = RECORD_DECODER.decode(one[2])
             out.periods[kept.period] = kept
-    for shelf in (CHAIN, HEARD):
+    for bucket in (CHAIN_BUCKET, PEER_ROWS_BUCKET):
         chains: dict[ChainId, list[tuple[int, bytes | None]]] = {}
-        for one in engine.scan(shelf):
+        for one in engine.scan(bucket):
             key = one.key if isinstance(one, DamagedRecord) else one[0]
             name, seq = ChainId.from_key(key)
             chains.setdefault(name, []).append((seq, None if isinstance(one, DamagedRecord) else one[2]))
         for name, rows in chains.items():
             out.rows += _rows(name, rows)
-            if shelf == CHAIN:
+            if bucket == CHAIN_BUCKET:
                 out.faults += [str(wrong) for wrong in _verified(out, name, rows)]
     return out
 
--- a/wellhitch/store/engine.py
+++ b/wellhitch/store/engine.py
@@ -129,9 +129,9 @@
         """Put and take away, all or nothing, on disk when this returns. Raises StoreFault."""
         try:
             with self.db:
-                numbers = self._numbers({change.shelf for change in changes})
+                numbers = self._numbers({change.bucket for change in changes})
                 # Of several changes of one key the last holds: what came and went within a commit is never written.
-                last = {(numbers[change.shelf], change.key): change for change in changes}
+                last = {(numbers[change.bucket], change.key): change for change in changes}
                 put = [(*at, pack(one)) for at, one in last.items() if one.body is not None]
                 gone = [at for at, one in last.items() if one.body is None]
                 self.db.executemany("insert or replace into record values (?, ?, ?)", put)
@@ -148,25 +148,25 @@
 
     # -- reading --
 
-    def get(self, shelf: str, key: bytes) -> tuple[int, bytes] | None:
+    def get(self, bucket: str, key: bytes) -> tuple[int, bytes] | None:
         """Version and body. Raises Damaged, StoreFault."""
         try:
             found = self.db.execute(
                 "select cast(data as blob) from record, shelf "
                 "where shelf.name = ? and record.shelf = shelf.number and key = ?",
-                (shelf, key),
+                (bucket, key),
             ).get
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
-        return None if found is None else unpack(shelf, key, found)
+        return None if found is None else unpack(bucket, key, found)
 
     def scan(
-        self, shelf: str, low: bytes = b"", high: bytes | None = None, reverse: bool = False
+        self, bucket: str, low: bytes = b"", high: bytes | None = None, reverse: bool = False
     ) -> Iterator[tuple[bytes, int, bytes] | DamagedRecord]:
         """Keys from `low` on, under `high`, in order, or from the last `back`; a damaged record is told in its place.
         Raises StoreFault."""
         order = "desc" if reverse else "asc"
-        top, values = ("", (shelf, low)) if high is None else ("and key < ?", (shelf, low, high))
+        top, values = ("", (bucket, low)) if high is None else ("and key < ?", (bucket, low, high))
         try:
             rows = self.db.execute(
                 "select cast(key as blob), cast(data as blob) from record, shelf "
@@ -176,13 +176,13 @@
             )
             for key, data in rows:
                 try:
-                    yield key, *unpack(shelf, key or b"", data or b"")
+                    yield key, *unpack(bucket, key or b"", data or b"")
                 except DamagedRecord as damage:
                     yield damage
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
 
-    def shelves(self) -> list[str]:
+    def buckets(self) -> list[str]:
         """Names of all shelves. Raises StoreFault."""
         try:
             return [name for (name,) in self.db.execute("select name from shelf order by name")]
--- a/wellhitch/store/records.py
+++ b/wellhitch/store/records.py
@@ -23,16 +23,16 @@
 class DamagedRecord(Exception):
     """A record that is not what was written. Names shelf and key."""
 
-    def __init__(self, shelf: str, key: bytes, why: str) -> None:
-        super().__init__(f"shelf {shelf}, key {key.hex()}: {why}")
-        self.shelf, self.key, self.why = shelf, key, why
+    def __init__(self, bucket: str, key: bytes, why: str) -> None:
+        super().__init__(f"shelf {bucket}, key {key.hex()}: {why}")
+        self.bucket, self.key, self.why = bucket, key, why
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
     """One record to put, or, with `body` None, to take away."""
 
-    shelf: str
+    bucket: str
     key: bytes
     body: bytes | None
     version: int = 1
@@ -43,9 +43,9 @@
         return len(self.key) + len(self.body or b"") + HEADER_BYTES + CHECKSUM_BYTES
 
 
-def checksum(shelf: str, key: bytes, version: int, body: bytes) -> bytes:
+def checksum(bucket: str, key: bytes, version: int, body: bytes) -> bytes:
     """The sum of a record."""
-    made = blake3(len(shelf).to_bytes(2, "big") + shelf.encode())
+    made = blake3(len(bucket).to_bytes(2, "big") + bucket.encode())
     made.update(len(key).to_bytes(2, "big") + key + version.to_bytes(2, "big"))
     made.update(body)
     return made.digest(CHECKSUM_BYTES)
@@ -55,19 +55,19 @@
     """A record's bytes. Raises ValueError where the version is none of 1 to 65,535."""
     if change.body is None or not 0 < change.version < 1 << 16:
         raise ValueError(f"version {change.version} of a record, or no body")
-    total = checksum(change.shelf, change.key, change.version, change.body)
+    total = checksum(change.bucket, change.key, change.version, change.body)
     return bytes([FORMAT]) + change.version.to_bytes(2, "big") + total + change.body
 
 
-def unpack(shelf: str, key: bytes, data: bytes) -> tuple[int, bytes]:
+def unpack(bucket: str, key: bytes, data: bytes) -> tuple[int, bytes]:
     """Version and body. Raises Damaged; total: any bytes give a record or that."""
     if len(data) < HEADER_BYTES + CHECKSUM_BYTES:
-        raise DamagedRecord(shelf, key, f"{len(data)} bytes, too few for a record")
+        raise DamagedRecord(bucket, key, f"{len(data)} bytes, too few for a record")
     version, body = int.from_bytes(data[1:3], "big"), data[HEADER_BYTES + CHECKSUM_BYTES :]
-    if data[HEADER_BYTES : HEADER_BYTES + CHECKSUM_BYTES] != checksum(shelf, key, version, body):
-        raise DamagedRecord(shelf, key, "its checksum does not fit")
+    if data[HEADER_BYTES : HEADER_BYTES + CHECKSUM_BYTES] != checksum(bucket, key, version, body):
+        raise DamagedRecord(bucket, key, "its checksum does not fit")
     if data[0] != FORMAT:
-        raise DamagedRecord(shelf, key, f"format {data[0]}; this program reads {FORMAT}")
+        raise DamagedRecord(bucket, key, f"format {data[0]}; this program reads {FORMAT}")
     return version, body
 
 
@@ -86,11 +86,11 @@
         if missing:
             raise ValueError(f"no step from version {missing[0]}")
 
-    def body(self, shelf: str, key: bytes, version: int, body: bytes) -> bytes:
+    def body(self, bucket: str, key: bytes, version: int, body: bytes) -> bytes:
         """The body as of the present version. Raises Damaged for a version that a newer program wrote: it is left as
         it is, for nothing may be lost by an older one reading it."""
         if not 1 <= version <= self.present:
-            raise DamagedRecord(shelf, key, f"version {version}; this program reads 1 to {self.present}")
+            raise DamagedRecord(bucket, key, f"version {version}; this program reads 1 to {self.present}")
         for n in range(version, self.present):
             body = self.steps[n](body)
         return body
--- a/wellhitch/store/service.py
+++ b/wellhitch/store/service.py
@@ -128,15 +128,15 @@
         self._arm()
         return True
 
-    def room(self, changes: int) -> bool:
+    def has_capacity(self, changes: int) -> bool:
         """Whether so many changes would be taken now."""
         return self.writer.held + changes <= self.writer.max_waiting
 
-    def refuse(self) -> None:
+    def count_refused(self) -> None:
         """Count something that found no room."""
         self.writer.refuse(self.now())
 
-    def refused(self) -> RefusedChanges:
+    def take_refused(self) -> RefusedChanges:
         """As `Writer.take_refused`."""
         return self.writer.take_refused()
 
@@ -221,7 +221,7 @@
         for damage in found:
             self.counts["store_damaged"] += 1
             self.damage.append(damage)
-            self.write_log("store_damaged", shelf=damage.shelf, key=damage.key.hex(), why=damage.why)
+            self.write_log("store_damaged", shelf=damage.bucket, key=damage.key.hex(), why=damage.why)
 
     def _checked(self, found: Any) -> None:
         for why in [str(found)] if isinstance(found, StoreError) else found:
