--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -118,7 +118,7 @@
         names = {
             (entry.origin, entry.dialogue)
             for _, _, entry in found.rows
-            if isinstance(entry, Answered) and keys.matches(called, entry.number, entry.number_key)
+            if isinstance(entry, Answered) and keys.matches(called, entry.called_hash, entry.number_key)
         }
         settled = [one for one in settled if one.dialogue_id in names]
     rows = [
--- a/wellhitch/ledger/closing.py
+++ b/wellhitch/ledger/closing.py
@@ -1,4 +1,4 @@
-"""What a closed period says: all rows that are known up to it, gathered by dialogue and settled. Pure over rows."""
+"""Settles all rows known up to a closed period. Pure over rows."""
 
 from collections.abc import Iterable
 
@@ -10,19 +10,19 @@
 def settled(
     origin: int, rows: Iterable[tuple[str, Row]], until: str
 ) -> tuple[list[Settled], list[tuple[str, EntriesLost]]]:
-    """The dialogues of one origin by the rows of all ends (`chain name, row`) in periods up to `until`; and where
-    entries are lacking, with the chain that says so. A row of a later period waits for that one's closing."""
-    found: dict[DialogueId, DialogueEvidence] = {}
-    lacking = []
+    """Settle the dialogues of one origin from the rows of all ends (`chain name, row`) in periods up to `until`. Also
+    returns the records of lost entries, with their chain. A row of a later period waits until that period is closed."""
+    evidence_by_id: dict[DialogueId, DialogueEvidence] = {}
+    lost_entries = []
     for chain, row in rows:
         if row.period > until:
             continue
         try:
             entry = decode(row.entry)
         except InvalidEntryError:
-            continue  # named by verify; it says nothing of any dialogue
+            continue  # reported by chain.verify
         if isinstance(entry, EntriesLost):
-            lacking.append((chain, entry))
+            lost_entries.append((chain, entry))
         elif getattr(entry, "origin", None) == origin:
-            group_by_dialogue([entry], found)
-    return [views.settled() for views in found.values()], lacking
+            group_by_dialogue([entry], evidence_by_id)
+    return [evidence.settled() for evidence in evidence_by_id.values()], lost_entries
--- a/wellhitch/ledger/journal.py
+++ b/wellhitch/ledger/journal.py
@@ -73,8 +73,8 @@
     tags: tuple[str, ...] = ()
     hooks: str = ""
     dial: int = -1
-    onward: int = -1
-    via: int = -1
+    onward_dial: int = -1
+    tandem: int = -1
 
 
 def established_key(side: str, origin: int, dialogue: int, dial: int) -> bytes:
@@ -122,7 +122,7 @@
         return changes
 
     def _answer_entry(self, facts: DialogueFacts, answer: str, at: int) -> Answered:
-        number, number_key = self.keys.hashed(facts.called)
+        called_hash, number_key = self.keys.hashed(facts.called)
         return Answered(
             facts.side,
             facts.origin,
@@ -133,13 +133,13 @@
             at,
             facts.width,
             facts.tenant or "",
-            number,
+            called_hash,
             number_key,
             facts.tags,
             facts.hooks,
             facts.dial,
-            facts.onward,
-            facts.via,
+            facts.onward_dial,
+            facts.tandem,
         )
 
     def answered(self, facts: DialogueFacts, answer: str, wall: int, now: int) -> list[Change]:
@@ -154,20 +154,22 @@
         return changes
 
     def ended(
-        self, side: str, origin: int, dialogue: int, how: str, wall: int, now: int, dial: int = -1
+        self, side: str, origin: int, dialogue: int, ending: str, wall: int, now: int, dial: int = -1
     ) -> list[Change]:
         """An established dialogue ended. Its duration is measured by the loop's clock, which is never set back."""
         key = established_key(side, origin, dialogue, dial)
         established = self.established.pop(key, None)
         if established is None:
             return []  # this ledger never saw it established
-        entry = Ended(side, origin, dialogue, how, wall, max(0, now - established[1]), dial)
+        entry = Ended(side, origin, dialogue, ending, wall, max(0, now - established[1]), dial)
         return [*self._append_row(entry, wall, origin), Change(ESTABLISHED_BUCKET, key, None)]
 
-    def local_dialogue_ended(self, facts: DialogueFacts, how: str, stood: int, wall: int) -> list[Change]:
+    def local_dialogue_ended(
+        self, facts: DialogueFacts, ending: str, duration: int, wall: int
+    ) -> list[Change]:
         """The own office reported a dialogue within this exchange after its end: both entries are made at once."""
-        answer = self._answer_entry(facts, "stands", wall - stood)
-        ended = Ended(facts.side, facts.origin, facts.dialogue, how, wall, stood, facts.dial)
+        answer = self._answer_entry(facts, "stands", wall - duration)
+        ended = Ended(facts.side, facts.origin, facts.dialogue, ending, wall, duration, facts.dial)
         return self._append_row(answer, wall, facts.origin) + self._append_row(ended, wall, facts.origin)
 
     def append(self, entry: Entry, wall: int) -> list[Change]:
--- a/wellhitch/ledger/service.py
+++ b/wellhitch/ledger/service.py
@@ -364,9 +364,9 @@
 
         self._run_when_open(work)
 
-    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, ending: str, dial: int = -1) -> None:
         """An established dialogue ended."""
-        end = (side, origin, dialogue, how, self.wall(), self._now(), dial)
+        end = (side, origin, dialogue, ending, self.wall(), self._now(), dial)
 
         def work() -> None:
             # An end is not dropped when the store is at capacity but waits: otherwise a crash would bill the dialogue
@@ -381,14 +381,14 @@
         while self._pending_ends and self.store.has_capacity(MAX_CHANGES_PER_EVENT):
             self._write(journal.ended(*self._pending_ends.popleft()))
 
-    def local_dialogue_ended(self, facts: DialogueFacts, how: str, stood: int) -> None:
+    def local_dialogue_ended(self, facts: DialogueFacts, ending: str, duration: int) -> None:
         """The own office reported the end of a dialogue that ran within this exchange."""
         wall = self.wall()
 
         def work() -> None:
             journal = self._require_journal()
             if self._has_capacity():
-                self._write(journal.local_dialogue_ended(facts, how, stood, wall))
+                self._write(journal.local_dialogue_ended(facts, ending, duration, wall))
 
         self._run_when_open(work)
 
--- a/wellhitch/ledger/settle.py
+++ b/wellhitch/ledger/settle.py
@@ -1,22 +1,23 @@
-"""One figure a dialogue from what all ends saw: a written rule that gives the same at each end, in whatever order the
-entries come and however often. Pure.
-
-What is known of a dialogue is a set of entries; joining two sets is their union, so that order and repetition cannot
-matter, and the figure is a function of the set alone:
-
-1. What is billed belongs to the origin's tenant and use case; without the origin's word nothing is billed (`orphan`).
-2. Where the origin's answer is not `stands`, nothing is billed: the caller was never told that it stands.
-3. A dialogue that stood and is not over is `open` and billed later.
-4. What an end says counts only of the dial that stood: the origin names it and the tandem it went by, the tandem its
-   own onward. Guards against a tandem that turned the first dial back, or lost its answer, while the second stood.
-   Else the least that any end present saw it stand is billed. An end that answered it otherwise saw it stand for
-   nothing; an end of which no entry came counts for nothing, neither for the tenant nor against.
-5. Where several entries of one end differ (an instance that came back with an old disk), one that a restart guessed
-   counts for nothing beside one that saw the end, and of the rest the least counts.
-6. Corrections by staff are added after that, each once; the whole is not under nought.
-
-The least is taken since a tenant pays for no microsecond that some end did not see. Ends that differ by more than
-`SLACK` are listed as a dispute, with the evidence."""
+"""Derives one billed duration per dialogue from what all ends reported: a fixed rule that gives the same result at each
+end, in whatever order and however often the entries arrive. Pure.
+
+The evidence about a dialogue is a set of entries. Joining two sets is their union, so order and repetition cannot
+matter, and the result is a function of the set alone:
+
+1. What is billed belongs to the origin's tenant and traffic class. Without an entry of the origin nothing is billed
+   (`orphan`).
+2. If the origin's answer is not `stands`, nothing is billed: the caller was never told of an established dialogue.
+3. An established dialogue that has not ended is `open` and is billed later.
+4. An end's entries count only for the dial that was established: the origin names it and the tandem it used, the tandem
+   names its onward dial. Guards against a tandem that rejected the first dial, or whose answer was lost, while the
+   second was established. The shortest duration that any reporting end saw is billed. An end that answered otherwise
+   saw a duration of zero; an end without entries counts neither for the tenant nor against.
+5. If several entries of one end differ (an instance that came back with an old disk), one estimated after a restart is
+   ignored if another saw the end, and of the rest the shortest counts.
+6. Corrections by operators are then added, each once; the result is at least zero.
+
+The shortest duration is used so that a tenant pays for no microsecond that some end did not see. Ends that differ by
+more than `DISPUTE_THRESHOLD_US` are listed as a dispute, with the evidence."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -32,7 +33,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """What is billed of a dialogue. `state`: `billed`, `not_billed`, `open`, `orphan`."""
+    """The result for one dialogue. `state`: `billed`, `not_billed`, `open` or `orphan`. `billed`: the duration in us,
+    `corrected` included. `ended`: wall time."""
 
     dialogue_id: DialogueId
     state: str
@@ -49,74 +51,75 @@
 
 @dataclass(slots=True)
 class DialogueEvidence:
-    """All entries known of one dialogue. `add` is a union: order and repetition are of no matter."""
+    """All entries known about one dialogue. `add` is a union: order and repetition do not matter."""
 
     dialogue_id: DialogueId
     answers: set[Answered] = field(default_factory=set)
-    overs: set[Ended] = field(default_factory=set)
+    ends: set[Ended] = field(default_factory=set)
     corrections: set[Corrected] = field(default_factory=set)
 
     def add(self, entry: Entry) -> None:
-        """One more entry about this dialogue."""
+        """Add an entry about this dialogue."""
         if isinstance(entry, Answered):
             self.answers.add(entry)
         elif isinstance(entry, Ended):
-            self.overs.add(entry)
+            self.ends.add(entry)
         elif isinstance(entry, Corrected):
             self.corrections.add(entry)
 
     def join(self, other: "DialogueEvidence") -> None:
-        """All that another end knows too."""
+        """Add all entries known elsewhere."""
         self.answers |= other.answers
-        self.overs |= other.overs
+        self.ends |= other.ends
         self.corrections |= other.corrections
 
     def _ends(self, side: str, dial: int) -> list[Ended]:
-        """The ends that one side saw of a dial; those that a restart guessed only where there is no other."""
-        overs = [one for one in self.overs if one.side == side and one.dial == dial]
-        return [one for one in overs if one.how != "restart"] or overs
-
-    def _spans(self, origin: Answered) -> dict[str, int | None]:
-        """How long each side saw the dial stand that the origin says stood."""
-        out = {"origin": self._stood("origin", -1)}
-        if origin.via < 0:
-            out["destination"] = self._stood("destination", origin.onward)
-            return out
-        out["tandem"] = self._stood("tandem", origin.onward)
-        tandems = [one for one in self.answers if one.side == "tandem" and one.dial == origin.onward]
-        onward = {one.onward for one in tandems if one.answer == "stands"}
-        if (
-            len(onward) == 1
-        ):  # without the tandem's word it is not known which dial of its reached the destination
-            out["destination"] = self._stood("destination", onward.pop())
-        return out
-
-    def _stood(self, side: str, dial: int) -> int | None:
-        """How long one side saw a dial stand: None where it said nothing, -1 where it stands still."""
-        answers = [one for one in self.answers if one.side == side and one.dial == dial]
-        overs = self._ends(side, dial)
-        if any(one.answer != "stands" for one in answers):
+        """The ends of a dial that one side reported; those estimated after a restart only if there is no other."""
+        ends = [end for end in self.ends if end.side == side and end.dial == dial]
+        return [end for end in ends if end.ending != "restart"] or ends
+
+    def _durations(self, origin: Answered) -> dict[str, int | None]:
+        """For each side, the duration of the dial that the origin says was established."""
+        durations = {"origin": self._duration("origin", -1)}
+        if origin.tandem < 0:
+            durations["destination"] = self._duration("destination", origin.onward_dial)
+            return durations
+        durations["tandem"] = self._duration("tandem", origin.onward_dial)
+        tandem_answers = [
+            answer for answer in self.answers if answer.side == "tandem" and answer.dial == origin.onward_dial
+        ]
+        onward_dials = {answer.onward_dial for answer in tandem_answers if answer.answer == "stands"}
+        # Only the tandem's entry tells which of its dials reached the destination.
+        if len(onward_dials) == 1:
+            durations["destination"] = self._duration("destination", onward_dials.pop())
+        return durations
+
+    def _duration(self, side: str, dial: int) -> int | None:
+        """The duration of a dial as one side saw it: None without entries, -1 while it is still established."""
+        answers = [answer for answer in self.answers if answer.side == side and answer.dial == dial]
+        ends = self._ends(side, dial)
+        if any(answer.answer != "stands" for answer in answers):
             return 0
-        if overs:
-            return min(one.stood for one in overs)
+        if ends:
+            return min(end.duration for end in ends)
         return -1 if answers else None
 
     def settled(self) -> Settled:
-        """What the rule says of what is known."""
-        # Two that differ: the lesser by all its fields, so that each end picks the same.
+        """Apply the rule to the evidence."""
+        # Of two entries that differ the smaller by all fields is used, so that each end picks the same.
         origin = min(
-            (one for one in self.answers if one.side == "origin"),
-            key=lambda one: (one.answer == "stands", encode(one)),
+            (answer for answer in self.answers if answer.side == "origin"),
+            key=lambda answer: (answer.answer == "stands", encode(answer)),
             default=None,
         )
         if origin is None:
             return Settled(self.dialogue_id, "orphan")
-        spans = self._spans(origin)
-        change = sum(one.change for one in self.corrections)
-        ended = min((one.at for one in self._ends("origin", -1)), default=origin.at)
+        durations = self._durations(origin)
+        change = sum(correction.change for correction in self.corrections)
+        ended = min((end.at for end in self._ends("origin", -1)), default=origin.at)
         billed, state, dispute = 0, "not_billed", ""
         if origin.answer == "stands":
-            if spans["origin"] == -1:
+            if durations["origin"] == -1:
                 return Settled(
                     self.dialogue_id,
                     "open",
@@ -126,13 +129,17 @@
                     origin.destination,
                     origin.width,
                 )
-            # An end where it stands still has not seen its end: its span is no bound yet.
-            seen = {side: span for side, span in spans.items() if span is not None and span >= 0}
-            billed, state = min(seen.values()), "billed"
-            if max(seen.values()) - billed > DISPUTE_THRESHOLD_US:
-                dispute = ", ".join(f"{side} {span}" for side, span in sorted(seen.items()))
-        elif any(one.stood > DISPUTE_THRESHOLD_US for one in self.overs if one.side != "origin"):
-            dispute = f"origin {origin.answer}, though another end saw it stand"
+            # A side where the dialogue is still established has not seen its end yet and sets no bound.
+            known = {
+                side: duration
+                for side, duration in durations.items()
+                if duration is not None and duration >= 0
+            }
+            billed, state = min(known.values()), "billed"
+            if max(known.values()) - billed > DISPUTE_THRESHOLD_US:
+                dispute = ", ".join(f"{side} {duration}" for side, duration in sorted(known.items()))
+        elif any(end.duration > DISPUTE_THRESHOLD_US for end in self.ends if end.side != "origin"):
+            dispute = f"origin {origin.answer}, but another end saw it established"
         return Settled(
             self.dialogue_id,
             state,
@@ -151,13 +158,13 @@
 def group_by_dialogue(
     entries: Iterable[Entry], into: dict[DialogueId, DialogueEvidence] | None = None
 ) -> dict[DialogueId, DialogueEvidence]:
-    """Entries by the dialogue they speak of."""
-    out: dict[DialogueId, DialogueEvidence] = {} if into is None else into
+    """Group entries by the dialogue that they are about."""
+    evidence_by_id: dict[DialogueId, DialogueEvidence] = {} if into is None else into
     for entry in entries:
         if isinstance(entry, (Answered, Ended, Corrected)):
             dialogue_id = (entry.origin, entry.dialogue)
-            views = out.get(dialogue_id)
-            if views is None:
-                views = out[dialogue_id] = DialogueEvidence(dialogue_id)
-            views.add(entry)
-    return out
+            evidence = evidence_by_id.get(dialogue_id)
+            if evidence is None:
+                evidence = evidence_by_id[dialogue_id] = DialogueEvidence(dialogue_id)
+            evidence.add(entry)
+    return evidence_by_id
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -84,13 +84,13 @@
 class Witness(Protocol):
     """What a ledger is told; nothing comes back, and nothing waits for it."""
 
-    def answered(self, seen: DialogueFacts, answer: str) -> None:
+    def answered(self, facts: DialogueFacts, answer: str) -> None:
         """A dialogue got its answer."""
 
-    def ended(self, side: str, origin: int, dialogue: int, how: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, ending: str, dial: int = -1) -> None:
         """A dialogue that stood is over, `released` or `cut`; `dial` as it was asked for here."""
 
-    def local_dialogue_ended(self, seen: DialogueFacts, how: str, stood: int) -> None:
+    def local_dialogue_ended(self, facts: DialogueFacts, ending: str, duration: int) -> None:
         """The own office told of one that ended in this exchange."""
 
 
