--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -36,7 +36,7 @@
 from wellhitch.ledger.outbox import FolderOutbox
 from wellhitch.ledger.periods import CLOCK_MARGIN_US, Prepare, period_end
 from wellhitch.ledger.rating import (
-    CENT,
+    CENT_MICROS,
     MissingPriceError,
     Price,
     Tariff,
@@ -327,7 +327,7 @@
     deaths = 0
     while sender.files:
         now += RETRY_INTERVAL_US
-        data = sender.next(now)
+        data = sender.next_file(now)
         if data is None:
             continue
         if chance.random() < 0.7:
@@ -424,9 +424,9 @@
 @given(st.dictionaries(st.text(max_size=3), st.integers(-(10**9), 10**9), max_size=30))
 def test_the_sum_of_the_lines_is_the_whole_to_the_cent(parts: dict[str, int]) -> None:
     cents = to_cents(parts)
-    assert sum(cents.values()) == (sum(parts.values()) + CENT // 2) // CENT
+    assert sum(cents.values()) == (sum(parts.values()) + CENT_MICROS // 2) // CENT_MICROS
     # No line is off by a cent or more, and none passes one that had more.
-    assert all(abs(cents[name] * CENT - micros) < CENT for name, micros in parts.items())
+    assert all(abs(cents[name] * CENT_MICROS - micros) < CENT_MICROS for name, micros in parts.items())
     order = sorted(parts, key=lambda name: (parts[name], cents[name]))
     assert all(cents[a] <= cents[b] for a, b in pairwise(order))
     assert to_cents(dict(reversed(parts.items()))) == cents
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -195,7 +195,7 @@
             "tenant": one.tenant,
             "use_case": one.traffic_class,
             "dialogues": one.dialogues,
-            "seconds": f"{one.span / 1e6:.3f}",
+            "seconds": f"{one.duration_us / 1e6:.3f}",
             prices.currency: _money(cents[f"{one.tenant}\0{one.traffic_class}"]),
         }
         for one in lines
--- a/wellhitch/lab/ledger_page.py
+++ b/wellhitch/lab/ledger_page.py
@@ -48,7 +48,7 @@
                     one.tenant,
                     one.traffic_class,
                     one.dialogues,
-                    f"{one.span / 1e6:.3f}",
+                    f"{one.duration_us / 1e6:.3f}",
                     f"{cents[f'{one.tenant}{chr(0)}{one.traffic_class}'] / 100:.2f}",
                 )
                 for one in lines
--- a/wellhitch/ledger/__init__.py
+++ b/wellhitch/ledger/__init__.py
@@ -1,11 +1,15 @@
-"""What each tenant used, counted the same by every call server. `docs/design/ledger.md`.
+"""Metering and settlement: what each tenant used, counted alike by every call server. See `docs/design/ledger.md`.
 
 entries.py     what happened to a dialogue as one call server saw it; called numbers only as keyed hashes
-chain.py       the entries of one instance, each bound to the one before by its hash
-journal.py     makes entries of what the server sees; restarts, gaps, clocks that go back
-settle.py      one figure a dialogue from what all ends saw, in any order
+chain.py       the entries of one instance as a hash chain
+journal.py     makes entries of the server's events; restarts, gaps, clocks set back
+settle.py      one duration per dialogue from what all ends saw, in any order
 periods.py     open, closing, closed: agreed by a majority of the instances
+closing.py     settles the rows known up to a closed period
 rating.py      tariffs, whole-number money, sums that add up
 export.py      files with sequence and MAC; each entry booked once
-reconcile.py   what another instance has and this one lacks
+outbox.py      folders through which files and receipts are exchanged with the accounting side
+reconcile.py   finds the rows that another instance has and this one lacks
+service.py     connects all of these to the event loop, the store and the other instances
+reader.py      reads a ledger from its disk for the command line
 """
--- a/wellhitch/ledger/export.py
+++ b/wellhitch/ledger/export.py
@@ -1,21 +1,20 @@
-"""Export to the accounting side: each settled figure is booked exactly once. Pure.
+"""Export to the accounting side: each settled duration is booked exactly once. Pure.
 
-What 'exactly once' rests on, and on nothing else:
+This rests on the following, and on nothing else:
 
-1. Files of one instance carry a sequence without gaps, and the MAC of a key that only the two sides have, over the
-   whole file, sequence and the MAC of the file before. A file is never made anew under its number: it is on the store
-   before its first byte is handed over, and handed over as it is until its receipt is there.
-2. The accounting side books a file and notes its sequence in one transaction of its own, takes only the next of
-   each instance, and answers a file it has booked already, by its MAC, with the same receipt. Another file under a
-   number that is booked is refused, and the booked ones from there on are given back.
-3. The receipt names the file's sequence and MAC, under the key. Only the receipt of the very file ends its handing
-   over.
+1. The files of one instance are numbered without gaps and carry a MAC, under a key that only the two sides have, over
+   the whole file, its number and the MAC of the previous file. A file is never made again under the same number: it is
+   on the store before its first byte is handed over, and is handed over unchanged until its receipt has arrived.
+2. The accounting side books a file and records its number in one transaction. It accepts only the next file of each
+   instance, and answers a file that is booked already, recognised by its MAC, with the same receipt. A different file
+   under a booked number is refused, and the booked files from that number on are returned.
+3. The receipt names the file's number and MAC, under the key. Only the receipt of the very file ends its handing over.
+4. An instance that came back with an old disk, or a new one, learns by 2 what it had exported: it adopts the returned
+   files and settles on from their figures.
 
-4. An instance that came back with an old disk, or none, learns by 2 what it had exported: it takes the given-back files
-   as its own, and settles on from their figures.
-
-So a cut anywhere leaves a file not booked and handed over again, or booked and answered again. What neither side can
-mend is a side that loses what it called safe: the receipt's key then shows which."""
+A failure at any point therefore leaves a file that is not booked and is handed over again, or one that is booked and
+answered again. Neither side can repair the loss of data that the other side reported as stored; the receipt's MAC then
+shows which side lost it."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -25,15 +24,16 @@
 
 from wellhitch.ledger.settle import DialogueId, Settled
 
-MAX_LINES_PER_FILE = 10_000  # of a file: some 1.5 MB, a second of a slow line
+MAX_LINES_PER_FILE = 10_000  # some 1.5 MB, a second of a slow line
 MAC_BYTES = 32
-RETRY_INTERVAL_US = 5_000_000  # us until a file without a receipt is handed over again
-INITIAL_MAC = bytes(MAC_BYTES)
+RETRY_INTERVAL_US = 5_000_000  # until a file without a receipt is handed over again
+INITIAL_MAC = bytes(MAC_BYTES)  # the previous MAC of the first file
 
 
 class ExportLine(msgspec.Struct, frozen=True, array_like=True):
-    """One dialogue's figure, or the change of one exported before: `billed` is what holds now, `change` what is to be
-    added to what was booked. `corrects` names the period in which it was first exported, empty for a new one."""
+    """One dialogue's figure, or the change of a figure exported before: `billed` is the figure that holds now, `change`
+    what is to be added to what was booked, both in us. `corrects` names the period in which the dialogue was first
+    exported, empty for a new one."""
 
     origin: int
     dialogue: int
@@ -49,14 +49,15 @@
 
 
 class Manifest(msgspec.Struct, frozen=True, array_like=True):
-    """What a file is. `before`: the MAC of the file before."""
+    """Describes a file. `lines`: their number; `change`: the sum of their changes; `previous_mac`: the MAC of the
+    previous file."""
 
     instance: int
     sequence: int
     period: str
     lines: int
     change: int
-    before: bytes
+    previous_mac: bytes
 
 
 class File(msgspec.Struct, frozen=True, array_like=True):
@@ -68,7 +69,7 @@
 
 
 class Receipt(msgspec.Struct, frozen=True, array_like=True):
-    """The accounting side has booked a file. `mac` is the file's, `seal` the accounting side's over all of it."""
+    """The accounting side has booked a file. `mac` is the file's, `seal` the accounting side's over the receipt."""
 
     instance: int
     sequence: int
@@ -77,112 +78,114 @@
 
 
 class InvalidFileError(Exception):
-    """Bytes that are no file or receipt of this key, with why."""
+    """Bytes that are not a file or receipt under this key."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_FILES = msgspec.msgpack.Decoder(File)
-_RECEIPTS = msgspec.msgpack.Decoder(Receipt)
+_FILE_DECODER = msgspec.msgpack.Decoder(File)
+_RECEIPT_DECODER = msgspec.msgpack.Decoder(Receipt)
 
 
-def _mac(key: bytes, what: bytes, *parts: object) -> bytes:
-    return blake3(what + _ENCODER.encode(parts), key=key).digest(MAC_BYTES)
+def _mac(key: bytes, purpose: bytes, *parts: object) -> bytes:
+    return blake3(purpose + _ENCODER.encode(parts), key=key).digest(MAC_BYTES)
 
 
 def make_file(
-    key: bytes, instance: int, sequence: int, period: str, lines: Iterable[ExportLine], before: bytes
+    key: bytes, instance: int, sequence: int, period: str, lines: Iterable[ExportLine], previous_mac: bytes
 ) -> bytes:
-    """A file's bytes."""
+    """Encode a file."""
     all_lines = tuple(lines)
-    change = sum(one.change for one in all_lines)
-    manifest = Manifest(instance, sequence, period, len(all_lines), change, before)
+    change = sum(line.change for line in all_lines)
+    manifest = Manifest(instance, sequence, period, len(all_lines), change, previous_mac)
     return _ENCODER.encode(File(manifest, all_lines, _mac(key, b"file", manifest, all_lines)))
 
 
 def read_file(key: bytes, data: bytes) -> File:
-    """A file. Raises BadFile; total."""
+    """Decode a file. Any input gives a file or raises InvalidFileError."""
     try:
-        file = _FILES.decode(data)
-    except (msgspec.MsgspecError, ValueError, RecursionError) as fault:
-        raise InvalidFileError(f"no file: {fault}") from None
+        file = _FILE_DECODER.decode(data)
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise InvalidFileError(f"not an export file: {error}") from None
     if file.mac != _mac(key, b"file", file.manifest, file.lines):
-        raise InvalidFileError("its MAC does not fit")
+        raise InvalidFileError("export file: its MAC does not match")
     return file
 
 
 def make_receipt(key: bytes, file: File) -> bytes:
-    """The receipt of a file that is booked: always the same for the same file."""
-    one = file.manifest
-    seal = _mac(key, b"receipt", one.instance, one.sequence, file.mac)
-    return _ENCODER.encode(Receipt(one.instance, one.sequence, file.mac, seal))
+    """Encode the receipt of a booked file; the same file always has the same receipt."""
+    manifest = file.manifest
+    seal = _mac(key, b"receipt", manifest.instance, manifest.sequence, file.mac)
+    return _ENCODER.encode(Receipt(manifest.instance, manifest.sequence, file.mac, seal))
 
 
 def read_receipt(key: bytes, data: bytes) -> Receipt:
-    """A receipt. Raises BadFile; total."""
+    """Decode a receipt. Any input gives a receipt or raises InvalidFileError."""
     try:
-        one = _RECEIPTS.decode(data)
-    except (msgspec.MsgspecError, ValueError, RecursionError) as fault:
-        raise InvalidFileError(f"no receipt: {fault}") from None
-    if one.seal != _mac(key, b"receipt", one.instance, one.sequence, one.mac):
-        raise InvalidFileError("its seal does not fit")
-    return one
+        receipt = _RECEIPT_DECODER.decode(data)
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise InvalidFileError(f"not a receipt: {error}") from None
+    if receipt.seal != _mac(key, b"receipt", receipt.instance, receipt.sequence, receipt.mac):
+        raise InvalidFileError("receipt: its seal does not match")
+    return receipt
 
 
-# ---- what goes into a file ----
+# ---- content of a file ----
 
 
 class ExportedFigure(msgspec.Struct, frozen=True, array_like=True):
-    """What was exported of a dialogue: the figure that holds at the accounting side, and the period in which it first
-    went."""
+    """What was exported of a dialogue: the figure that holds at the accounting side, and the period in which it was
+    first exported."""
 
     billed: int
     period: str
 
 
 def export_lines(
-    period: str, settled: Iterable[Settled], before: Mapping[DialogueId, ExportedFigure]
+    period: str, settled: Iterable[Settled], exported: Mapping[DialogueId, ExportedFigure]
 ) -> list[ExportLine]:
-    """Lines for what is new or differs from what was exported. A dialogue that is open or an orphan waits."""
-    out = []
-    for one in sorted(settled, key=lambda one: one.dialogue_id):
-        was = before.get(one.dialogue_id)
-        if one.state in ("open", "orphan") or (was is None and one.state != "billed"):
+    """Lines for dialogues that are new or differ from what was exported. Open and orphan dialogues wait."""
+    lines = []
+    for dialogue in sorted(settled, key=lambda dialogue: dialogue.dialogue_id):
+        previous = exported.get(dialogue.dialogue_id)
+        if dialogue.state in ("open", "orphan") or (previous is None and dialogue.state != "billed"):
             continue
-        had = was.billed if was else 0
-        if was is not None and had == one.billed:
+        previously_billed = previous.billed if previous else 0
+        if previous is not None and previously_billed == dialogue.billed:
             continue
-        out.append(
+        lines.append(
             ExportLine(
-                *one.dialogue_id,
-                one.tenant,
-                one.traffic_class,
-                one.destination,
-                one.width,
-                one.ended,
-                one.billed,
-                one.billed - had,
-                was.period if was else "",
-                one.tags,
+                *dialogue.dialogue_id,
+                dialogue.tenant,
+                dialogue.traffic_class,
+                dialogue.destination,
+                dialogue.width,
+                dialogue.ended,
+                dialogue.billed,
+                dialogue.billed - previously_billed,
+                previous.period if previous else "",
+                dialogue.tags,
             )
         )
-    return out
+    return lines
 
 
 # ---- handing over ----
 
 
 class ExportProgress(msgspec.Struct, array_like=True):
-    """How far an instance's export is, kept on its store: the last sequence made, its MAC, the last one receipted."""
+    """An instance's export as stored: the last file's number and MAC, the last file with a receipt, and the last period
+    that is completely in files."""
 
     sequence: int = 0
     mac: bytes = INITIAL_MAC
     receipted: int = 0
-    completed_period: str = ""  # the last period of which all is in files
+    completed_period: str = ""
 
 
 @dataclass(slots=True)
 class Sender:
-    """Hands over one file after the other. `files`: those without a receipt, by sequence."""
+    """Hands over one file after the other. `files`: those without a receipt, by number. `last_error`: why the last
+    receipt was not accepted."""
 
     key: bytes
     instance: int
@@ -191,81 +194,89 @@
     last_sent_us: int = -RETRY_INTERVAL_US
     last_error: str = ""
 
-    def next(self, now: int) -> bytes | None:
-        """The file to hand over now: the first without a receipt, again after AGAIN."""
+    def next_file(self, now: int) -> bytes | None:
+        """The file to hand over now: the first without a receipt, again after RETRY_INTERVAL_US."""
         if not self.files or now - self.last_sent_us < RETRY_INTERVAL_US:
             return None
         self.last_sent_us = now
         return self.files[min(self.files)]
 
     def adopt_returned_file(self, data: bytes) -> tuple[File, list[File]] | None:
-        """A file that this instance made, and does not remember: the one that is booked in the place of the first
-        without a receipt. It holds from now on; those made here in its place and after, which are returned too, are
-        void."""
+        """Adopt a file that this instance made on a disk it lost, and that is booked in place of the first file without
+        a receipt. Also returns the files made here in its place and after, which are void. None if `data` is not such a
+        file."""
         try:
             file = read_file(self.key, data)
         except InvalidFileError:
             return None
-        one = file.manifest
+        manifest = file.manifest
         first = min(self.files, default=0)
-        follows = one.instance == self.instance and one.sequence == first
-        if not follows or read_file(self.key, self.files[first]).manifest.before != one.before:
-            # Of a later place: it is given back again once this one's turn comes.
+        follows = manifest.instance == self.instance and manifest.sequence == first
+        if (
+            not follows
+            or read_file(self.key, self.files[first]).manifest.previous_mac != manifest.previous_mac
+        ):
+            # A file of a later number is returned again once that number is the first.
             return None
         if read_file(self.key, self.files[first]).mac == file.mac:
             return None
-        void = [read_file(self.key, self.files[n]) for n in sorted(self.files)]
+        void = [read_file(self.key, self.files[sequence]) for sequence in sorted(self.files)]
         self.files.clear()
-        self.progress.sequence = self.progress.receipted = one.sequence
+        self.progress.sequence = self.progress.receipted = manifest.sequence
         self.progress.mac = file.mac
         self.last_sent_us = -RETRY_INTERVAL_US
         return file, void
 
     def accept_receipt(self, data: bytes) -> int | None:
-        """A receipt came; the sequence it ends, or None where it changes nothing: doubled, of another file, not
-        sealed."""
+        """Handle a receipt. Returns the number of the file it completes, or None if it changes nothing: a duplicate, of
+        another file, or invalid."""
         try:
-            one = read_receipt(self.key, data)
-        except InvalidFileError as bad:
-            self.last_error = str(bad)
+            receipt = read_receipt(self.key, data)
+        except InvalidFileError as error:
+            self.last_error = str(error)
             return None
-        if one.instance != self.instance or one.sequence not in self.files:
-            self.last_error = f"a receipt for file {one.sequence} of call server {one.instance}"
+        if receipt.instance != self.instance or receipt.sequence not in self.files:
+            self.last_error = f"a receipt for file {receipt.sequence} of call server {receipt.instance}"
             return None
-        if one.sequence != min(self.files) or read_file(self.key, self.files[one.sequence]).mac != one.mac:
-            self.last_error = f"a receipt for another file under number {one.sequence}"
+        if (
+            receipt.sequence != min(self.files)
+            or read_file(self.key, self.files[receipt.sequence]).mac != receipt.mac
+        ):
+            self.last_error = f"a receipt for another file with number {receipt.sequence}"
             return None
-        del self.files[one.sequence]
-        self.progress.receipted = one.sequence
+        del self.files[receipt.sequence]
+        self.progress.receipted = receipt.sequence
         self.last_sent_us = -RETRY_INTERVAL_US
-        return one.sequence
+        return receipt.sequence
 
 
-# ---- the accounting side's part, which a stand-in and any real one must keep ----
+# ---- the accounting side's part, which the stand-in and any real one must follow ----
 
 
 @dataclass(frozen=True, slots=True)
 class FileDecision:
-    """What the accounting side does with a file: `book` it and then answer, `answer` again, `give_back` those it has
-    booked from that number on, or `refuse`, the last two with why."""
+    """What the accounting side does with a file: `book` it and then answer; `answer` it again; `give_back` the files it
+    has booked from that number on; or `refuse` it. `why` gives the reason of the last two."""
 
     action: str
     why: str = ""
 
 
 def evaluate_file(file: File, last: int, last_mac: bytes, booked_mac: bytes | None) -> FileDecision:
-    """Whether a file is the next of its instance, by what was booked last; `booked_mac`: of the file that is booked
-    under its number, if any."""
-    one = file.manifest
-    if one.lines != len(file.lines) or one.change != sum(line.change for line in file.lines):
-        return FileDecision("refuse", "its manifest does not fit its lines")
-    if one.sequence <= last:
+    """Decide whether a file is the next of its instance. `last`, `last_mac`: the file booked last; `booked_mac`: the
+    MAC of the file that is booked under this file's number, if any."""
+    manifest = file.manifest
+    if manifest.lines != len(file.lines) or manifest.change != sum(line.change for line in file.lines):
+        return FileDecision("refuse", "the manifest does not match the lines")
+    if manifest.sequence <= last:
         # Guards against a receipt for a file that was never booked: an old disk makes other files under old numbers.
         if booked_mac == file.mac:
             return FileDecision("answer")
-        return FileDecision("give_back", f"file {one.sequence} is booked, and is another one")
-    if one.sequence != last + 1:
-        return FileDecision("refuse", f"file {one.sequence} after {last}: one is missing between")
-    if one.before != last_mac:
-        return FileDecision("refuse", f"file {one.sequence} does not follow the file {last} that was booked")
+        return FileDecision("give_back", f"another file is booked under number {manifest.sequence}")
+    if manifest.sequence != last + 1:
+        return FileDecision(
+            "refuse", f"file {manifest.sequence} arrived after {last}: one between is missing"
+        )
+    if manifest.previous_mac != last_mac:
+        return FileDecision("refuse", f"file {manifest.sequence} does not follow file {last} as booked")
     return FileDecision("book")
--- a/wellhitch/ledger/outbox.py
+++ b/wellhitch/ledger/outbox.py
@@ -1,5 +1,5 @@
-"""Two folders through which files go to the accounting side and receipts come back. Files appear whole: they are
-written beside, synced and renamed. Runs on the disk's thread."""
+"""Exchange of files with the accounting side through two folders: export files go out, receipts come back. Files appear
+complete: each is written under a temporary name, synced and renamed. Runs on the disk's thread."""
 
 import contextlib
 import os
@@ -8,68 +8,66 @@
 
 from wellhitch.store.files import read_file
 
-MAX_RETURNED_FILE_BYTES = (
-    16 << 20
-)  # bytes of what comes back: a receipt has some 80, a file that is given back some 2 MB
-
+MAX_RETURNED_FILE_BYTES = 16 << 20  # a receipt has some 80 bytes, a returned file some 2 MB
 MAX_RECEIPTS_PER_READ = 32  # bounds memory when the folder is full; more wait for the next read
 
 
 class Outbox(Protocol):
-    """The way to the accounting side. Calls may block."""
+    """Connects to the accounting side. Calls may block."""
 
     def put(self, sequence: int, data: bytes) -> None:
         """Hand a file over. Raises OSError."""
 
     def take_receipts(self) -> list[bytes]:
-        """Receipts that lie there, and files given back, in order; and take them away. Raises OSError."""
+        """Read and remove the receipts and returned files that have arrived, in order. Raises OSError."""
 
 
 class FolderOutbox:
-    """`out/INSTANCE-SEQUENCE.wh` to the accounting side, `back/INSTANCE-*.wr` from it, in a folder that both reach."""
+    """Writes `out/INSTANCE-SEQUENCE.wh` for the accounting side and reads `back/INSTANCE-*.wr` from it, in a shared
+    folder."""
 
     def __init__(self, folder: Path, instance: int) -> None:
         self._folder, self._instance = folder, instance
 
     def put(self, sequence: int, data: bytes) -> None:
-        """As `Box`."""
+        """See `Outbox`."""
         out = self._folder / "out"
         out.mkdir(parents=True, exist_ok=True)
         write_atomically(out / f"{self._instance}-{sequence:08}.wh", data)
 
     def take_receipts(self) -> list[bytes]:
-        """As `Box`."""
-        found = list[bytes]()
+        """See `Outbox`."""
+        receipts = list[bytes]()
         for path in sorted((self._folder / "back").glob(f"{self._instance}-*.wr"))[:MAX_RECEIPTS_PER_READ]:
             try:
                 data = read_file(path, MAX_RETURNED_FILE_BYTES)
             except OSError:
-                # Guards the others, and the disk's thread, against a directory, a pipe or a file without end: it is
-                # put aside under another name, told once, and what lies behind it is read at the next look.
+                # A directory, a pipe or an endless file must not hold up the other files or the disk's thread: it is
+                # renamed and reported once, and the files behind it are read next time.
                 quarantine(path)
-                if found:
-                    return found
+                if receipts:
+                    return receipts
                 raise
-            found.append(data)
+            receipts.append(data)
             path.unlink()
-        return found
+        return receipts
 
 
 def quarantine(path: Path) -> None:
-    """Out of the way of the others, under a name that nobody looks for."""
+    """Rename a file so that it is not read again."""
     path.rename(path.with_name(f"{path.name}.bad"))
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Write a file so that whoever looks sees all of it or none."""
-    beside = path.with_name(f".{path.name}.part")
+    """Write a file so that readers see either all of it or nothing."""
+    temporary = path.with_name(f".{path.name}.part")
     try:
-        with beside.open("wb") as file:
+        with temporary.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        beside.replace(path)
+        temporary.replace(path)
     except OSError:
         with contextlib.suppress(OSError):
-            beside.unlink()
+            temporary.unlink()
         raise
--- a/wellhitch/ledger/reader.py
+++ b/wellhitch/ledger/reader.py
@@ -1,4 +1,4 @@
-"""A ledger read from its disk, beside the daemon or without one: what `wellhitch ledger` shows. Reads alone."""
+"""Reads a ledger from its disk, whether or not its daemon is running: the data of `wellhitch ledger`. Read-only."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class LedgerContents:
-    """All rows of a ledger's disk, and what is wrong with them."""
+    """All rows of a ledger's disk, and the faults found in them."""
 
     number: int
     rows: list[tuple[ChainId, Row, Entry]] = field(default_factory=list)
@@ -25,7 +25,7 @@
     faults: list[str] = field(default_factory=list)
 
     def evidence(self, as_of: int | None = None) -> dict[DialogueId, DialogueEvidence]:
-        """Dialogues of this origin, by what had happened until a wall time."""
+        """Evidence about the dialogues of this origin, optionally only from before a wall time."""
         found = (
             entry
             for _, _, entry in self.rows
@@ -35,22 +35,24 @@
         return group_by_dialogue(found)
 
     def settled(self, period: str = "", as_of: int | None = None) -> list[Settled]:
-        """Settled dialogues, of all time or of those that ended in a period, as was known at a wall time."""
-        out = [one.settled() for _, one in sorted(self.evidence(as_of).items())]
+        """Settled dialogues, all or those that ended in a period, as known at a wall time."""
+        dialogues = [evidence.settled() for _, evidence in sorted(self.evidence(as_of).items())]
         if not period:
-            return out
+            return dialogues
         low, high = period_end(previous_period(period)), period_end(period)
-        return [one for one in out if one.state != "orphan" and low <= one.ended < high]
+        return [
+            dialogue for dialogue in dialogues if dialogue.state != "orphan" and low <= dialogue.ended < high
+        ]
 
     def lost_entries(self) -> list[tuple[ChainId, EntriesLost]]:
-        """Where entries are lacking."""
-        return [(name, entry) for name, _, entry in self.rows if isinstance(entry, EntriesLost)]
+        """The records of lost entries, with their chain."""
+        return [(chain, entry) for chain, _, entry in self.rows if isinstance(entry, EntriesLost)]
 
 
 def read(folder: Path) -> LedgerContents:
-    """Read a ledger's folder. Raises StoreFault."""
+    """Read a ledger's folder. Raises StoreError."""
     path = folder / "ledger"
-    if not path.is_file():  # nor a pipe, which would hold the database up
+    if not path.is_file():  # opening a pipe would block the database
         raise StoreError("failing", f"{path}: no ledger there")
     engine = Engine(str(path), read_only=True)
     try:
@@ -59,51 +61,55 @@
         engine.close()
 
 
-def _read(engine: Engine, where: str) -> LedgerContents:
+def _read(engine: Engine, path: str) -> LedgerContents:
     try:
         found = engine.get(IDENTITY_BUCKET, b"")
     except DamagedRecord as damage:
-        raise StoreError("damaged", f"{where}: {damage}") from None
+        raise StoreError("damaged", f"{path}: {damage}") from None
     if found is None:
-        raise StoreError("foreign", f"{where}: no ledger was begun there")
-    out = LedgerContents(msgspec.msgpack.decode(found[1], type=Identity).number)
-    for one in engine.scan(PERIOD_BUCKET):
-        if isinstance(one, DamagedRecord):
-            out.faults.append(str(one))
+        raise StoreError("foreign", f"{path}: the store contains no ledger")
+    contents = LedgerContents(msgspec.msgpack.decode(found[1], type=Identity).number)
+    for record in engine.scan(PERIOD_BUCKET):
+        if isinstance(record, DamagedRecord):
+            contents.faults.append(str(record))
         else:
-            kept = RECORD_DECODER.decode(one[2])
-            out.periods[kept.period] = kept
+            period_record = RECORD_DECODER.decode(record[2])
+            contents.periods[period_record.period] = period_record
     for bucket in (CHAIN_BUCKET, PEER_ROWS_BUCKET):
         chains: dict[ChainId, list[tuple[int, bytes | None]]] = {}
-        for one in engine.scan(bucket):
-            key = one.key if isinstance(one, DamagedRecord) else one[0]
-            name, seq = ChainId.from_key(key)
-            chains.setdefault(name, []).append((seq, None if isinstance(one, DamagedRecord) else one[2]))
-        for name, rows in chains.items():
-            out.rows += _rows(name, rows)
+        for record in engine.scan(bucket):
+            key = record.key if isinstance(record, DamagedRecord) else record[0]
+            chain, seq = ChainId.from_key(key)
+            chains.setdefault(chain, []).append(
+                (seq, None if isinstance(record, DamagedRecord) else record[2])
+            )
+        for chain, rows in chains.items():
+            contents.rows += _decode_rows(chain, rows)
             if bucket == CHAIN_BUCKET:
-                out.faults += [str(wrong) for wrong in _verified(out, name, rows)]
-    return out
+                contents.faults += [str(fault) for fault in _verify_chain(contents, chain, rows)]
+    return contents
 
 
-def _rows(name: ChainId, rows: list[tuple[int, bytes | None]]) -> Iterator[tuple[ChainId, Row, Entry]]:
+def _decode_rows(
+    chain: ChainId, rows: list[tuple[int, bytes | None]]
+) -> Iterator[tuple[ChainId, Row, Entry]]:
     for _, data in rows:
         try:
             if data is not None:
                 row = decode_row(data)
-                yield name, row, decode(row.entry)
+                yield chain, row, decode(row.entry)
         except InvalidEntryError:
-            continue  # verify names it
+            continue  # reported by verify
 
 
-def _verified(
-    out: LedgerContents, name: ChainId, rows: list[tuple[int, bytes | None]]
+def _verify_chain(
+    contents: LedgerContents, chain: ChainId, rows: list[tuple[int, bytes | None]]
 ) -> Iterator[ChainFault]:
-    """A chain, held also against what was stated of it when periods were closed."""
+    """Verify a chain, also against the statements made about it when periods were closed."""
     heads = {}
-    for kept in out.periods.values():
-        for one in (*(kept.closed or ()), *([kept.statement] if kept.statement else [])):
-            if ChainId(one.number, one.mark) == name:
-                heads[one.seq] = one.hash
+    for record in contents.periods.values():
+        for statement in (*(record.closed or ()), *([record.statement] if record.statement else [])):
+            if ChainId(statement.number, statement.mark) == chain:
+                heads[statement.seq] = statement.hash
     head = max(heads.items(), default=None)
-    yield from verify(name, rows, head)
+    yield from verify(chain, rows, head)
--- a/wellhitch/ledger/service.py
+++ b/wellhitch/ledger/service.py
@@ -812,7 +812,7 @@
         accounting, sender = self.accounting, self.sender
         if accounting is None or sender is None or self._handing_over or not sender.files:
             return
-        data, sequence = sender.next(now), min(sender.files)
+        data, sequence = sender.next_file(now), min(sender.files)
         self._handing_over = True
 
         def work() -> Any:
