--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -36,7 +36,7 @@
 from wellhitch.ledger.outbox import FolderOutbox
 from wellhitch.ledger.periods import CLOCK_MARGIN_US, Prepare, period_end
 from wellhitch.ledger.rating import (
-    CENT,
+    CENT_MICROS,
     MissingPriceError,
     Price,
     Tariff,
@@ -168,7 +168,7 @@
 
 def test_a_full_disk_makes_a_gap_that_is_said_and_ends_are_never_refused() -> None:
     one = OneDesk()
-    one.desk.keeper.writer.max_waiting = 60
+    one.desk.store.writer.max_waiting = 60
     one.stands(1)
     one.loop.advance(0.5)
     one.disk.full = True
@@ -181,7 +181,7 @@
     said = one.entries()
     gaps = [entry for entry in said if isinstance(entry, EntriesLost)]
     assert len(gaps) == 1 and gaps[0].count > 10 and one.desk.status()["state"] == "well"
-    assert [entry for entry in said if isinstance(entry, Ended)][0].stood == 500_000
+    assert [entry for entry in said if isinstance(entry, Ended)][0].duration == 500_000
 
 
 def test_another_instances_disk_is_refused_and_calls_go_on() -> None:
@@ -248,7 +248,7 @@
     assert "15 digits" in _refused(one, f"correct 3/1 {'9' * 150} ana reason")
     assert "15 digits" in _refused(one, f"correct 3/{'9' * 150} 5 ana reason")
     assert "15 digits" in _refused(one, "correct ³/1 5 ana reason")
-    assert "call server 4's to correct" in _refused(one, "correct 4/1 5 ana reason")
+    assert "must be corrected at call server 4" in _refused(one, "correct 4/1 5 ana reason")
     assert "such as 2026-12" in _refused(one, "close 2026-13x")
     assert "the open one is 2026-12" in _refused(one, "close 2030-01")
     assert "a name in the ledger's folder" in _refused(one, "snapshot ../x")
@@ -327,7 +327,7 @@
     deaths = 0
     while sender.files:
         now += RETRY_INTERVAL_US
-        data = sender.next(now)
+        data = sender.next_file(now)
         if data is None:
             continue
         if chance.random() < 0.7:
@@ -424,9 +424,9 @@
 @given(st.dictionaries(st.text(max_size=3), st.integers(-(10**9), 10**9), max_size=30))
 def test_the_sum_of_the_lines_is_the_whole_to_the_cent(parts: dict[str, int]) -> None:
     cents = to_cents(parts)
-    assert sum(cents.values()) == (sum(parts.values()) + CENT // 2) // CENT
+    assert sum(cents.values()) == (sum(parts.values()) + CENT_MICROS // 2) // CENT_MICROS
     # No line is off by a cent or more, and none passes one that had more.
-    assert all(abs(cents[name] * CENT - micros) < CENT for name, micros in parts.items())
+    assert all(abs(cents[name] * CENT_MICROS - micros) < CENT_MICROS for name, micros in parts.items())
     order = sorted(parts, key=lambda name: (parts[name], cents[name]))
     assert all(cents[a] <= cents[b] for a, b in pairwise(order))
     assert to_cents(dict(reversed(parts.items()))) == cents
