--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -102,8 +102,10 @@
 class KnowsNoColdOffice(Switch):
     """All of them at once send a fresh processor what they like."""
 
-    def __init__(self, configuration: ev.Opened, max_open: int, io: switch_module.ServerIO) -> None:
-        super().__init__(replace(configuration, cold=replace(configuration.cold, warm_after=0)), max_open, io)
+    def __init__(self, configuration: ev.ServerStarted, max_open: int, io: switch_module.ServerIO) -> None:
+        super().__init__(
+            replace(configuration, cold_start=replace(configuration.cold_start, warm_after=0)), max_open, io
+        )
 
 
 class FloodsTheCold(Switch):
@@ -125,13 +127,13 @@
 class ResendsEarly(Switch):
     """A release wait that is one millisecond short."""
 
-    def __init__(self, configuration: ev.Opened, max_open: int, io: switch_module.ServerIO) -> None:
+    def __init__(self, configuration: ev.ServerStarted, max_open: int, io: switch_module.ServerIO) -> None:
         short = replace(configuration.release, release_wait=configuration.release.release_wait - 1000)
         super().__init__(replace(configuration, release=short), max_open, io)
 
 
 class ResendsAtOnce(Switch):
-    def __init__(self, configuration: ev.Opened, max_open: int, io: switch_module.ServerIO) -> None:
+    def __init__(self, configuration: ev.ServerStarted, max_open: int, io: switch_module.ServerIO) -> None:
         super().__init__(
             replace(configuration, release=replace(configuration.release, release_wait=0)), max_open, io
         )
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -32,31 +32,31 @@
 CALLS_REPORTED_WITHIN_US = 15_000_000
 
 ENDINGS = {
-    34: ev.Ending.FULL,
-    17: ev.Ending.FAULT,
-    47: ev.Ending.FAULT,
-    102: ev.Ending.NOT_SENT,
+    34: ev.DialResult.FULL,
+    17: ev.DialResult.FAULT,
+    47: ev.DialResult.FAULT,
+    102: ev.DialResult.NOT_SENT,
 }
 """Meaning of the cause of a release before the answer; any other cause is a reset."""
 # Meaning of the note of a release before the answer.
 BLAMES = {
-    "no_circuit": ev.Blame.NO_CIRCUIT,
-    "turned_back": ev.Blame.TURNED_BACK,
-    "far_overload": ev.Blame.FAR_PROCESSOR_FULL,
-    "overload": ev.Blame.PROCESSOR_FULL,
-    "lines_busy": ev.Blame.LINES_BUSY,
+    "no_circuit": ev.ReleaseCause.NO_CIRCUIT,
+    "turned_back": ev.ReleaseCause.TURNED_BACK,
+    "far_overload": ev.ReleaseCause.FAR_PROCESSOR_FULL,
+    "overload": ev.ReleaseCause.PROCESSOR_FULL,
+    "lines_busy": ev.ReleaseCause.LINES_BUSY,
 }
 # Indexed by the states of discovery.
-OFFICE_STATES = (ev.Standing.READY, ev.Standing.DRAINING, ev.Standing.GONE)
+OFFICE_STATES = (ev.OfficeState.READY, ev.OfficeState.DRAINING, ev.OfficeState.GONE)
 
 
 class Core:
     """One exchange's call server on the platform."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, loop_epoch_us: int, io: ServerIO) -> None:
+    def __init__(self, opened: ev.ServerStarted, max_open: int, loop_epoch_us: int, io: ServerIO) -> None:
         """`loop_epoch_us`: Unix time in us at which the loop's clock was 0; converts the start times of discovery."""
         self.opened, self.max_open, self.loop_epoch_us, self.io = opened, max_open, loop_epoch_us, io
-        self.number = opened.place.number if opened.place.number is not None else -1
+        self.number = opened.topology.own_number if opened.topology.own_number is not None else -1
         self.counts: Counter[str] = Counter()
         self.runner = Runner(self, io.start_timer, io.log, self.counts)
         self.exchange = self.runner.exchange
@@ -74,7 +74,9 @@
         # Whether callers have had the time to report the calls from before the start.
         self._callers_reported_calls = False
         self._last_dialogue = 0
-        self._traffic_classes = {traffic_class.name: traffic_class for traffic_class in opened.use_cases}
+        self._traffic_classes = {
+            traffic_class.name: traffic_class for traffic_class in opened.traffic_classes
+        }
 
     def start(self, known_updates: Iterable[Notice], now: int) -> None:
         """Begin with the settings and the discovery updates known so far. Connections are opened after all updates are
@@ -82,10 +84,10 @@
         these on the first connection."""
         self.feed(self.opened, now)
         for update in known_updates:
-            self._apply_update(update, ev.Heard.REMEMBERED, now)
+            self._apply_update(update, ev.ListKind.CACHED, now)
         for office in list(self.offices.values()):
             self._apply_state(office, now)
-            if office.state is ev.Standing.DRAINING and office.number != self.number:
+            if office.state is ev.OfficeState.DRAINING and office.number != self.number:
                 self.io.keep_connected(office)
         self.io.start_timer(CALLS_REPORTED_WITHIN_US, self._calls_reported)
 
@@ -100,13 +102,13 @@
         """Pass an event to the decision module and carry out its actions."""
         self.runner.feed(event, now)
 
-    def rescued(self, dialogue: int, now: int) -> None:
+    def decision_failed(self, dialogue: int, now: int) -> None:
         """Answer a dialogue on which the decision module raised an exception."""
         pending = self.pending_calls.get(dialogue)
         if pending:
             self._send_failure(pending, 500, "forfeited", "", now)
 
-    def carry_out(self, action: act.Action, now: int) -> None:
+    def execute(self, action: act.Action, now: int) -> None:
         """Carry out one action of the decision module."""
         match action:
             case act.Send(dialogue, office, timeout_us):
@@ -114,17 +116,17 @@
             case act.Cancel(dialogue, number):
                 pending = self.pending_calls.get(dialogue)
                 if pending and pending.dial and pending.dial.number == number:
-                    self._abandon_dial(pending.dial, ev.Ending.CANCELLED, now)
-            case act.PushBack(dialogue, retry_after_us):
+                    self._abandon_dial(pending.dial, ev.DialResult.CANCELLED, now)
+            case act.Reject(dialogue, retry_after_us):
                 if dialogue in self.pending_calls:
                     headers = f"X-Cooldown: {-(-retry_after_us // 1000)}\r\n" if retry_after_us else ""
                     self._send_failure(self.pending_calls[dialogue], 503, "pushed_back", headers, now)
-            case act.Forfeit(dialogue):
+            case act.Fail(dialogue):
                 if dialogue in self.pending_calls:
                     self._send_failure(self.pending_calls[dialogue], 500, "forfeited", "", now)
-            case act.TellPeers(text):
+            case act.SendPeerMessage(text):
                 self.io.send_to_peers(text)
-            case act.Follow():
+            case act.SubscribeDiscovery():
                 pass  # discovery pushes its updates
 
     # ---- callers ----
@@ -215,18 +217,18 @@
         # Bounds the time left: an answer after the traffic class's deadline has no value.
         time_left_us = min(
             set_up.time_left_us,
-            self._traffic_classes[set_up.traffic_class].outer_limit or set_up.time_left_us,
+            self._traffic_classes[set_up.traffic_class].deadline or set_up.time_left_us,
         )
         self.feed(
-            ev.Arrived(
+            ev.DialogueArrived(
                 dialogue=pending.id,
-                use_case=set_up.traffic_class,
+                traffic_class=set_up.traffic_class,
                 destination=set_up.destination,
-                called=set_up.called_number,
-                left=max(0, time_left_us - ANSWER_MARGIN_US),
+                called_number=set_up.called_number,
+                time_left=max(0, time_left_us - ANSWER_MARGIN_US),
                 width=set_up.width,
-                advised=set_up.advised,
-                redialled=set_up.redialled,
+                advised_tandem=set_up.advised,
+                is_redial=set_up.redialled,
                 transit=set_up.transit,
             ),
             now,
@@ -267,7 +269,7 @@
         """Answer each pending set-up on a caller's connection that this server is about to close."""
         for pending in list(self.pending_by_connection.get(connection, {}).values()):
             self._send_failure(pending, 500, "connection_closed", "", now)
-            self.feed(ev.WentAway(pending.id), now)
+            self.feed(ev.CallerLeft(pending.id), now)
 
     def caller_closed(self, connection: Hashable, now: int) -> None:
         """Cancel the pending set-ups of a caller's connection that is gone. Established calls are not tied to it."""
@@ -290,7 +292,7 @@
         self.io.log("set_up_given_up", call=pending.call_id, attempts=pending.dial_count)
         self._forget(pending)
         dial = pending.dial
-        self.feed(ev.WentAway(pending.id), now)
+        self.feed(ev.CallerLeft(pending.id), now)
         if dial is not None and dial.state is DialState.PENDING:
             self._end_dial(dial, now)
             self._release_if_unused(dial.office)
@@ -335,7 +337,7 @@
         self.counts["sends"] += 1
         if (
             office is None
-            or office.state is not ev.Standing.READY
+            or office.state is not ev.OfficeState.READY
             or office.number == self.number
             or (pending.transit and office.number != pending.destination)
         ):
@@ -343,7 +345,13 @@
             # goes only to its destination.
             self.counts["sends_kept_back"] += 1
             self._report_dial_end(
-                pending.id, number, office_id, ev.Ending.NOT_SENT, ev.Blame.NONE, ev.Report(), now
+                pending.id,
+                number,
+                office_id,
+                ev.DialResult.NOT_SENT,
+                ev.ReleaseCause.NONE,
+                ev.OfficeReport(),
+                now,
             )
             return
         dial = pending.dial = PendingDial(pending, number, office, now)
@@ -364,11 +372,11 @@
 
     def _dial_timed_out(self, dial: PendingDial, now: int) -> None:
         if dial.state is DialState.PENDING:
-            self._abandon_dial(dial, ev.Ending.TIMED_OUT, now)
+            self._abandon_dial(dial, ev.DialResult.TIMED_OUT, now)
 
-    def _abandon_dial(self, dial: PendingDial, ending: ev.Ending, now: int) -> None:
+    def _abandon_dial(self, dial: PendingDial, ending: ev.DialResult, now: int) -> None:
         self._end_dial(dial, now)
-        self._dial_ended(dial, ending, ev.Blame.NONE, ev.Report(), now)
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
 
     def _end_dial(self, dial: PendingDial, now: int) -> None:
         """End a dial from this side, and release it at its office if its set-up was sent."""
@@ -396,14 +404,19 @@
         if dial.state is not DialState.PENDING:
             return
         self._forget_dial(dial)
-        if sent and dial.office.state is not ev.Standing.GONE:
+        if sent and dial.office.state is not ev.OfficeState.GONE:
             dial.office.remember_ended(dial.call.call_id, now)
             self.io.send_to_office(dial.office, lines.down(dial.call.call_id, CAUSE_NORMAL), None)
-        ending = ev.Ending.RESET if sent else ev.Ending.UNREACHABLE
-        self._dial_ended(dial, ending, ev.Blame.NONE, ev.Report(), now)
+        ending = ev.DialResult.RESET if sent else ev.DialResult.UNREACHABLE
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
 
     def _dial_ended(
-        self, dial: PendingDial, ending: ev.Ending, blame: ev.Blame, report: ev.Report, now: int
+        self,
+        dial: PendingDial,
+        ending: ev.DialResult,
+        blame: ev.ReleaseCause,
+        report: ev.OfficeReport,
+        now: int,
     ) -> None:
         self._report_dial_end(dial.call.id, dial.number, dial.office.id, ending, blame, report, now)
         self._release_if_unused(dial.office)
@@ -413,9 +426,9 @@
         dialogue: int,
         number: int,
         office_id: str,
-        ending: ev.Ending,
-        blame: ev.Blame,
-        report: ev.Report,
+        ending: ev.DialResult,
+        blame: ev.ReleaseCause,
+        report: ev.OfficeReport,
         now: int,
         over: bool = False,
     ) -> None:
@@ -430,7 +443,7 @@
                 ending=ending.name.lower(),
                 blame=blame.name.lower(),
             )
-        if blame is not ev.Blame.NONE:
+        if blame is not ev.ReleaseCause.NONE:
             self.counts[f"blame.{blame.name.lower()}"] += 1
         self.feed(ev.DialEnded(dialogue, number, office_id, ending, blame, 0, over, report), now)
 
@@ -452,7 +465,7 @@
             case "gauge":
                 report = _report(line)
                 if report != EMPTY_REPORT:
-                    self.feed(ev.Reported(office.id, False, True, report), now)
+                    self.feed(ev.OfficeReported(office.id, False, True, report), now)
             case "wait" | "ack" | "hb" | "hb_ok":
                 pass
             case _:
@@ -473,7 +486,7 @@
         body = None if line.d is None else line.d.encode("utf-8", "replace")
         if body is None or len(body) + len(dial.call.echo) + 256 > sip.MAX_MESSAGE:
             self.counts["answers_unreadable"] += 1
-            self._abandon_dial(dial, ev.Ending.RESET, now)
+            self._abandon_dial(dial, ev.DialResult.RESET, now)
             return
         pending = dial.call
         self._forget_dial(dial)
@@ -492,10 +505,10 @@
             ms=(now - dial.started_at) // 1000,
             sent=sent,
         )
-        self.feed(ev.Stood(pending.id, dial.number, now - dial.started_at), now)
+        self.feed(ev.DialogueEstablished(pending.id, dial.number, now - dial.started_at), now)
         report = _report(line)
         if report != EMPTY_REPORT:
-            self.feed(ev.Reported(office.id, False, True, report), now)
+            self.feed(ev.OfficeReported(office.id, False, True, report), now)
 
     def _office_released(
         self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
@@ -513,8 +526,8 @@
                 pending.id,
                 dial.number,
                 office.id,
-                ev.Ending.ENDED_WELL,
-                ev.Blame.NONE,
+                ev.DialResult.ENDED_WELL,
+                ev.ReleaseCause.NONE,
                 _report(line),
                 now,
                 True,
@@ -522,8 +535,8 @@
             self._send_failure(pending, 500, "forfeited", "", now)
         elif dial is not None and dial.connection is not None:
             self._forget_dial(dial)
-            ending = ENDINGS.get(cause, ev.Ending.RESET)
-            blame = BLAMES.get(str(line.f.get("note", "")), ev.Blame.NONE)
+            ending = ENDINGS.get(cause, ev.DialResult.RESET)
+            blame = BLAMES.get(str(line.f.get("note", "")), ev.ReleaseCause.NONE)
             self._dial_ended(dial, ending, blame, _report(line), now)
         elif call is not None:
             self.established.released_by_office(call, connection, cause, _report(line), now)
@@ -542,11 +555,20 @@
         """A connection to an office is gone."""
         office.liveness.connection_closed(connection)
 
-    def _call_ended(self, call: EstablishedCall, ending: ev.Ending, report: ev.Report, now: int) -> None:
+    def _call_ended(
+        self, call: EstablishedCall, ending: ev.DialResult, report: ev.OfficeReport, now: int
+    ) -> None:
         """Report the end of an established call to the decision module, unless it is from before a restart."""
         if call.dialogue is not None:
             self._report_dial_end(
-                call.dialogue, call.dial_number, call.office.id, ending, ev.Blame.NONE, report, now, True
+                call.dialogue,
+                call.dial_number,
+                call.office.id,
+                ending,
+                ev.ReleaseCause.NONE,
+                report,
+                now,
+                True,
             )
         self._release_if_unused(call.office)
 
@@ -556,11 +578,11 @@
         """Apply an update from discovery."""
         if update.empty:
             return
-        self._apply_update(update, ev.Heard.WHOLE, now)
+        self._apply_update(update, ev.ListKind.FULL, now)
         for office in list(self.offices.values()):
             self._apply_state(office, now)
 
-    def _apply_update(self, update: Notice, whole: ev.Heard, now: int) -> None:
+    def _apply_update(self, update: Notice, whole: ev.ListKind, now: int) -> None:
         """Update the office records and tell the decision module. `whole` is what the module is told about the source
         of a complete list."""
         for row in update.rows:
@@ -569,12 +591,12 @@
             listed = {row.id for row in update.rows}
             for office in self.offices.values():
                 if office.id not in listed:
-                    office.state = ev.Standing.GONE
+                    office.state = ev.OfficeState.GONE
         offices = [self.offices[row.id] for row in update.rows]
         entries = tuple(
-            ev.Entry(office.id, office.number, office.state, office.started) for office in offices
+            ev.OfficeEntry(office.id, office.number, office.state, office.started) for office in offices
         )
-        self.feed(ev.Listed(whole if update.whole else ev.Heard.CHANGES, entries), now)
+        self.feed(ev.OfficeListReceived(whole if update.whole else ev.ListKind.CHANGES, entries), now)
 
     def _apply_row(self, row: Row, now: int) -> None:
         state = OFFICE_STATES[row.state]
@@ -609,7 +631,7 @@
         """Connect to an office that is ready; withdraw what was not sent to one that is draining or gone."""
         if office.number == self.number:
             return
-        if office.state is ev.Standing.READY:
+        if office.state is ev.OfficeState.READY:
             self.io.keep_connected(office)
             return
         self.io.discard_unsent(office)  # enforces rule 3 for an office that does not read
@@ -618,19 +640,19 @@
                 # Enforces rule 3: a set-up that still waits for a connection to the office is withdrawn.
                 self.counts["kept_back.drained"] += 1
                 self._forget_dial(dial)
-                self._dial_ended(dial, ev.Ending.NOT_SENT, ev.Blame.NONE, ev.Report(), now)
-        if office.state is ev.Standing.GONE and office.calls:
+                self._dial_ended(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
+        if office.state is ev.OfficeState.GONE and office.calls:
             self.established.office_gone(office)
         self._release_if_unused(office)
 
     def _release_if_unused(self, office: OfficeRecord) -> None:
         """Close the connections of an office that is draining or gone once it has no calls and no dials. The record of
         one that is gone is then removed, as records of replaced offices must not accumulate."""
-        if office.state is ev.Standing.READY or office.calls or office.dials:
+        if office.state is ev.OfficeState.READY or office.calls or office.dials:
             return
-        if office.state is ev.Standing.DRAINING and self._callers_reported_calls:
+        if office.state is ev.OfficeState.DRAINING and self._callers_reported_calls:
             self.io.close_idle_connections(office)
-        if office.state is ev.Standing.GONE:
+        if office.state is ev.OfficeState.GONE:
             self.io.drop_connections(office, False)
             if office.cut_timer is not None:
                 office.cut_timer.cancel()
@@ -642,7 +664,7 @@
 
     def peer_message(self, peer: int, text: bytes, now: int) -> None:
         """Pass a message from another call server to the decision module."""
-        self.feed(ev.PeerSaid(peer, text), now)
+        self.feed(ev.PeerMessageReceived(peer, text), now)
 
     @property
     def owed(self) -> int:
@@ -660,10 +682,10 @@
 assert (DRAINING, GONE) == (1, 2)  # OFFICE_STATES is indexed by the states of discovery
 
 
-EMPTY_REPORT = ev.Report()
+EMPTY_REPORT = ev.OfficeReport()
 
 
-def _report(line: lines.Line) -> ev.Report:
+def _report(line: lines.Line) -> ev.OfficeReport:
     load = line.f.get("load")
     if load is None:
         return EMPTY_REPORT
@@ -675,6 +697,6 @@
 
 
 @lru_cache(maxsize=1024)
-def _read_load(load: str) -> ev.Report:
+def _read_load(load: str) -> ev.OfficeReport:
     """The values of a load report. Cached, as offices send fourteen reports per dialogue with few different texts."""
     return read_report(lines.figures(load))
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -62,12 +62,12 @@
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
-        configuration: ev.Opened,
+        configuration: ev.ServerStarted,
         addresses: ServerAddresses,
         max_open: int,
         boot: int,
         log: Log,
-        make_switch: Callable[[ev.Opened, int, ServerIO], Switch] = Switch,
+        make_switch: Callable[[ev.ServerStarted, int, ServerIO], Switch] = Switch,
         hooks: Mapping[str, str] | None = None,
         clock: WallClock = LOOP_TIME_CLOCK,
         read_hooks: Callable[[], Mapping[str, str]] | None = None,
@@ -94,13 +94,13 @@
         self.previous_versions: list[Version] = []
         if hooks:
             self.parser = Parser()
-            use_cases = frozenset(use.name for use in configuration.use_cases)
+            use_cases = frozenset(use.name for use in configuration.traffic_classes)
             hook_service = Hooks(load_version(hooks, self.parser), use_cases, log, self.switch.counts)
             self.switch.hook_runner = HookRunner(
                 hook_service, self.switch.exchange, self.switch.number, clock
             )
         self.sends_peer_messages = (
-            configuration.permissions.may_tell_peers and not configuration.place.advised
+            configuration.permissions.may_message_peers and not configuration.topology.has_centre
         )
         self.stopped = False
         self.settlement = make_settlement(loop, self.send_ledger_message, log) if make_settlement else None
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -7,7 +7,7 @@
 from enum import Enum, auto
 from math import inf
 
-from wellhitch.interface.events import Blame, Ending, Standing
+from wellhitch.interface.events import DialResult, OfficeState, ReleaseCause
 from wellhitch.net.transport import Timer
 from wellhitch.trunk import frames
 
@@ -66,7 +66,7 @@
     id: str
     number: int
     address: str
-    state: Standing
+    state: OfficeState
     started_at: int | None
     connected: bool = False
     boot: int = 0
@@ -107,7 +107,7 @@
     deadline: int = 0
     hooks_version: str = ""
     dials: list[PendingDial] = field(default_factory=list)
-    last_blame: Blame = Blame.NONE
+    last_blame: ReleaseCause = ReleaseCause.NONE
 
     @property
     def active_dial(self) -> PendingDial | None:
@@ -154,25 +154,25 @@
         self.state = state
 
 
-REJECT_OUTCOMES: dict[str, tuple[Ending, Blame]] = {
-    "no_circuit": (Ending.FULL, Blame.NO_CIRCUIT),
-    "turned_back": (Ending.FULL, Blame.TURNED_BACK),
-    "far_processor_full": (Ending.FULL, Blame.FAR_PROCESSOR_FULL),
-    "processor_full": (Ending.FULL, Blame.PROCESSOR_FULL),
-    "lines_busy": (Ending.FAULT, Blame.LINES_BUSY),
-    "fault": (Ending.FAULT, Blame.NONE),
-    "unreachable": (Ending.UNREACHABLE, Blame.NONE),
+REJECT_OUTCOMES: dict[str, tuple[DialResult, ReleaseCause]] = {
+    "no_circuit": (DialResult.FULL, ReleaseCause.NO_CIRCUIT),
+    "turned_back": (DialResult.FULL, ReleaseCause.TURNED_BACK),
+    "far_processor_full": (DialResult.FULL, ReleaseCause.FAR_PROCESSOR_FULL),
+    "processor_full": (DialResult.FULL, ReleaseCause.PROCESSOR_FULL),
+    "lines_busy": (DialResult.FAULT, ReleaseCause.LINES_BUSY),
+    "fault": (DialResult.FAULT, ReleaseCause.NONE),
+    "unreachable": (DialResult.UNREACHABLE, ReleaseCause.NONE),
 }
 """What a PushBack's reason means to the decisions."""
 
-OFFICE_STATES = {"ready": Standing.READY, "draining": Standing.DRAINING, "gone": Standing.GONE}
+OFFICE_STATES = {"ready": OfficeState.READY, "draining": OfficeState.DRAINING, "gone": OfficeState.GONE}
 
 
 def upstream_reject_reason(call: PendingCall) -> str:
     """Reason told upstream when a dialogue in transit was not brought on: what its last dial met beyond."""
-    if call.last_blame in (Blame.PROCESSOR_FULL, Blame.FAR_PROCESSOR_FULL):
+    if call.last_blame in (ReleaseCause.PROCESSOR_FULL, ReleaseCause.FAR_PROCESSOR_FULL):
         return "far_processor_full"
-    return "lines_busy" if call.last_blame is Blame.LINES_BUSY else "turned_back"
+    return "lines_busy" if call.last_blame is ReleaseCause.LINES_BUSY else "turned_back"
 
 
 def checked_load(load: frames.Load | None) -> tuple[float | None, int | None, float | None, float | None]:
