--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -114,7 +114,7 @@
 ) -> None:
     opened = configuration().opened
     world = World(
-        opened=replace(opened, permissions=replace(opened.permissions, longest_retry_after=max_retry_after))
+        opened=replace(opened, permissions=replace(opened.permissions, max_retry_after=max_retry_after))
     )
     caller = world.caller()
     caller.say(invite(A, 0))
@@ -242,7 +242,7 @@
     more = b"X-Office: s-00000001\r\nX-Load: spare:0;total:50\r\nContent-Length: 0"
     caller.say(plain("NOTIFY", A).replace(b"Content-Length: 0", more))
     world.run(0.1)
-    assert not caller.heard and world.core.exchange.offices["s-00000001"].free == 50
+    assert not caller.heard and world.core.exchange.offices["s-00000001"].free_circuits == 50
 
 
 @pytest.mark.parametrize("action", ["cancel", "close"])
@@ -517,12 +517,12 @@
     started_ms = UNIX_START_US // 1000 + 15_000
     world.discovery.tell(row(1, READY, 0x78, started_ms))
     world.run(0.2)
-    known = world.core.exchange.offices["s-00000078"].started
+    known = world.core.exchange.offices["s-00000078"].started_at
     assert known == 15 * SECOND
     world.run(5)
     world.discovery.tell(row(1, READY, 0x78, started_ms))
     world.run(0.2)
-    assert world.core.exchange.offices["s-00000078"].started == known
+    assert world.core.exchange.offices["s-00000078"].started_at == known
 
 
 def test_own_exchange_is_never_dialled_or_connected() -> None:
@@ -586,7 +586,7 @@
     world.run(0.5)
     fault(world)
     world.run(3.5)
-    assert world.core.offices["s-00000001"].state is ev.Standing.DRAINING
+    assert world.core.offices["s-00000001"].state is ev.OfficeState.DRAINING
     assert world.service.discovery.revision == world.discovery.events[-1].number
     draining_events = [
         facts for event, facts in world.log if event == "office" and facts["standing"] == "DRAINING"
@@ -761,7 +761,16 @@
 
 
 @pytest.mark.parametrize(
-    "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.Rang, ev.Reported, ev.Listed]
+    "kind",
+    [
+        ev.DialogueArrived,
+        ev.DialogueEstablished,
+        ev.DialEnded,
+        ev.CallerLeft,
+        ev.TimerFired,
+        ev.OfficeReported,
+        ev.OfficeListReceived,
+    ],
 )
 def test_exception_in_a_decision_affects_one_dialogue_and_every_caller_is_answered(
     kind: type, monkeypatch: pytest.MonkeyPatch
@@ -777,7 +786,7 @@
 
     monkeypatch.setattr(runner_module, "decide", faulty)
     caller = world.caller()
-    if kind is ev.WentAway:
+    if kind is ev.CallerLeft:
         world.offices[1].answers = False
         caller.say(invite(A))
         world.run(0.05)
@@ -865,7 +874,7 @@
     assert [number for _, number in moved.asked] == [2]
     moved.tell(row(1, DRAINING))
     world.run(0.2)
-    assert world.core.offices["s-00000001"].state is ev.Standing.DRAINING
+    assert world.core.offices["s-00000001"].state is ev.OfficeState.DRAINING
     assert A in world.core.calls and not caller.byes(A)
     world.run(5)
     assert len(moved.asked) == 1  # the late end of the old connection has no effect
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 
 
-class Ending(Enum):
+class DialResult(Enum):
     """How a dial ended."""
 
     ENDED_WELL = auto()
@@ -19,7 +19,7 @@
     NOT_SENT = auto()
 
 
-class Blame(Enum):
+class ReleaseCause(Enum):
     """The reason that came with an ending."""
 
     NONE = auto()
@@ -30,7 +30,7 @@
     LINES_BUSY = auto()
 
 
-class Standing(Enum):
+class OfficeState(Enum):
     """What the list says of an office."""
 
     READY = auto()
@@ -38,81 +38,81 @@
     GONE = auto()
 
 
-class Heard(Enum):
+class ListKind(Enum):
     """Which kind of list came."""
 
     CHANGES = auto()
-    WHOLE = auto()
-    REMEMBERED = auto()
+    FULL = auto()
+    CACHED = auto()
     FAILED = auto()
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class OfficeReport:
     """Free circuits and size of the trunk group, then the processor's figures; None where not told."""
 
-    free: int | None = None
-    size: int | None = None
+    free_circuits: int | None = None
+    group_size: int | None = None
     utilisation: float | None = None
-    wait: int | None = None
-    takes_per_s: float | None = None
-    hold_back: float | None = None
+    queue_wait: int | None = None
+    accept_rate_per_s: float | None = None
+    load_reduction: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class OfficeEntry:
     """One line of the list of offices; `started` is None for long ago."""
 
     office: str
     number: int
-    standing: Standing
-    started: int | None
+    state: OfficeState
+    started_at: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class ServerStarted:
     """The call server has started and knows nothing else yet."""
 
     seed: int
-    use_cases: tuple[UseCase, ...]
-    place: Place
+    traffic_classes: tuple[TrafficClass, ...]
+    topology: ServerTopology
     permissions: Permissions
     release: ReleaseRule
-    cold: ColdRule
+    cold_start: ColdStartRule
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class OfficeListReceived:
     """Discovery spoke."""
 
-    heard: Heard
-    entries: tuple[Entry, ...]
+    kind: ListKind
+    entries: tuple[OfficeEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class DialogueArrived:
     """A dialogue was handed over; it is owed one final answer within `left`. `favour`: times its use case's payoff,
     as the operators' hooks say."""
 
     dialogue: int
-    use_case: str
+    traffic_class: str
     destination: int
-    called: str | None
-    left: int
+    called_number: str | None
+    time_left: int
     width: int
-    advised: int | None
-    redialled: bool
+    advised_tandem: int | None
+    is_redial: bool
     transit: bool
-    favour: float = 1.0
+    value_factor: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
+class DialogueEstablished:
     """A dial was answered: the dialogue stands."""
 
     dialogue: int
     dial: int
-    took: int
+    setup_delay: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,43 +122,53 @@
     dialogue: int
     dial: int
     office: str
-    ending: Ending
-    blame: Blame
-    wait: int
-    over: bool
-    report: Report
+    result: DialResult
+    cause: ReleaseCause
+    retry_after: int
+    dialogue_over: bool
+    report: OfficeReport
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
+class OfficeReported:
     """A trunk group changed, or a probe came back."""
 
     office: str
-    asked: bool
+    from_probe: bool
     answered: bool
-    report: Report
+    report: OfficeReport
 
 
 @dataclass(frozen=True, slots=True)
-class WentAway:
+class CallerLeft:
     """The caller left; the dialogue is over."""
 
     dialogue: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rang:
+class TimerFired:
     """A timer is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSaid:
+class PeerMessageReceived:
     """Another call server sent a message."""
 
     peer: int
     text: bytes = field(default=b"")
 
 
-Event = Opened | Listed | Arrived | Stood | DialEnded | Reported | WentAway | Rang | PeerSaid
+Event = (
+    ServerStarted
+    | OfficeListReceived
+    | DialogueArrived
+    | DialogueEstablished
+    | DialEnded
+    | OfficeReported
+    | CallerLeft
+    | TimerFired
+    | PeerMessageReceived
+)
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -19,7 +19,7 @@
 from hdrh.histogram import HdrHistogram
 
 from wellhitch.interface import events as ev
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.interface.state import Exchange
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.service import SettlementService
@@ -32,19 +32,19 @@
 from wellhitch.trunk.channel import Channel, PersistentChannel
 
 SECOND = 1_000_000
-USE = UseCase("measured", 1.0, 0.2, 1_500_000, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
+USE = TrafficClass("measured", 1.0, 0.2, 1_500_000, 9 * SECOND, 1, 10 * SECOND, (), True, 0)
 GROUP = 1 << 20  # circuits: none is ever short, so that all is set up
 
 
-def facts(number: int, offices: int) -> ev.Opened:
+def facts(number: int, offices: int) -> ev.ServerStarted:
     """Start facts of a measured call server."""
-    return ev.Opened(
+    return ev.ServerStarted(
         seed=1,
-        use_cases=(USE,),
-        place=Place(number, offices - 1, False, 0),
+        traffic_classes=(USE,),
+        topology=ServerTopology(number, offices - 1, False, 0),
         permissions=Permissions(5, True, False, False, 0, True),
         release=ReleaseRule(200_000, 250_000),
-        cold=ColdRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
+        cold_start=ColdStartRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
     )
 
 
@@ -52,10 +52,10 @@
     """The same frames with no decision: each dialogue goes direct."""
 
     def feed(self, event: ev.Event, now: int) -> None:
-        if isinstance(event, ev.Arrived):
+        if isinstance(event, ev.DialogueArrived):
             for end in self.offices.values():
                 if end.number == event.destination:
-                    self._send(event.dialogue, end.id, event.left, now)
+                    self._send(event.dialogue, end.id, event.time_left, now)
 
 
 # ---- the far ends, each a process ----
@@ -156,7 +156,7 @@
         while not register:
             await asyncio.sleep(0.01)
 
-        def make(opened: ev.Opened, max_open: int, outlet: ServerIO) -> Switch:
+        def make(opened: ev.ServerStarted, max_open: int, outlet: ServerIO) -> Switch:
             return (Relay if relay else Switch)(opened, max_open, outlet)
 
         doors = ServerAddresses("127.0.0.1:0", "", "", register[0], "")
@@ -413,11 +413,11 @@
     x = Exchange()
     now = 0
     decide(x, facts(0, offices), now)
-    entries = tuple(ev.Entry(f"o{n}", n, ev.Standing.READY, None) for n in range(offices))
-    decide(x, ev.Listed(ev.Heard.WHOLE, entries), now)
-    report = ev.Report(GROUP, GROUP)
+    entries = tuple(ev.OfficeEntry(f"o{n}", n, ev.OfficeState.READY, None) for n in range(offices))
+    decide(x, ev.OfficeListReceived(ev.ListKind.FULL, entries), now)
+    report = ev.OfficeReport(GROUP, GROUP)
     for n in range(1, offices):
-        decide(x, ev.Reported(f"o{n}", False, True, report), now)
+        decide(x, ev.OfficeReported(f"o{n}", False, True, report), now)
     chance = random.Random(9)
     gap, tick = int(SECOND / per_s), SECOND // 4
     next_tick = tick
@@ -425,11 +425,15 @@
     for id in range(1, dialogues + 1):
         now += gap
         while next_tick <= now:
-            decide(x, ev.Rang(0), next_tick)
+            decide(x, ev.TimerFired(0), next_tick)
             next_tick += tick
         n = 1 + chance.randrange(offices - 1)
-        decide(x, ev.Arrived(id, USE.name, n, f"{id:x}", 9 * SECOND, 1, None, False, False), now)
-        decide(x, ev.Stood(id, 0, 2000), now)
-        decide(x, ev.DialEnded(id, 0, f"o{n}", ev.Ending.ENDED_WELL, ev.Blame.NONE, 0, True, report), now + 1)
-        decide(x, ev.Reported(f"o{n}", False, True, report), now + 1)
+        decide(x, ev.DialogueArrived(id, USE.name, n, f"{id:x}", 9 * SECOND, 1, None, False, False), now)
+        decide(x, ev.DialogueEstablished(id, 0, 2000), now)
+        decide(
+            x,
+            ev.DialEnded(id, 0, f"o{n}", ev.DialResult.ENDED_WELL, ev.ReleaseCause.NONE, 0, True, report),
+            now + 1,
+        )
+        decide(x, ev.OfficeReported(f"o{n}", False, True, report), now + 1)
     return dialogues / (time.process_time() - began)
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -7,7 +7,7 @@
 
 from wellhitch.adapter.codec import read_opened
 from wellhitch.board import codec as board
-from wellhitch.interface.events import Opened
+from wellhitch.interface.events import ServerStarted
 from wellhitch.net.transport import require_ip_address, split_address
 from wellhitch.settings.checked import Faults, read_open, shown
 
@@ -112,7 +112,7 @@
     the discovery updates up to `revision`."""
 
     addresses: Addresses
-    opened: Opened
+    opened: ServerStarted
     revision: int
     known_updates: tuple[board.Notice, ...]
     max_descriptors: int
@@ -151,7 +151,7 @@
         raise Faults(path, [f"limits.sockets = {decoded.limits.sockets}: less than {MIN_DESCRIPTORS}"])
     settings = read_open({"settings": decoded.settings}, _SettingsWrapper, path).settings
     opened = read_opened(seed, msgspec.to_builtins(settings))
-    if not opened.use_cases:
+    if not opened.traffic_classes:
         raise Faults(path, ["settings.classes = []: at least one traffic class is required"])
     revision, known_updates = board.read_known(decoded.known, path)
     for update in known_updates:
--- a/wellhitch/platform/records.py
+++ b/wellhitch/platform/records.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from wellhitch.interface.events import Standing
+from wellhitch.interface.events import OfficeState
 from wellhitch.net.transport import Timer
 from wellhitch.platform.liveness import OfficeLiveness
 
@@ -31,7 +31,7 @@
     id: str
     number: int
     address: str
-    state: Standing
+    state: OfficeState
     started: int | None
     dials: dict[str, PendingDial] = field(default_factory=dict)
     calls: dict[str, EstablishedCall] = field(default_factory=dict)
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -151,7 +151,7 @@
         if self.stopping:
             return
         self.stopping = self.core.stopping = True
-        longest = max(traffic_class.outer_limit for traffic_class in self.configuration.opened.use_cases)
+        longest = max(traffic_class.deadline for traffic_class in self.configuration.opened.traffic_classes)
         self._schedule = shutdown_schedule(longest)
         self._stop_at = self.now()
         self.write_log(
@@ -208,9 +208,9 @@
         offices = {
             office.id: {
                 "number": office.number,
-                "standing": office.standing.name.lower(),
-                "free": office.free,
-                "size": office.size,
+                "standing": office.state.name.lower(),
+                "free": office.free_circuits,
+                "size": office.group_size,
                 "price": round(office.price, 3),
                 "links": len(self.office_connections.pools[record].connected)
                 if record in self.office_connections.pools
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -9,8 +9,17 @@
 from statistics import median_low
 
 from wellhitch.interface import events as ev
-from wellhitch.interface.actions import Action, Cancel, Follow, Forfeit, PushBack, Send, TellPeers, Wake
-from wellhitch.interface.facts import ColdRule, UseCase
+from wellhitch.interface.actions import (
+    Action,
+    Cancel,
+    Fail,
+    Reject,
+    Send,
+    SendPeerMessage,
+    StartTimer,
+    SubscribeDiscovery,
+)
+from wellhitch.interface.facts import ColdStartRule, TrafficClass
 from wellhitch.interface.state import CalledNumber, Dial, Dialogue, Exchange, Office
 
 SECOND = 1_000_000
@@ -21,28 +30,28 @@
 def decide(x: Exchange, event: ev.Event, now: int) -> list[Action]:
     """Take what happened, return what to do."""
     match event:
-        case ev.Opened():
+        case ev.ServerStarted():
             return opened(x, event, now)
-        case ev.Listed():
+        case ev.OfficeListReceived():
             return listed(x, event)
-        case ev.Arrived():
+        case ev.DialogueArrived():
             return arrived(x, event, now)
-        case ev.Stood():
+        case ev.DialogueEstablished():
             stood(x, event)
         case ev.DialEnded():
             return dial_ended(x, event, now)
-        case ev.Reported():
+        case ev.OfficeReported():
             if event.office in x.offices and event.answered:
                 take_report(x.offices[event.office], event.report)
-        case ev.PeerSaid():
+        case ev.PeerMessageReceived():
             take_word(x, event, now)
-        case ev.WentAway():
+        case ev.CallerLeft():
             went_away(x, event, now)
-        case ev.Rang(token) if token == TICK:
+        case ev.TimerFired(token) if token == TICK:
             return interval_over(x, now)
-        case ev.Rang(token):
+        case ev.TimerFired(token):
             dialogue = x.dialogues.get(token - 1)
-            if dialogue and not dialogue.out and not dialogue.stands:
+            if dialogue and not dialogue.pending_dial and not dialogue.established:
                 return place_dialogue(x, dialogue, now)
     return []
 
@@ -50,59 +59,64 @@
 # ---- start and list ----
 
 
-def opened(x: Exchange, event: ev.Opened, now: int) -> list[Action]:
+def opened(x: Exchange, event: ev.ServerStarted, now: int) -> list[Action]:
     """Remember the facts and start the interval."""
-    x.chance = event.seed
-    x.use_cases = {use.name: use for use in event.use_cases}
-    x.place, x.permissions, x.release, x.cold = event.place, event.permissions, event.release, event.cold
-    x.unit = min((use.payoff for use in event.use_cases if use.payoff > 0), default=1.0)
+    x.rng_state = event.seed
+    x.traffic_classes = {use.name: use for use in event.traffic_classes}
+    x.topology, x.permissions, x.release, x.cold_start = (
+        event.topology,
+        event.permissions,
+        event.release,
+        event.cold_start,
+    )
+    x.min_value = min((use.value for use in event.traffic_classes if use.value > 0), default=1.0)
     # Two processors at their bound take half the shortest agreed time; the rest is left to chance.
     # One at least: it is divided by.
-    x.bound_delay = max(1, min((use.agreed_time for use in event.use_cases), default=SECOND) // 4)
-    x.top = max((use.payoff for use in event.use_cases), default=1.0)
-    x.tell_at = now + int(draw(x) * tell_period(event.place.peers))  # not all at once
-    return [Wake(INTERVAL, TICK), *([Follow()] if event.place.must_ask else [])]
+    x.delay_bound = max(1, min((use.target_latency for use in event.traffic_classes), default=SECOND) // 4)
+    x.max_value = max((use.value for use in event.traffic_classes), default=1.0)
+    x.next_peer_message_at = now + int(draw(x) * tell_period(event.topology.peer_count))  # not all at once
+    return [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if event.topology.must_subscribe else [])]
 
 
-def listed(x: Exchange, event: ev.Listed) -> list[Action]:
+def listed(x: Exchange, event: ev.OfficeListReceived) -> list[Action]:
     """Follow the list. An office missing from a whole list is gone; a new one at a number takes it over."""
-    if event.heard is ev.Heard.FAILED:
-        x.refollow = x.place.must_ask
+    if event.kind is ev.ListKind.FAILED:
+        x.resubscribe = x.topology.must_subscribe
         return []
     for entry in event.entries:
         take_entry(x, entry)
-    if event.heard is not ev.Heard.CHANGES:
+    if event.kind is not ev.ListKind.CHANGES:
         named = {entry.office for entry in event.entries}
         for office in x.offices.values():
             if office.id not in named:
-                office.standing = ev.Standing.GONE
+                office.state = ev.OfficeState.GONE
     x.by_number = {}
     for office in x.offices.values():
         if usable(office):
             held = x.by_number.get(office.number)
-            if held is None or (office.started or 0) >= (held.started or 0):
+            if held is None or (office.started_at or 0) >= (held.started_at or 0):
                 x.by_number[office.number] = office
     return []
 
 
-def take_entry(x: Exchange, entry: ev.Entry) -> None:
+def take_entry(x: Exchange, entry: ev.OfficeEntry) -> None:
     """One line of the list. A fresh start forgets the price and the silence of the processor before it."""
     office = x.offices.get(entry.office)
     if office is None:
-        office = x.offices[entry.office] = Office(entry.office, entry.number, entry.standing, entry.started)
-        office.first_budget = draw(x)
+        office = x.offices[entry.office] = Office(entry.office, entry.number, entry.state, entry.started_at)
+        office.initial_budget = draw(x)
         for before in x.offices.values():  # the one replaced has left `by_number` when it drained
             if before.number == entry.number and before is not office:
-                office.usual = max(office.usual, before.usual)
-                office.free, office.size = before.free, before.size
-    elif entry.started != office.started:
-        office.price, office.recent = 0.0, []
-    office.standing, office.started = entry.standing, entry.started
+                office.usual_rate = max(office.usual_rate, before.usual_rate)
+                office.free_circuits, office.group_size = before.free_circuits, before.group_size
+    elif entry.started_at != office.started_at:
+        office.price, office.recent_dials = 0.0, []
+    office.state, office.started_at = entry.state, entry.started_at
 
 
 def usable(office: Office) -> bool:
     """Rule 3: nothing new goes to an office that drains or is gone, from the moment this is heard."""
-    return office.standing is ev.Standing.READY
+    return office.state is ev.OfficeState.READY
 
 
 # ---- chance ----
@@ -110,44 +124,44 @@
 
 def draw(x: Exchange) -> float:
     """Next number in [0, 1): a linear congruential generator (Knuth's MMIX figures), high bits only."""
-    x.chance = (x.chance * 6364136223846793005 + 1442695040888963407) % (1 << 64)
-    return (x.chance >> 32) / (1 << 32)
+    x.rng_state = (x.rng_state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
+    return (x.rng_state >> 32) / (1 << 32)
 
 
 # ---- a dialogue's way ----
 
 
-def arrived(x: Exchange, event: ev.Arrived, now: int) -> list[Action]:
+def arrived(x: Exchange, event: ev.DialogueArrived, now: int) -> list[Action]:
     """Take a dialogue over and decide on it at once."""
-    use = x.use_cases[event.use_case]
-    called = x.called.get(event.called or "") or CalledNumber()
-    if event.called and not event.transit:
-        x.called[event.called] = called
-        if is_first_try(called, use, event.redialled, x.permissions.marks_redials, now):
-            called.first_try = now
+    use = x.traffic_classes[event.traffic_class]
+    called = x.called_numbers.get(event.called_number or "") or CalledNumber()
+    if event.called_number and not event.transit:
+        x.called_numbers[event.called_number] = called
+        if is_first_try(called, use, event.is_redial, x.permissions.callers_mark_redials, now):
+            called.first_try_at = now
     dialogue = Dialogue(
         id=event.dialogue,
-        use_case=use,
+        traffic_class=use,
         destination=event.destination,
-        called=called,
+        called_number=called,
         width=event.width,
-        first_try=now if called.first_try is None or event.transit else called.first_try,
-        give_up=now + event.left,
-        advised=event.advised,
+        first_try_at=now if called.first_try_at is None or event.transit else called.first_try_at,
+        expires_at=now + event.time_left,
+        advised_tandem=event.advised_tandem,
         transit=event.transit,
-        chance=draw(x),
-        favour=event.favour,
+        random_draw=draw(x),
+        value_factor=event.value_factor,
     )
     x.dialogues[event.dialogue] = dialogue
-    called.called_at = now
+    called.last_called_at = now
     return place_dialogue(x, dialogue, now)
 
 
-def is_first_try(called: CalledNumber, use: UseCase, redialled: bool, marked: bool, now: int) -> bool:
+def is_first_try(called: CalledNumber, use: TrafficClass, redialled: bool, marked: bool, now: int) -> bool:
     """Whether a dialogue is its caller's first try. Where callers do not mark redials (exception), one to a
     number that was called within the outer limit and has not stood since is taken for a redial: its payoff is
     due only within the agreed time of the first try, or redials would shut first tries out."""
-    if called.first_try is None or now - called.first_try > use.outer_limit:
+    if called.first_try_at is None or now - called.first_try_at > use.deadline:
         return True
     return marked and not redialled
 
@@ -157,72 +171,88 @@
     pressed processor of its ends, only the late share is left."""
     destination = x.by_number.get(dialogue.destination)
     pressed = (x.own_price > 0) + (destination is not None and destination.price > 0)
-    late = now + pressed * x.bound_delay - dialogue.first_try > dialogue.use_case.agreed_time
-    return dialogue.use_case.payoff * dialogue.favour * (dialogue.use_case.late_share if late else 1.0)
+    late = now + pressed * x.delay_bound - dialogue.first_try_at > dialogue.traffic_class.target_latency
+    return (
+        dialogue.traffic_class.value
+        * dialogue.value_factor
+        * (dialogue.traffic_class.late_share if late else 1.0)
+    )
 
 
 def felt(dialogue: Dialogue, price: float) -> float:
     """Price as this dialogue feels it: half to one and a half of it, by chance, so that a price near the
     payoff admits a share, as the paper's programme does, and all-or-nothing swings are spared."""
-    return price * (0.5 + dialogue.chance)
+    return price * (0.5 + dialogue.random_draw)
 
 
 def leg_cost(x: Exchange, dialogue: Dialogue, payoff: float) -> float:
     """Cost of one leg: a fifth of the least payoff, so that two legs never outweigh a tandem dialogue."""
-    return min(x.unit, payoff) * dialogue.width / 5
+    return min(x.min_value, payoff) * dialogue.width / 5
 
 
 def room(x: Exchange, office: Office, dialogue: Dialogue, alternate: bool) -> bool:
     """Whether the trunk group has room, as far as is known; an alternate dialogue leaves some for direct ones
     (trunk reservation, exception), late ones too; a cheap one leaves the last of 20 to dearer ones."""
-    if office.size is None:
+    if office.group_size is None:
         return True
-    kept = kept_back(office, x.linked) if alternate else 0
-    if dialogue.use_case.payoff * dialogue.favour < 2 * x.unit:
-        kept += min(1, office.size // 20)
-    return office.free >= dialogue.width + kept
+    kept = kept_back(office, x.direct_share) if alternate else 0
+    if dialogue.traffic_class.value * dialogue.value_factor < 2 * x.min_value:
+        kept += min(1, office.group_size // 20)
+    return office.free_circuits >= dialogue.width + kept
 
 
 def kept_back(office: Office, linked: float) -> int:
     """Circuits of its group that are kept for direct dialogues: one, and where groups lead to all offices one
     for each 10; by rounds, fewer starved direct ones. Where groups lead to but half of the offices, tandem
     dialogues are the plan and no overflow: one only."""
-    return 1 + int((office.size or 0) * max(0.0, 2 * linked - 1)) // 10
+    return 1 + int((office.group_size or 0) * max(0.0, 2 * linked - 1)) // 10
 
 
 def best_route(x: Exchange, dialogue: Dialogue, now: int) -> Office | None:
     """First office of the route with the highest positive net payoff and room; ties go direct."""
     payoff = payoff_now(x, dialogue, now)
-    late = payoff < x.unit
+    late = payoff < x.min_value
     leg = leg_cost(x, dialogue, payoff)
     payoff -= felt(dialogue, x.own_price)
-    if x.place.number is None:
+    if x.topology.own_number is None:
         return best_pool(x, dialogue, payoff, leg, late)
     destination = x.by_number.get(dialogue.destination)
-    if destination is None or dialogue.destination == x.place.number:
+    if destination is None or dialogue.destination == x.topology.own_number:
         return None
     payoff -= felt(dialogue, destination.price)
-    if payoff - leg <= 0 or not cold_room(x.cold, destination, now):
+    if payoff - leg <= 0 or not cold_room(x.cold_start, destination, now):
         return None
-    if destination not in dialogue.tried and room(x, destination, dialogue, dialogue.transit or late):
+    if destination not in dialogue.excluded_offices and room(
+        x, destination, dialogue, dialogue.transit or late
+    ):
         return destination
     if dialogue.transit or late:
         return None
     best, best_rank = None, (0.0, False, 0, False, 0)
     for office in x.by_number.values():
-        if office is destination or office.number == x.place.number or office in dialogue.tried:
+        if (
+            office is destination
+            or office.number == x.topology.own_number
+            or office in dialogue.excluded_offices
+        ):
             continue
-        if not room(x, office, dialogue, True) or not cold_room(x.cold, office, now):
+        if not room(x, office, dialogue, True) or not cold_room(x.cold_start, office, now):
             continue
-        if office.no_way_on.get(dialogue.destination, 0) > now:
+        if office.blocked_destinations.get(dialogue.destination, 0) > now:
             continue
         net = payoff - felt(dialogue, office.price) - 2 * leg
-        proven = dialogue.destination in office.way_on
+        proven = dialogue.destination in office.proven_destinations
         told = told_room(x, office, dialogue.destination, now)
-        blind = not proven and office.number != dialogue.advised and not told
-        if blind and (len(dialogue.dials) > 1 or dialogue.advised is not None or told == 0):
+        blind = not proven and office.number != dialogue.advised_tandem and not told
+        if blind and (len(dialogue.dials) > 1 or dialogue.advised_tandem is not None or told == 0):
             continue
-        rank = (net, office.number == dialogue.advised, min(told or 0, office.free), proven, office.free)
+        rank = (
+            net,
+            office.number == dialogue.advised_tandem,
+            min(told or 0, office.free_circuits),
+            proven,
+            office.free_circuits,
+        )
         if rank > best_rank and rank[0] > 0:
             best, best_rank = office, rank
     return best
@@ -233,11 +263,15 @@
     best, best_rank = None, (0.0, False, 0)
     for office in x.by_number.values():
         first = office.number == dialogue.destination
-        if not first and office.number not in dialogue.use_case.pools:
+        if not first and office.number not in dialogue.traffic_class.pools:
             continue
-        if office in dialogue.tried or not room(x, office, dialogue, late):
+        if office in dialogue.excluded_offices or not room(x, office, dialogue, late):
             continue
-        rank = (payoff - felt(dialogue, office.price) - (leg if first else 2 * leg), first, office.free)
+        rank = (
+            payoff - felt(dialogue, office.price) - (leg if first else 2 * leg),
+            first,
+            office.free_circuits,
+        )
         if rank > best_rank and rank[0] > 0:
             best, best_rank = office, rank
     return best
@@ -246,33 +280,35 @@
 def place_dialogue(x: Exchange, dialogue: Dialogue, now: int) -> list[Action]:
     """Dial the best route, or answer at once. Rule 2: called only while no dial of the dialogue is out."""
     if now < dialogue.not_before:  # rule 5: the release wait of its last dial is not over
-        return [Wake(dialogue.not_before - now, dialogue.id + 1)]
+        return [StartTimer(dialogue.not_before - now, dialogue.id + 1)]
     if (
-        len(dialogue.dials) >= x.permissions.most_dials
-        or now >= dialogue.give_up
+        len(dialogue.dials) >= x.permissions.max_dials
+        or now >= dialogue.expires_at
         or not may_repeat(dialogue, now)
     ):
         return give_up(x, dialogue, now)
-    office = best_route(x, dialogue, now) if now >= dialogue.called.open_at else None
+    office = best_route(x, dialogue, now) if now >= dialogue.called_number.blocked_until else None
     if office is None:
         return give_up(x, dialogue, now)
     direct = office.number == dialogue.destination
     dial = Dial(dialogue, office, now, direct)
     dialogue.dials.append(dial)
-    dialogue.out = dial
-    office.free -= dialogue.width
-    if not direct and 0 <= dialogue.destination < len(office.told):  # else counted from the end
-        office.told[dialogue.destination] = max(0, office.told[dialogue.destination] - dialogue.width)
+    dialogue.pending_dial = dial
+    office.free_circuits -= dialogue.width
+    if not direct and 0 <= dialogue.destination < len(office.reported_spare):  # else counted from the end
+        office.reported_spare[dialogue.destination] = max(
+            0, office.reported_spare[dialogue.destination] - dialogue.width
+        )
     for crossed in {office.number, dialogue.destination}:
         if crossed in x.by_number:
-            x.by_number[crossed].sent += 1
+            x.by_number[crossed].dials_in_interval += 1
             x.by_number[crossed].budget -= 1
-    x.recent.append(dial)
+    x.recent_dials.append(dial)
     if direct:
-        office.recent.append(dial)
+        office.recent_dials.append(dial)
     if x.permissions.may_cancel and not dialogue.transit:
-        x.waiting.append(dial)
-    return [Send(dialogue.id, office.id, dialogue.give_up - now)]
+        x.unanswered_dials.append(dial)
+    return [Send(dialogue.id, office.id, dialogue.expires_at - now)]
 
 
 def answer_lost(x: Exchange, dial: Dial, now: int) -> bool:
@@ -283,63 +319,67 @@
     destination = x.by_number.get(dialogue.destination)
     if destination is None or x.own_price or dial.office.price or destination.price:
         return False
-    agreed = dialogue.first_try + dialogue.use_case.agreed_time
-    half = (agreed - dial.sent - x.release.release_wait) // 2
-    if now - dial.sent < max(4 * x.usual_delay, half - INTERVAL // 2, x.bound_delay):
+    agreed = dialogue.first_try_at + dialogue.traffic_class.target_latency
+    half = (agreed - dial.sent_at - x.release.release_wait) // 2
+    if now - dial.sent_at < max(4 * x.usual_delay, half - INTERVAL // 2, x.delay_bound):
         return False
-    return now + x.release.release_wait + x.usual_delay < min(agreed, dialogue.give_up)
+    return now + x.release.release_wait + x.usual_delay < min(agreed, dialogue.expires_at)
 
 
 def may_repeat(dialogue: Dialogue, now: int) -> bool:
     """Whether a use case that must not run twice may be dialled again."""
-    use = dialogue.use_case
-    if dialogue.may_have_run is None or (use.repeatable and not use.repeat_within):
+    use = dialogue.traffic_class
+    if dialogue.may_have_run_at is None or (use.repeatable and not use.repeat_within):
         return True
-    return use.repeatable and now - dialogue.may_have_run < use.repeat_within
+    return use.repeatable and now - dialogue.may_have_run_at < use.repeat_within
 
 
 def give_up(x: Exchange, dialogue: Dialogue, now: int) -> list[Action]:
     """Rule 1: the one final answer, at once; the dialogue is forgotten with it, so nothing can follow."""
     x.dialogues.pop(dialogue.id, None)
-    if now >= dialogue.give_up or (dialogue.may_have_run is not None and not dialogue.use_case.repeatable):
-        return [Forfeit(dialogue.id)]
+    if now >= dialogue.expires_at or (
+        dialogue.may_have_run_at is not None and not dialogue.traffic_class.repeatable
+    ):
+        return [Fail(dialogue.id)]
     # Come back soon enough that two more tries still fall within the agreed time, where callers heed it.
-    return [PushBack(dialogue.id, min(x.permissions.longest_retry_after, dialogue.use_case.agreed_time // 4))]
+    return [
+        Reject(dialogue.id, min(x.permissions.max_retry_after, dialogue.traffic_class.target_latency // 4))
+    ]
 
 
-def went_away(x: Exchange, event: ev.WentAway, now: int) -> None:
+def went_away(x: Exchange, event: ev.CallerLeft, now: int) -> None:
     """The caller left: forget the dialogue; its dial must not wait for ever among the load signs."""
     dialogue = x.dialogues.pop(event.dialogue, None)
-    if dialogue and dialogue.out:
-        no_answer(x, dialogue.out, now - dialogue.out.sent)
+    if dialogue and dialogue.pending_dial:
+        no_answer(x, dialogue.pending_dial, now - dialogue.pending_dial.sent_at)
 
 
 def no_answer(x: Exchange, dial: Dial, waited: int) -> None:
     """A dial ended unanswered: silence past the bound is a sign of load, anything else is none."""
-    if dial.took is None and waited > x.bound_delay:
-        dial.took = waited
-    elif dial.took is None:
-        for dials in (x.recent, dial.office.recent):
+    if dial.setup_delay is None and waited > x.delay_bound:
+        dial.setup_delay = waited
+    elif dial.setup_delay is None:
+        for dials in (x.recent_dials, dial.office.recent_dials):
             if dial in dials:
                 dials.remove(dial)
 
 
-def stood(x: Exchange, event: ev.Stood) -> None:
+def stood(x: Exchange, event: ev.DialogueEstablished) -> None:
     """A dial was answered; its delay is a load sign of the processors crossed."""
     dialogue = x.dialogues.get(event.dialogue)
     if not dialogue or event.dial >= len(dialogue.dials):
         return
     dial = dialogue.dials[event.dial]
-    dialogue.stands = True
-    dial.took, dial.answered = event.took, True
-    dial.office.faults = 0
+    dialogue.established = True
+    dial.setup_delay, dial.answered = event.setup_delay, True
+    dial.office.consecutive_faults = 0
     # The own processor takes set-ups in order: silence that a later answer has overtaken is not its, but a
     # lost answer or a hung office.
-    x.recent = [other for other in x.recent if other.answered or other.sent >= dial.sent]
-    x.usual_delay += (event.took - x.usual_delay) // 16
-    dialogue.called.pause, dialogue.called.first_try = 0, None
+    x.recent_dials = [other for other in x.recent_dials if other.answered or other.sent_at >= dial.sent_at]
+    x.usual_delay += (event.setup_delay - x.usual_delay) // 16
+    dialogue.called_number.pause, dialogue.called_number.first_try_at = 0, None
     if not dial.direct:
-        dial.office.way_on.add(dialogue.destination)
+        dial.office.proven_destinations.add(dialogue.destination)
 
 
 def dial_ended(x: Exchange, event: ev.DialEnded, now: int) -> list[Action]:
@@ -351,50 +391,54 @@
         return []
     dial = dialogue.dials[event.dial]
     office = dial.office
-    if dialogue.out is dial:
-        dialogue.out = None
-    no_answer(x, dial, now - dial.sent if event.ending in (ev.Ending.TIMED_OUT, ev.Ending.CANCELLED) else 0)
+    if dialogue.pending_dial is dial:
+        dialogue.pending_dial = None
+    no_answer(
+        x,
+        dial,
+        now - dial.sent_at if event.result in (ev.DialResult.TIMED_OUT, ev.DialResult.CANCELLED) else 0,
+    )
     destination = x.by_number.get(dialogue.destination)
     # A processor that fails every set-up answers quickly and its groups look free, so that it would draw all.
-    fault = event.ending is ev.Ending.FAULT and event.blame is not ev.Blame.LINES_BUSY
+    fault = event.result is ev.DialResult.FAULT and event.cause is not ev.ReleaseCause.LINES_BUSY
     # One fault after an answer is its dialogue's own (exception), such as a number that nobody has: a few
     # such callers priced offices and shut tandems. Two in a row are the office's.
-    office.faults += fault
-    blamed = fault and office.faults > 1
-    full = event.blame is ev.Blame.PROCESSOR_FULL or event.ending is ev.Ending.UNREACHABLE
-    if event.ending is ev.Ending.NOT_SENT:
-        x.own_fulls += event.blame is ev.Blame.PROCESSOR_FULL
-        office.free += dialogue.width  # nothing was taken, and no report need follow
+    office.consecutive_faults += fault
+    blamed = fault and office.consecutive_faults > 1
+    full = event.cause is ev.ReleaseCause.PROCESSOR_FULL or event.result is ev.DialResult.UNREACHABLE
+    if event.result is ev.DialResult.NOT_SENT:
+        x.own_full_count += event.cause is ev.ReleaseCause.PROCESSOR_FULL
+        office.free_circuits += dialogue.width  # nothing was taken, and no report need follow
     elif full or (blamed and dial.direct):
-        office.fulls += 1
-    elif event.blame is ev.Blame.FAR_PROCESSOR_FULL and destination:
-        destination.fulls += 1
-    elif blamed or (event.blame is ev.Blame.TURNED_BACK and not met_silence(x, dial, now)):
+        office.full_count += 1
+    elif event.cause is ev.ReleaseCause.FAR_PROCESSOR_FULL and destination:
+        destination.full_count += 1
+    elif blamed or (event.cause is ev.ReleaseCause.TURNED_BACK and not met_silence(x, dial, now)):
         # Five seconds by rounds: two or three waste dials on groups still full, eight misses freed circuits.
-        office.no_way_on[dialogue.destination] = now + 5 * SECOND
-        office.way_on.discard(dialogue.destination)
-    if event.over:
+        office.blocked_destinations[dialogue.destination] = now + 5 * SECOND
+        office.proven_destinations.discard(dialogue.destination)
+    if event.dialogue_over:
         x.dialogues.pop(dialogue.id, None)
         return []
-    if dialogue.stands:
+    if dialogue.established:
         return give_up(x, dialogue, now)
     if (
-        event.ending not in (ev.Ending.FULL, ev.Ending.UNREACHABLE, ev.Ending.NOT_SENT)
-        and dialogue.may_have_run is None
+        event.result not in (ev.DialResult.FULL, ev.DialResult.UNREACHABLE, ev.DialResult.NOT_SENT)
+        and dialogue.may_have_run_at is None
     ):
-        dialogue.may_have_run = dial.sent
-    if event.ending in (ev.Ending.TIMED_OUT, ev.Ending.RESET, ev.Ending.CANCELLED):
+        dialogue.may_have_run_at = dial.sent_at
+    if event.result in (ev.DialResult.TIMED_OUT, ev.DialResult.RESET, ev.DialResult.CANCELLED):
         dialogue.not_before = now + x.release.release_wait
-        if dialogue.not_before >= dialogue.give_up:
+        if dialogue.not_before >= dialogue.expires_at:
             return give_up(x, dialogue, now)
-    if event.blame is ev.Blame.LINES_BUSY:
-        lines_busy(dialogue.called, now)
-    if event.blame in (ev.Blame.LINES_BUSY, ev.Blame.FAR_PROCESSOR_FULL) or (
-        (full or fault) and (dial.direct or event.ending is ev.Ending.NOT_SENT)
+    if event.cause is ev.ReleaseCause.LINES_BUSY:
+        lines_busy(dialogue.called_number, now)
+    if event.cause in (ev.ReleaseCause.LINES_BUSY, ev.ReleaseCause.FAR_PROCESSOR_FULL) or (
+        (full or fault) and (dial.direct or event.result is ev.DialResult.NOT_SENT)
     ):
         return give_up(x, dialogue, now)
-    if fault or event.ending in (ev.Ending.FULL, ev.Ending.UNREACHABLE, ev.Ending.NOT_SENT):
-        dialogue.tried.append(office)
+    if fault or event.result in (ev.DialResult.FULL, ev.DialResult.UNREACHABLE, ev.DialResult.NOT_SENT):
+        dialogue.excluded_offices.append(office)
     return place_dialogue(x, dialogue, now)
 
 
@@ -404,73 +448,87 @@
         other.answered
         and other.office is dial.office
         and other.dialogue.destination == dial.dialogue.destination
-        for other in x.recent
+        for other in x.recent_dials
     )
 
 
 def met_silence(x: Exchange, dial: Dial, now: int) -> bool:
     """Whether a tandem turned back only after it had waited in vain (exception), while it leads others on: an
     answer beyond it was lost, and its next group is not full. Full groups turn back in the usual delay."""
-    return now - dial.sent > max(4 * x.usual_delay, x.bound_delay) and answers_others(x, dial)
+    return now - dial.sent_at > max(4 * x.usual_delay, x.delay_bound) and answers_others(x, dial)
 
 
 def lines_busy(called: CalledNumber, now: int) -> None:
     """Many callers of one number (exception): while its lines are busy, set-ups to it are pushed back unsent,
     for a pause that doubles with each busy answer and ends with the first dialogue that stands. From half a
     second, as a line is seldom free sooner, to four, so that a freed line is found soon."""
-    if now >= called.open_at:
+    if now >= called.blocked_until:
         called.pause = min(max(2 * called.pause, SECOND // 2), 4 * SECOND)
-        called.open_at = now + called.pause
+        called.blocked_until = now + called.pause
 
 
 # ---- prices ----
 
 
-def take_report(office: Office, report: ev.Report) -> None:
+def take_report(office: Office, report: ev.OfficeReport) -> None:
     """Free circuits count at once; the processor's figures are load signs of this interval."""
-    if report.free is not None and report.size is not None:
-        office.free, office.size = report.free, report.size
+    if report.free_circuits is not None and report.group_size is not None:
+        office.free_circuits, office.group_size = report.free_circuits, report.group_size
     if report.utilisation is not None:
         office.utilisation = report.utilisation
-    if report.wait is not None:
-        office.wait = report.wait
+    if report.queue_wait is not None:
+        office.queue_wait = report.queue_wait
 
 
 def interval_over(x: Exchange, now: int) -> list[Action]:
     """Step every price once and start the next interval."""
-    x.recent = [dial for dial in x.recent if dial.took is None or now - dial.sent - dial.took < SECOND]
-    own_delay = own_delay_seen(x.recent, x.bound_delay, now)
-    own_load = load_of(x.bound_delay, None, None, own_delay, x.own_fulls)
-    x.own_price, x.own_fulls = stepped(x.own_price, own_load, x.unit, x.top), 0
+    x.recent_dials = [
+        dial
+        for dial in x.recent_dials
+        if dial.setup_delay is None or now - dial.sent_at - dial.setup_delay < SECOND
+    ]
+    own_delay = own_delay_seen(x.recent_dials, x.delay_bound, now)
+    own_load = load_of(x.delay_bound, None, None, own_delay, x.own_full_count)
+    x.own_price, x.own_full_count = stepped(x.own_price, own_load, x.min_value, x.max_value), 0
     for office in x.by_number.values():
-        office.recent = fresh(office.recent, x.bound_delay, now)
-        delay = delay_seen(office, x.bound_delay, now)
+        office.recent_dials = fresh(office.recent_dials, x.delay_bound, now)
+        delay = delay_seen(office, x.delay_bound, now)
         far = None if delay is None else delay - (own_delay or 0)
-        load = load_of(x.bound_delay, office.utilisation, office.wait, far, office.fulls)
+        load = load_of(x.delay_bound, office.utilisation, office.queue_wait, far, office.full_count)
         # Unheard, it decays by the signs to be expected: with fewer than one in three intervals the price of
         # a slow office would be gone before the next dial to it. A tenth at least, for one seldom called.
-        expected = min(1.0, max(0.1, office.usual * 3 * INTERVAL / SECOND))
-        office.price = stepped(office.price, load, x.unit, x.top, expected)
-        office.fulls, office.utilisation, office.wait = 0, None, None
-        if not cold(x.cold, office, now) and not office.price and not x.own_price:
+        expected = min(1.0, max(0.1, office.usual_rate * 3 * INTERVAL / SECOND))
+        office.price = stepped(office.price, load, x.min_value, x.max_value, expected)
+        office.full_count, office.utilisation, office.queue_wait = 0, None, None
+        if not cold(x.cold_start, office, now) and not office.price and not x.own_price:
             # A mean over some 32 intervals, long against a burst and short against a day; what a priced
             # processor gets is not usual, and would starve it when it comes back cold.
-            office.usual += (office.sent * SECOND / INTERVAL - office.usual) / 32
-        office.sent = 0
+            office.usual_rate += (office.dials_in_interval * SECOND / INTERVAL - office.usual_rate) / 32
+        office.dials_in_interval = 0
     # A number not called for a minute is forgotten; by then its lines have changed hands.
-    x.called = {key: called for key, called in x.called.items() if now - called.called_at < 60 * SECOND}
-    sizes = [o.size for o in x.by_number.values() if o.size is not None and o.number != x.place.number]
-    x.linked = sum(size > 0 for size in sizes) / max(1, len(sizes))
-    out: list[Action] = [Wake(INTERVAL, TICK), *([Follow()] if x.refollow else [])]
-    x.refollow = False
-    x.waiting = [dial for dial in x.waiting if dial.took is None and dial.dialogue.out is dial]
-    for dial in x.waiting:
+    x.called_numbers = {
+        key: called for key, called in x.called_numbers.items() if now - called.last_called_at < 60 * SECOND
+    }
+    sizes = [
+        o.group_size
+        for o in x.by_number.values()
+        if o.group_size is not None and o.number != x.topology.own_number
+    ]
+    x.direct_share = sum(size > 0 for size in sizes) / max(1, len(sizes))
+    out: list[Action] = [StartTimer(INTERVAL, TICK), *([SubscribeDiscovery()] if x.resubscribe else [])]
+    x.resubscribe = False
+    x.unanswered_dials = [
+        dial for dial in x.unanswered_dials if dial.setup_delay is None and dial.dialogue.pending_dial is dial
+    ]
+    for dial in x.unanswered_dials:
         if answer_lost(x, dial, now):
             out.append(Cancel(dial.dialogue.id, len(dial.dialogue.dials) - 1))
-    tells = x.permissions.may_tell_peers and not x.place.advised and (x.place.number or 0) < 256
-    if tells and x.place.peers and now >= x.tell_at:
-        x.tell_at = now + tell_period(x.place.peers)
-        out.append(TellPeers(word(x)))
+    tells = (
+        x.permissions.may_message_peers and not x.topology.has_centre and (x.topology.own_number or 0) < 256
+    )
+    if tells and x.topology.peer_count and now >= x.next_peer_message_at:
+        x.next_peer_message_at = now + tell_period(x.topology.peer_count)
+        out.append(SendPeerMessage(word(x)))
     return out
 
 
@@ -481,12 +539,16 @@
     """Dials of which the delay became known within the last second, or that have waited past the bound for no
     longer: four intervals, so that few dials to an office still make a sign, yet a few lost answers do not
     shut it, or the whole exchange, until their callers give up."""
-    return [dial for dial in dials if now - dial.sent - (bound if dial.took is None else dial.took) < SECOND]
+    return [
+        dial
+        for dial in dials
+        if now - dial.sent_at - (bound if dial.setup_delay is None else dial.setup_delay) < SECOND
+    ]
 
 
 def news(dials: list[Dial], bound: int, now: int) -> bool:
     """Whether a delay became known in the interval just over, or a dial waits past the bound."""
-    ages = ((now - dial.sent, dial.took) for dial in dials)
+    ages = ((now - dial.sent_at, dial.setup_delay) for dial in dials)
     return any(age > bound if took is None else age - took < INTERVAL for age, took in ages)
 
 
@@ -494,19 +556,19 @@
     """Delays in the order of sending. A dial that waits past the bound counts with its age: silence is
     evidence, and taking dials as they were sent lets those answered since stand beside it."""
     return [
-        now - dial.sent if dial.took is None else dial.took
+        now - dial.sent_at if dial.setup_delay is None else dial.setup_delay
         for dial in dials
-        if dial.took is not None or now - dial.sent > bound
+        if dial.setup_delay is not None or now - dial.sent_at > bound
     ]
 
 
 def delay_seen(office: Office, bound: int, now: int) -> int | None:
     """Middle of the last three delays, if one is new. One silent dial alone is no sign: its answer may be
     lost, and an office seldom called would be shut for it."""
-    if not news(office.recent, bound, now):
+    if not news(office.recent_dials, bound, now):
         return None
-    delays = known_delays(office.recent, bound, now)[-3:]
-    if len(delays) == 1 and delays[0] > bound and office.recent[-1].took is None:
+    delays = known_delays(office.recent_dials, bound, now)[-3:]
+    if len(delays) == 1 and delays[0] > bound and office.recent_dials[-1].setup_delay is None:
         return None
     return median_low(delays)
 
@@ -557,44 +619,50 @@
     spare = bytearray(min(max(x.by_number, default=-1) + 1, 254))
     for number, office in x.by_number.items():
         if 0 <= number < len(spare):
-            spare[number] = max(0, min(255, office.free - kept_back(office, x.linked)))
-    return bytes((FORM, x.place.number or 0)) + spare
+            spare[number] = max(0, min(255, office.free_circuits - kept_back(office, x.direct_share)))
+    return bytes((FORM, x.topology.own_number or 0)) + spare
 
 
-def take_word(x: Exchange, event: ev.PeerSaid, now: int) -> None:
+def take_word(x: Exchange, event: ev.PeerMessageReceived, now: int) -> None:
     """A peer told its groups' room; what is empty, cut short or of another form tells nothing."""
     if len(event.text) > 1 and event.text[0] == FORM and event.text[1] in x.by_number:
         office = x.by_number[event.text[1]]
-        office.told, office.told_at = list(event.text[2:]), now
+        office.reported_spare, office.reported_at = list(event.text[2:]), now
 
 
 def told_room(x: Exchange, office: Office, destination: int, now: int) -> int | None:
     """Dialogues that the tandem's second group would take, or None where it was not told of late."""
-    if not 0 <= destination < len(office.told) or now - office.told_at > 3 * tell_period(x.place.peers):
+    if not 0 <= destination < len(office.reported_spare) or now - office.reported_at > 3 * tell_period(
+        x.topology.peer_count
+    ):
         return None
-    return office.told[destination]
+    return office.reported_spare[destination]
 
 
 # ---- cold offices ----
 
 
-def cold(rule: ColdRule, office: Office, now: int) -> bool:
+def cold(rule: ColdStartRule, office: Office, now: int) -> bool:
     """Whether the office's processor started so short a time ago that it may still be cold."""
-    return office.started is not None and now - office.started < rule.warm_after
+    return office.started_at is not None and now - office.started_at < rule.warm_after
 
 
-def cold_room(rule: ColdRule, office: Office, now: int) -> bool:
+def cold_room(rule: ColdStartRule, office: Office, now: int) -> bool:
     """Rule 4: a cold office gets no more from here than its share of what this server usually sends it. The
     first allowance is left to chance: however many servers hear at once that it started, and have callers
     waiting, their first dials come at the rate of all, not together."""
     if not cold(rule, office, now):
-        office.budget, office.budget_at = 0.0, 0
+        office.budget, office.budget_updated_at = 0.0, 0
         return True
-    grown = max(0.0, (now - (office.started or 0)) / rule.warm_after)
+    grown = max(0.0, (now - (office.started_at or 0)) / rule.warm_after)
     share = rule.start_share + (1 - rule.start_share) * grown
     # Never under one dial in four seconds, so that an office not used before can still be tried.
-    rate = max(office.usual, 0.25) * share * rule.multiple
-    grown_by = rate * (now - office.budget_at) / SECOND if office.budget_at else office.first_budget
+    rate = max(office.usual_rate, 0.25) * share * rule.multiple
+    grown_by = (
+        rate * (now - office.budget_updated_at) / SECOND
+        if office.budget_updated_at
+        else office.initial_budget
+    )
     office.budget = min(office.budget + grown_by, 1.0 + rate)
-    office.budget_at = now
+    office.budget_updated_at = now
     return office.budget >= 1.0
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -97,9 +97,11 @@
 class Switch:
     """One exchange's call server."""
 
-    def __init__(self, configuration: ev.Opened, max_open: int, io: ServerIO) -> None:
+    def __init__(self, configuration: ev.ServerStarted, max_open: int, io: ServerIO) -> None:
         self.configuration, self.max_open, self.io = configuration, max_open, io
-        self.number = configuration.place.number if configuration.place.number is not None else -1
+        self.number = (
+            configuration.topology.own_number if configuration.topology.own_number is not None else -1
+        )
         self.counts: Counter[str] = Counter()
         self.runner = Runner(self, io.start_timer, io.log, self.counts)
         self.exchange = self.runner.exchange
@@ -118,7 +120,7 @@
         self._next_id = 0
         self._unreported_groups: set[int] = set()
         self._group_report_timer: Timer | None = None
-        self._deadlines = {use.name: use.outer_limit for use in configuration.use_cases}
+        self._deadlines = {use.name: use.deadline for use in configuration.traffic_classes}
 
     # ---- decision function ----
 
@@ -139,13 +141,13 @@
         meanwhile are queued."""
         self.runner.feed(event, now)
 
-    def rescued(self, dialogue: int, now: int) -> None:
+    def decision_failed(self, dialogue: int, now: int) -> None:
         """The decision function raised an exception for this dialogue: answer it, unless it is established."""
         call = self.calls.get(dialogue)
         if call and not call.established:
             self._send_answer(call, "forfeited", 0, now)
 
-    def carry_out(self, action: act.Action, now: int) -> None:
+    def execute(self, action: act.Action, now: int) -> None:
         """Carry out one action of the decision function."""
         match action:
             case act.Send(dialogue, office_id, timeout):
@@ -158,16 +160,16 @@
                     DialState.SENT,
                     DialState.PROCESSING_ANSWER,
                 ):
-                    self._cancel_dial(dial, ev.Ending.CANCELLED, now)
-            case act.PushBack(dialogue, retry_after):
+                    self._cancel_dial(dial, ev.DialResult.CANCELLED, now)
+            case act.Reject(dialogue, retry_after):
                 if dialogue in self.calls:
                     self._send_answer(self.calls[dialogue], "pushed_back", retry_after, now)
-            case act.Forfeit(dialogue):
+            case act.Fail(dialogue):
                 if dialogue in self.calls:
                     self._send_answer(self.calls[dialogue], "forfeited", 0, now)
-            case act.TellPeers(text):
+            case act.SendPeerMessage(text):
                 self.io.send_to_peers(text)
-            case act.Follow():
+            case act.SubscribeDiscovery():
                 pass  # the register pushes its list to every connection after the Hello
 
     # ---- callers ----
@@ -260,17 +262,17 @@
         left = min(left, self._deadlines[call.use_case])
         call.arrived_at, call.deadline = now, now + left
         self.feed(
-            ev.Arrived(
+            ev.DialogueArrived(
                 dialogue=call.id,
-                use_case=call.use_case,
+                traffic_class=call.use_case,
                 destination=call.destination,
-                called=call.called,
-                left=max(0, left - ANSWER_MARGIN_US),
+                called_number=call.called,
+                time_left=max(0, left - ANSWER_MARGIN_US),
                 width=call.width,
-                advised=None if advised_tandem < 0 or call.own_office else advised_tandem,
-                redialled=redialled,
+                advised_tandem=None if advised_tandem < 0 or call.own_office else advised_tandem,
+                is_redial=redialled,
                 transit=call.own_office is not None,
-                favour=favour,
+                value_factor=favour,
             ),
             now,
         )
@@ -297,11 +299,11 @@
                 self.io.send_to_office(dial.own_office.id, frames.ProcessStep(0, "release"))
             self._end_dial(dial, frames.Release(dial.dial_ref), now)
             self._forget(call)
-            self._dial_ended(dial, ev.Ending.ENDED_WELL, ev.Blame.NONE, 0, True, None, now)
+            self._dial_ended(dial, ev.DialResult.ENDED_WELL, ev.ReleaseCause.NONE, 0, True, None, now)
             return
         self._report_answer(call, "gone")
         self._forget(call)
-        self.feed(ev.WentAway(call.id), now)
+        self.feed(ev.CallerLeft(call.id), now)
         if dial:
             self._end_dial(dial, frames.Cancel(dial.dial_ref), now)
 
@@ -406,7 +408,7 @@
         candidates = [
             office for office in self.offices.values() if office.number == self.number and office.connected
         ]
-        ready = [office for office in candidates if office.state is ev.Standing.READY]
+        ready = [office for office in candidates if office.state is ev.OfficeState.READY]
         return max(ready or candidates, key=lambda office: office.started_at or 0, default=None)
 
     def _send(self, dialogue: int, office_id: str, timeout: int, now: int) -> None:
@@ -423,11 +425,11 @@
         self.counts["sends"] += 1
         group = self.groups.get(office.number)
         if own_office is None:
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.PROCESSOR_FULL, now)
         elif not office.connected:
-            self._not_sent(dial, ev.Ending.UNREACHABLE, ev.Blame.NONE, now)
+            self._not_sent(dial, ev.DialResult.UNREACHABLE, ev.ReleaseCause.NONE, now)
         elif group is not None and not group.seize(dial, call.width):
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.NO_CIRCUIT, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NO_CIRCUIT, now)
         else:
             self._group_changed(office.number)
             dial.timer = self.io.start_timer(
@@ -437,7 +439,7 @@
             own_office.processing[dial.own_office_ref] = dial
             self.io.send_to_office(own_office.id, frames.ProcessStep(dial.own_office_ref, "setup"))
 
-    def _not_sent(self, dial: PendingDial, ending: ev.Ending, blame: ev.Blame, now: int) -> None:
+    def _not_sent(self, dial: PendingDial, ending: ev.DialResult, blame: ev.ReleaseCause, now: int) -> None:
         dial.move_to(DialState.FREE)
         self._release_circuits(dial)
         self._dial_ended(dial, ending, blame, 0, False, None, now)
@@ -445,8 +447,8 @@
     def _dial_ended(
         self,
         dial: PendingDial,
-        ending: ev.Ending,
-        blame: ev.Blame,
+        ending: ev.DialResult,
+        blame: ev.ReleaseCause,
         wait: int,
         over: bool,
         load: frames.Load | None,
@@ -477,15 +479,15 @@
         call, office = dial.call, dial.office
         if not accepted:
             self._cancel_timer(dial)
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.PROCESSOR_FULL, now)
             return
-        if office.state is not ev.Standing.READY or not office.connected:
+        if office.state is not ev.OfficeState.READY or not office.connected:
             # Guards rule 3: the office started draining, or its connection was lost, while the set-up was queued in
             # the own processor. Nothing was sent, so the decision function may dial elsewhere at once.
             self.counts["kept_back.drained" if office.connected else "kept_back.unreachable"] += 1
             self._cancel_timer(dial)
-            ending = ev.Ending.NOT_SENT if office.connected else ev.Ending.UNREACHABLE
-            self._not_sent(dial, ending, ev.Blame.NONE, now)
+            ending = ev.DialResult.NOT_SENT if office.connected else ev.DialResult.UNREACHABLE
+            self._not_sent(dial, ending, ev.ReleaseCause.NONE, now)
             return
         dial.move_to(DialState.SENT)
         dial.dial_ref = office.new_dial_ref()
@@ -510,15 +512,15 @@
         dial.move_to(DialState.ESTABLISHED)
         self._cancel_timer(dial)
         self._send_answer(dial.call, "stands", 0, now)
-        self.feed(ev.Stood(dial.call.id, dial.number, now - dial.sent_at), now)
+        self.feed(ev.DialogueEstablished(dial.call.id, dial.number, now - dial.sent_at), now)
 
     def _dial_timed_out(self, dial: PendingDial, now: int) -> None:
         if dial.state in (DialState.PROCESSING_SETUP, DialState.SENT, DialState.PROCESSING_ANSWER):
-            self._cancel_dial(dial, ev.Ending.TIMED_OUT, now)
+            self._cancel_dial(dial, ev.DialResult.TIMED_OUT, now)
 
-    def _cancel_dial(self, dial: PendingDial, ending: ev.Ending, now: int) -> None:
+    def _cancel_dial(self, dial: PendingDial, ending: ev.DialResult, now: int) -> None:
         self._end_dial(dial, frames.Cancel(dial.dial_ref), now)
-        self._dial_ended(dial, ending, ev.Blame.NONE, 0, False, None, now)
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, 0, False, None, now)
 
     def _end_dial(self, dial: PendingDial, message: frames.Cancel | frames.Release, now: int) -> None:
         """End a dial from this end. If its set-up was sent, the circuits are held until the far end confirms or
@@ -587,7 +589,7 @@
         self._cancel_timer(dial)
         dial.move_to(DialState.FREE)
         self._release_circuits(dial)
-        ending, blame = REJECT_OUTCOMES.get(frame.reason, (ev.Ending.FAULT, ev.Blame.NONE))
+        ending, blame = REJECT_OUTCOMES.get(frame.reason, (ev.DialResult.FAULT, ev.ReleaseCause.NONE))
         self._dial_ended(dial, ending, blame, max(0, frame.wait), False, frame.load, now)
 
     def dial_cut(self, office_id: str, dial_ref: int, now: int) -> None:
@@ -625,7 +627,7 @@
             elif call.own_office is not None:
                 self.io.send_to_office(call.own_office.id, frames.Cut(call.own_office_ref))
             self._forget(call)
-        self._dial_ended(dial, ev.Ending.RESET, ev.Blame.NONE, 0, was_established, None, now)
+        self._dial_ended(dial, ev.DialResult.RESET, ev.ReleaseCause.NONE, 0, was_established, None, now)
 
     def dial_released(self, office_id: str, frame: frames.Released, now: int) -> None:
         """An office freed the circuits that a dial held there."""
@@ -679,13 +681,14 @@
         """An office reported the load of its processor."""
         office = self.offices[office_id]
         self.feed(
-            ev.Reported(office_id, frame.asked, True, self._group_report(office.number, frame.load)), now
+            ev.OfficeReported(office_id, frame.asked, True, self._group_report(office.number, frame.load)),
+            now,
         )
 
     def _feed_load(self, office_id: str, load: frames.Load | None, now: int) -> None:
         if load is not None:
             report = self._group_report(self.offices[office_id].number, load)
-            self.feed(ev.Reported(office_id, False, True, report), now)
+            self.feed(ev.OfficeReported(office_id, False, True, report), now)
 
     # ---- trunk groups ----
 
@@ -727,19 +730,21 @@
             for own_office in own:
                 self.io.send_to_office(own_office.id, frames.GroupState(number, group.local_count))
             for office in self.offices.values():
-                if office.number == number and office.state is not ev.Standing.GONE:
-                    self.feed(ev.Reported(office.id, False, True, self._group_report(number, None)), now)
+                if office.number == number and office.state is not ev.OfficeState.GONE:
+                    self.feed(
+                        ev.OfficeReported(office.id, False, True, self._group_report(number, None)), now
+                    )
 
-    def _group_report(self, number: int, load: frames.Load | None) -> ev.Report:
+    def _group_report(self, number: int, load: frames.Load | None) -> ev.OfficeReport:
         group = self.groups.get(number)
         utilisation, wait, takes_per_s, hold_back = checked_load(load)
-        return ev.Report(
-            free=group.free if group else None,
-            size=group.size if group else None,
+        return ev.OfficeReport(
+            free_circuits=group.free if group else None,
+            group_size=group.size if group else None,
             utilisation=utilisation,
-            wait=wait,
-            takes_per_s=takes_per_s,
-            hold_back=hold_back,
+            queue_wait=wait,
+            accept_rate_per_s=takes_per_s,
+            load_reduction=hold_back,
         )
 
     def circuits_held(self, office_id: str) -> int:
@@ -792,7 +797,7 @@
             return
         office.connected = False
         self.counts["links_lost.office"] += 1
-        if office.state is ev.Standing.READY and not self.stopping:
+        if office.state is ev.OfficeState.READY and not self.stopping:
             self.io.log("office_lost", office=office_id, why=reason, dials=len(office.dials))
         for dial in list(office.dials.values()):
             self._reset_dial(dial, now)
@@ -843,18 +848,18 @@
         if frame.kind != "changes":
             for office in self.offices.values():
                 if office.id not in listed_ids:
-                    office.state = ev.Standing.GONE
-        kinds = {"changes": ev.Heard.CHANGES, "whole": ev.Heard.WHOLE, "remembered": ev.Heard.REMEMBERED}
+                    office.state = ev.OfficeState.GONE
+        kinds = {"changes": ev.ListKind.CHANGES, "whole": ev.ListKind.FULL, "remembered": ev.ListKind.CACHED}
         offices = [self.offices[entry.office] for entry in frame.entries]
         reported = tuple(
-            ev.Entry(office.id, office.number, office.state, office.started_at) for office in offices
+            ev.OfficeEntry(office.id, office.number, office.state, office.started_at) for office in offices
         )
-        self.feed(ev.Listed(kinds[frame.kind], reported), now)
+        self.feed(ev.OfficeListReceived(kinds[frame.kind], reported), now)
         for office in list(self.offices.values()):
             self._apply_state(office, now)
             if self.hook_runner and states_before.get(office.id) is not office.state:
                 office.hook_mark = self.hook_runner.office_state_changed(office, now) or office.hook_mark
-            if office.state is ev.Standing.GONE and not (
+            if office.state is ev.OfficeState.GONE and not (
                 office.dials or office.processing or office.transits
             ):
                 del self.offices[
@@ -865,7 +870,7 @@
     def _makes_unavailable(self, entry: frames.OfficeListEntry, now: int) -> bool:
         """Whether an entry takes a ready office out of service, and is not about an earlier processor of it."""
         office = self.offices.get(entry.office)
-        if office is None or office.state is not ev.Standing.READY or entry.state == "ready":
+        if office is None or office.state is not ev.OfficeState.READY or entry.state == "ready":
             return False
         started_at = None if entry.age is None else now - max(0, entry.age)  # a negative age counts as zero
         return office.started_at is None or (
@@ -894,12 +899,12 @@
             office.address = entry.address
 
     def _apply_state(self, office: OfficeRecord, now: int) -> None:
-        if office.state is ev.Standing.GONE:
+        if office.state is ev.OfficeState.GONE:
             self._withdraw_setups(office, now)
             self.io.drop_connection(office.id)
         else:
             self.io.keep_connection(office.id, office.address)
-            if office.state is ev.Standing.DRAINING:
+            if office.state is ev.OfficeState.DRAINING:
                 self._withdraw_setups(office, now)
 
     def _withdraw_setups(self, office: OfficeRecord, now: int) -> None:
@@ -912,7 +917,7 @@
             if dial and dial.state is DialState.SENT:
                 self.counts["kept_back.drained"] += 1
                 self._cancel_timer(dial)
-                self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.NONE, now)
+                self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, now)
         if not office.connected:
             return
         mark, grace = self.io.send_mark(office.id), self.configuration.release.drain_grace
@@ -920,7 +925,7 @@
         def check_read(fired_at: int) -> None:
             if (
                 office.connected
-                and office.state is not ev.Standing.READY
+                and office.state is not ev.OfficeState.READY
                 and not self.io.mark_confirmed(office.id, mark)
             ):
                 self.counts["resets_of_drained"] += 1
@@ -943,7 +948,7 @@
         own_office = self._own_office()
         if own_office:
             self.io.send_to_office(own_office.id, frames.ProcessStep(0, "word"))
-        self.feed(ev.PeerSaid(peer, payload), now)
+        self.feed(ev.PeerMessageReceived(peer, payload), now)
 
     def stop(self, now: int) -> int:
         """Accept no more dialogues; returns how many answers are still owed."""
