--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -8,7 +8,7 @@
 from wellhitch.adapter.codec import read_opened
 from wellhitch.board import codec as board
 from wellhitch.interface.events import ServerStarted
-from wellhitch.net.transport import only_numeric, split
+from wellhitch.net.transport import require_ip_address, split_address
 from wellhitch.settings.checked import Faults, read_open, shown
 
 # A file with hundreds of updates under `known` has some tens of thousands of bytes.
@@ -185,6 +185,6 @@
 
 def _check_address(path: str, field: str, address: str) -> None:
     try:
-        only_numeric(split(address)[0])
+        require_ip_address(split_address(address)[0])
     except ValueError as error:
         raise Faults(path, [f"{field} = {shown(address)}: {error}"]) from None
