--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -64,7 +64,7 @@
         if dial.state is DialState.SENT and others:
             taken = dial.call
             setup = frames.Setup(
-                others[0].new_dial_ref() + 1_000_000, taken.origin, taken.origin_id, dial.number + 1, taken.use_case,
+                others[0].new_dial_ref() + 1_000_000, taken.origin, taken.origin_dialogue, dial.number + 1, taken.use_case,
                 others[0].number, None, 1_000_000, 1,
             )  # fmt: skip
             self.io.send_to_office(others[0].id, setup)
--- a/wellhitch/server/__init__.py
+++ b/wellhitch/server/__init__.py
@@ -1,1 +1,1 @@
-"""The call server: feeds what occurs to the decisions and carries out what they ask for."""
+"""The call server: feeds events to the decision function and executes the actions that it returns."""
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -1,5 +1,7 @@
-"""Records of the call server's own: what it has taken, and each dial from the send to the last circuit freed.
-Pure. The decisions keep their own records; these hold what carrying out needs and nothing is decided by them."""
+"""Records of the call server: accepted dialogues, and each dial from the send until its last circuit is free.
+
+Pure. The decision function keeps records of its own; these hold what is needed to execute its actions, and no decision
+depends on them."""
 
 from __future__ import annotations
 
@@ -13,11 +15,11 @@
 
 
 class DialState(Enum):
-    """How far a dial is."""
+    """State of a dial."""
 
-    PROCESSING_SETUP = auto()  # through the own processor, not sent yet
+    PROCESSING_SETUP = auto()  # queued at the own processor, not sent yet
     SENT = auto()  # sent, unanswered
-    PROCESSING_ANSWER = auto()  # answered, the answer passes the own processor
+    PROCESSING_ANSWER = auto()  # answered; the answer is queued at the own processor
     ESTABLISHED = auto()
     RELEASING = auto()  # over; circuits held until the far end confirms or the release wait is over
     FREE = auto()
@@ -31,23 +33,22 @@
     DialState.RELEASING: (DialState.FREE,),
     DialState.FREE: (),
 }
-"""Every way a dial may go; anything else is a defect of the server and raises."""
+"""All permitted state transitions of a dial; any other is a defect of the server and raises."""
 
 
-MAX_RECENT_IDS = (
-    512  # ids of one link that are remembered: what is told twice comes within a few hundred frames
-)
+# Ids remembered for each connection: a duplicate arrives within a few hundred frames.
+MAX_RECENT_IDS = 512
 
 
 class RecentIds:
-    """The last ids heard on a link. Guards rule 1: one that came again after its answer was taken for a new dialogue,
-    and answered a second time."""
+    """The last ids received on a connection. Guards rule 1: an id that came again after its answer was taken for a new
+    dialogue, which was answered a second time."""
 
     def __init__(self) -> None:
         self._ids: dict[int, None] = {}
 
     def add(self, id: int) -> None:
-        """This one was heard."""
+        """Remember an id, and forget the oldest one over the limit."""
         self._ids[id] = None
         if len(self._ids) > MAX_RECENT_IDS:
             del self._ids[next(iter(self._ids))]
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True, eq=False)
 class OfficeRecord:
-    """One office as the call server reaches it."""
+    """One office and the state of its connection."""
 
     id: str
     number: int
@@ -69,7 +70,7 @@
     state: OfficeState
     started_at: int | None
     connected: bool = False
-    boot: int = 0
+    boot_id: int = 0
     last_dial_ref: int = 0
     hook_mark: str = ""
     dials: dict[int, PendingDial] = field(default_factory=dict)
@@ -79,14 +80,15 @@
     counts_differ_since: int | None = None
 
     def new_dial_ref(self) -> int:
-        """A ref never used on this link before."""
+        """A reference that was never used on this connection before."""
         self.last_dial_ref += 1
         return self.last_dial_ref
 
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """A dialogue taken: from a caller (`link` and its id there) or in transit (`home` and the ref there)."""
+    """An accepted dialogue: from a caller (`connection` and the id on it), or in transit (`own_office` and the reference
+    on its connection)."""
 
     id: int
     use_case: str
@@ -94,12 +96,12 @@
     called: str | None
     width: int
     origin: int
-    origin_id: int
+    origin_dialogue: int
     connection: object | None = None
     caller_id: int = 0
     own_office: OfficeRecord | None = None
     own_office_ref: int = 0
-    origin_dial: int = -1  # in transit: which dial of the origin's this is
+    origin_dial: int = -1  # in transit: number of the dial at the origin
     answer_owed: bool = True
     tenant: str | None = None
     tags: tuple[str, ...] = ()
@@ -107,11 +109,11 @@
     deadline: int = 0
     hooks_version: str = ""
     dials: list[PendingDial] = field(default_factory=list)
-    last_blame: ReleaseCause = ReleaseCause.NONE
+    last_cause: ReleaseCause = ReleaseCause.NONE
 
     @property
     def active_dial(self) -> PendingDial | None:
-        """The dial that is out or stands, if any."""
+        """The dial that is pending or established, if any."""
         last = self.dials[-1] if self.dials else None
         return (
             last
@@ -128,13 +130,14 @@
 
     @property
     def established(self) -> bool:
-        """Whether it stands."""
+        """Whether the dialogue is established."""
         return bool(self.dials) and self.dials[-1].state is DialState.ESTABLISHED
 
 
 @dataclass(slots=True, eq=False)
 class PendingDial:
-    """One dial. `ref` names it on the office's link, `home_ref` on the own office's, once each was used."""
+    """One dial. `dial_ref` identifies it on the connection to the office, `own_office_ref` on that to the own office;
+    each is zero until it is used."""
 
     call: PendingCall
     number: int
@@ -148,7 +151,7 @@
     timer: Timer | None = None
 
     def move_to(self, state: DialState) -> None:
-        """Go to the next step. Raises RuntimeError where the table does not allow it."""
+        """Change the state. Raises RuntimeError for a transition that the table does not permit."""
         if state not in ALLOWED_TRANSITIONS[self.state]:
             raise RuntimeError(f"dial {self.call.id}.{self.number}: {self.state.name} to {state.name}")
         self.state = state
@@ -163,24 +166,26 @@
     "fault": (DialResult.FAULT, ReleaseCause.NONE),
     "unreachable": (DialResult.UNREACHABLE, ReleaseCause.NONE),
 }
-"""What a PushBack's reason means to the decisions."""
+"""Result and cause of a dial, as the decision function sees them, for each reason of a Reject frame."""
 
 OFFICE_STATES = {"ready": OfficeState.READY, "draining": OfficeState.DRAINING, "gone": OfficeState.GONE}
 
 
 def upstream_reject_reason(call: PendingCall) -> str:
-    """Reason told upstream when a dialogue in transit was not brought on: what its last dial met beyond."""
-    if call.last_blame in (ReleaseCause.PROCESSOR_FULL, ReleaseCause.FAR_PROCESSOR_FULL):
+    """Reason to send upstream when a dialogue in transit was not established: the cause of its last dial."""
+    if call.last_cause in (ReleaseCause.PROCESSOR_FULL, ReleaseCause.FAR_PROCESSOR_FULL):
         return "far_processor_full"
-    return "lines_busy" if call.last_blame is ReleaseCause.LINES_BUSY else "turned_back"
+    return "lines_busy" if call.last_cause is ReleaseCause.LINES_BUSY else "turned_back"
 
 
 def checked_load(load: frames.Load | None) -> tuple[float | None, int | None, float | None, float | None]:
-    """A load report's figures, None where not told. Guards against what is no figure, or under nought: NaN is neither
-    over a bound nor under it, and made a price nought even beside 'full'."""
+    """The values of a load report, None for those that are missing or invalid. Guards against negative and non-finite
+    values: NaN compares as neither above nor below a bound, and made the price of a full office zero."""
     if load is None:
         return None, None, None, None
-    shares = (load.utilisation, load.takes_per_s, load.hold_back)
-    utilisation, takes, hold_back = (one if one is None or 0 <= one < inf else None for one in shares)
+    values = (load.utilisation, load.takes_per_s, load.hold_back)
+    utilisation, takes_per_s, hold_back = (
+        value if value is None or 0 <= value < inf else None for value in values
+    )
     wait = load.wait if load.wait is not None and 0 <= load.wait < 1 << 53 else None
-    return utilisation, wait, takes, hold_back
+    return utilisation, wait, takes_per_s, hold_back
--- a/wellhitch/server/metrics.py
+++ b/wellhitch/server/metrics.py
@@ -1,4 +1,4 @@
-"""Counters in Prometheus' text form. The switch counts in plain whole numbers; they are turned when asked for."""
+"""Metrics in the Prometheus text format, made on request from the integer counters of the switch."""
 
 from collections.abc import Iterator
 
@@ -14,17 +14,17 @@
         self.switch = switch
 
     def collect(self) -> Iterator[Metric]:
-        """All families, made from the switch as it is now."""
-        kinds: dict[str, CounterMetricFamily] = {}
+        """All metric families, with the current values of the switch."""
+        families: dict[str, CounterMetricFamily] = {}
         for name, count in sorted(self.switch.counts.items()):
             family, _, kind = name.partition(".")
-            metric = kinds.get(family)
+            metric = families.get(family)
             if metric is None:
-                metric = kinds[family] = CounterMetricFamily(
+                metric = families[family] = CounterMetricFamily(
                     f"wellhitch_{family}", f"{family.replace('_', ' ')}, by kind", labels=["kind"]
                 )
             metric.add_metric([kind], count)
-        yield from kinds.values()
+        yield from families.values()
         yield GaugeMetricFamily("wellhitch_held", "dialogues held", value=len(self.switch.calls))
         yield GaugeMetricFamily("wellhitch_owed", "answers owed", value=self.switch.unanswered)
         yield GaugeMetricFamily(
@@ -33,7 +33,7 @@
 
 
 def exposition(switch: Switch) -> bytes:
-    """The text that a Prometheus server reads."""
+    """The metrics of a call server in the Prometheus text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Counts(switch))
     return generate_latest(registry)
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -206,7 +206,7 @@
             call = msgspec.structs.replace(call, use_case=hook_result.use_case)
         pending = self._accept(call, self.number, 0, now)
         pending.tenant, pending.tags, pending.hooks_version = call.tenant, hook_result.tags, hooks_version
-        pending.connection, pending.caller_id, pending.origin_id = (
+        pending.connection, pending.caller_id, pending.origin_dialogue = (
             connection,
             call.id,
             self.id_epoch << 32 | pending.id,
@@ -239,10 +239,12 @@
             return "destination"  # a negative one would index the tandem advice from its end
         return "" if _fits(frame.called) else "text_too_long"
 
-    def _accept(self, call: frames.Call | frames.Setup, origin: int, origin_id: int, now: int) -> PendingCall:
+    def _accept(
+        self, call: frames.Call | frames.Setup, origin: int, origin_dialogue: int, now: int
+    ) -> PendingCall:
         self._next_id += 1
         pending = PendingCall(
-            self._next_id, call.use_case, call.destination, call.called, call.width, origin, origin_id
+            self._next_id, call.use_case, call.destination, call.called, call.width, origin, origin_dialogue
         )
         self.calls[pending.id] = pending
         self.counts["taken"] += 1
@@ -358,7 +360,7 @@
             facts = DialogueFacts(
                 _role(call),
                 call.origin,
-                call.origin_id,
+                call.origin_dialogue,
                 call.use_case,
                 call.destination,
                 call.called,
@@ -375,7 +377,7 @@
     def _report_end(self, call: PendingCall, ending: str) -> None:
         if self.ledger:
             role, dial = _role(call), call.origin_dial
-            self._notify_ledger(self.ledger.ended, role, call.origin, call.origin_id, ending, dial)
+            self._notify_ledger(self.ledger.ended, role, call.origin, call.origin_dialogue, ending, dial)
 
     def carried_dialogue_ended(self, office_id: str, frame: frames.CarriedDialogue) -> None:
         """The own office reports the end of an established dialogue whose destination is this exchange."""
@@ -439,27 +441,27 @@
             own_office.processing[dial.own_office_ref] = dial
             self.io.send_to_office(own_office.id, frames.ProcessStep(dial.own_office_ref, "setup"))
 
-    def _not_sent(self, dial: PendingDial, ending: ev.DialResult, blame: ev.ReleaseCause, now: int) -> None:
+    def _not_sent(self, dial: PendingDial, result: ev.DialResult, cause: ev.ReleaseCause, now: int) -> None:
         dial.move_to(DialState.FREE)
         self._release_circuits(dial)
-        self._dial_ended(dial, ending, blame, 0, False, None, now)
+        self._dial_ended(dial, result, cause, 0, False, None, now)
 
     def _dial_ended(
         self,
         dial: PendingDial,
-        ending: ev.DialResult,
-        blame: ev.ReleaseCause,
+        result: ev.DialResult,
+        cause: ev.ReleaseCause,
         wait: int,
         over: bool,
         load: frames.Load | None,
         now: int,
     ) -> None:
         call = dial.call
-        call.last_blame = blame
-        self.counts[f"ending.{ending.name.lower()}"] += 1
-        self.counts[f"blame.{blame.name.lower()}"] += 1
+        call.last_cause = cause
+        self.counts[f"ending.{result.name.lower()}"] += 1
+        self.counts[f"blame.{cause.name.lower()}"] += 1
         report = self._group_report(dial.office.number, load)
-        self.feed(ev.DialEnded(call.id, dial.number, dial.office.id, ending, blame, wait, over, report), now)
+        self.feed(ev.DialEnded(call.id, dial.number, dial.office.id, result, cause, wait, over, report), now)
 
     def step_processed(self, office_id: str, frame: frames.StepProcessed, now: int) -> None:
         """The own processor has processed one step of a dial."""
@@ -486,8 +488,8 @@
             # the own processor. Nothing was sent, so the decision function may dial elsewhere at once.
             self.counts["kept_back.drained" if office.connected else "kept_back.unreachable"] += 1
             self._cancel_timer(dial)
-            ending = ev.DialResult.NOT_SENT if office.connected else ev.DialResult.UNREACHABLE
-            self._not_sent(dial, ending, ev.ReleaseCause.NONE, now)
+            result = ev.DialResult.NOT_SENT if office.connected else ev.DialResult.UNREACHABLE
+            self._not_sent(dial, result, ev.ReleaseCause.NONE, now)
             return
         dial.move_to(DialState.SENT)
         dial.dial_ref = office.new_dial_ref()
@@ -498,7 +500,7 @@
             frames.Setup(
                 dial.dial_ref,
                 call.origin,
-                call.origin_id,
+                call.origin_dialogue,
                 dial.number,
                 call.use_case,
                 call.destination,
@@ -518,9 +520,9 @@
         if dial.state in (DialState.PROCESSING_SETUP, DialState.SENT, DialState.PROCESSING_ANSWER):
             self._cancel_dial(dial, ev.DialResult.TIMED_OUT, now)
 
-    def _cancel_dial(self, dial: PendingDial, ending: ev.DialResult, now: int) -> None:
+    def _cancel_dial(self, dial: PendingDial, result: ev.DialResult, now: int) -> None:
         self._end_dial(dial, frames.Cancel(dial.dial_ref), now)
-        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, 0, False, None, now)
+        self._dial_ended(dial, result, ev.ReleaseCause.NONE, 0, False, None, now)
 
     def _end_dial(self, dial: PendingDial, message: frames.Cancel | frames.Release, now: int) -> None:
         """End a dial from this end. If its set-up was sent, the circuits are held until the far end confirms or
@@ -589,8 +591,8 @@
         self._cancel_timer(dial)
         dial.move_to(DialState.FREE)
         self._release_circuits(dial)
-        ending, blame = REJECT_OUTCOMES.get(frame.reason, (ev.DialResult.FAULT, ev.ReleaseCause.NONE))
-        self._dial_ended(dial, ending, blame, max(0, frame.wait), False, frame.load, now)
+        result, cause = REJECT_OUTCOMES.get(frame.reason, (ev.DialResult.FAULT, ev.ReleaseCause.NONE))
+        self._dial_ended(dial, result, cause, max(0, frame.wait), False, frame.load, now)
 
     def dial_cut(self, office_id: str, dial_ref: int, now: int) -> None:
         """An office lost a dial of ours."""
@@ -777,7 +779,7 @@
         if number != office.number:
             self.io.log("office_not_as_listed", office=office_id, number=number)
             return f"office {number}, not {office.number} as listed"
-        office.connected, office.boot, office.counts_differ_since, office.recent_refs = (
+        office.connected, office.boot_id, office.counts_differ_since, office.recent_refs = (
             True,
             boot,
             None,
