--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -87,8 +87,8 @@
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """An accepted dialogue: from a caller (`connection` and the id on it), or in transit (`own_office` and the reference
-    on its connection)."""
+    """An accepted dialogue: from a caller (`connection` and the id on it), or in transit (`own_office` and the
+    reference on its connection)."""
 
     id: int
     use_case: str
--- a/wellhitch/server/hook_runner.py
+++ b/wellhitch/server/hook_runner.py
@@ -1,4 +1,4 @@
-"""Runs the hooks of a call server: provides the facts for each hook point and returns the results as facts of the event.
+"""Runs the hooks of a call server: provides the facts for each hook point and returns results as facts of the event.
 
 No hook can affect a route, a dial or a timeout directly.
 """
@@ -75,7 +75,7 @@
     def call_arrived(
         self, call: frames.Call, held: int, groups: Mapping[int, TrunkGroup], now: int
     ) -> tuple[HookResult, str]:
-        """Run `on arrive` for a call before the decision function sees it; returns the result and the hooks' version."""
+        """Run `on arrive` for a call before the decision function sees it; returns result and version of the hooks."""
         if not self.hooks.has_hooks("arrive"):
             return HookResult(), self.hooks.deciding_for(call.called).version.digest
         destination = self.exchange.by_number.get(call.destination)
--- a/wellhitch/trunk/__init__.py
+++ b/wellhitch/trunk/__init__.py
@@ -1,1 +1,2 @@
-"""The trunk protocol: frames, their codec, the life of a link, and the circuits both ends count."""
+"""The trunk protocol: frames, their codec, the protocol state of a connection, and the circuits that both ends
+count."""
--- a/wellhitch/trunk/circuits.py
+++ b/wellhitch/trunk/circuits.py
@@ -1,8 +1,8 @@
-"""Circuits of the trunk groups at one end. Pure. Both ends run this same text, each for what its own side
-dialled; each tells the other its count, so that both reckon the same free circuits within one message's way.
+"""Circuits of a trunk group at one end. Pure. Both ends run this code, each for the dials of its own side, and report
+their counts to each other, so that both see the same number of free circuits after the delay of one message.
 
-A dial holds its circuits from the send to its end, and after a time-out, reset or cancel until the other end
-confirms the release or the release wait is over: until then the far end may still hold them.
+A dial holds its circuits from the send to its end, and after a timeout, reset or cancel until the other end confirms
+the release or the release wait is over: until then the far end may still hold them.
 """
 
 from collections.abc import Hashable
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class TrunkGroup:
-    """One trunk group: its size, what this end's dials hold, and what the other side told it holds."""
+    """One trunk group: its size, the circuits that this end's dials hold, and the count that the other end reported."""
 
     size: int
     local_holders: dict[Hashable, int] = field(default_factory=dict)
@@ -20,12 +20,12 @@
 
     @property
     def free(self) -> int:
-        """Circuits that neither side holds, as far as is known here. Never below nought: while both ends seize
-        the last circuit the counts may overlap until one is turned back."""
+        """Circuits that neither end holds, as far as is known here. Never negative: when both ends seize the last
+        circuit, the counts overlap until one dial is rejected."""
         return max(0, self.size - self.local_count - self.remote_count)
 
     def seize(self, holder: Hashable, width: int) -> bool:
-        """Take `width` circuits for `holder`, or none where they are not there."""
+        """Seize `width` circuits for `holder`; returns False, and seizes none, if too few are free."""
         if self.free < width or holder in self.local_holders:
             return False
         self.local_holders[holder] = width
@@ -33,18 +33,19 @@
         return True
 
     def release(self, holder: Hashable) -> bool:
-        """Give back what `holder` holds; False where it held nothing, for a release may be told twice."""
+        """Release the circuits of `holder`; returns False if it held none, because a release may be reported twice."""
         width = self.local_holders.pop(holder, 0)
         self.local_count -= width
         return width > 0
 
 
 def track_disagreement(
-    mine: int, theirs: int, since: int | None, now: int, allowed: int
+    local: int, remote: int, since: int | None, now: int, allowed_us: int
 ) -> tuple[int | None, bool]:
-    """Whether the two ends' counts of one link have differed for longer than `allowed` (us): frames on the way
-    explain less. Takes since when they differ, or None; returns the same for now, and whether to say so."""
-    if mine == theirs:
+    """Track whether the two ends' counts on one connection differ for longer than `allowed_us`; frames in flight
+    explain shorter differences. Takes the time since when they differ, or None; returns it updated, and whether the
+    disagreement must be reported."""
+    if local == remote:
         return None, False
     since = now if since is None else since
-    return since, now - since > allowed
+    return since, now - since > allowed_us
--- a/wellhitch/trunk/connection.py
+++ b/wellhitch/trunk/connection.py
@@ -1,16 +1,15 @@
-"""The life of one link, sans-I/O: who may say what, in which order, and how silence is found.
+"""The protocol state of one trunk connection, without I/O: who may send which frames when, and the silence timeout.
 
-waiting --Hello--> up --bad frame, silence, Fault, bytes end--> closed
+waiting --Hello--> up --bad frame, silence, Fault, end of stream--> closed
 """
 
 from enum import Enum, auto
 
 from wellhitch.trunk import codec, frames
 
-HEARTBEAT_INTERVAL_US = (
-    1_000_000  # us; one small frame a second and link is nothing, and three missed ones are no chance
-)
-SILENCE_TIMEOUT_US = 3_500_000  # us without a byte: three heartbeats and half another for a busy loop
+# One small frame a second on each connection costs next to nothing, and three missed ones are no coincidence.
+HEARTBEAT_INTERVAL_US = 1_000_000
+SILENCE_TIMEOUT_US = 3_500_000  # three heartbeats, and half of one more for a busy event loop
 
 _ALWAYS = (frames.Hello, frames.Heartbeat, frames.Mark, frames.Marked, frames.Fault)
 _DIALS = (frames.Setup, frames.Cancel, frames.Release)
@@ -41,12 +40,12 @@
     ("centre", "call_server"): (frames.Advice,),
     ("call_server", "centre"): (),
 }
-"""Who may send what to whom, beyond Hello, Heartbeat, Mark, Marked and Fault."""
+"""The frames that one role may send to another, besides Hello, Heartbeat, Mark, Marked and Fault."""
 
 
 class ProtocolError(Exception):
-    """The link is to be closed. `tell` is whether the other end is sent the text as its one error; `before`
-    holds the frames that were good."""
+    """The connection must be closed. With `notify_peer` the other end is sent the text in a Fault; `frames_before` are
+    the valid frames before the error."""
 
     def __init__(self, text: str, notify_peer: bool, frames_before: list[frames.AnyFrame]) -> None:
         super().__init__(text)
@@ -55,7 +54,7 @@
 
 
 class ConnectionState(Enum):
-    """Where in its life a link is."""
+    """State of a connection."""
 
     WAITING = auto()
     UP = auto()
@@ -63,7 +62,7 @@
 
 
 class Connection:
-    """One end's view of a link. `takes`: the roles that this end takes at the other."""
+    """One end of a connection. `accepted_roles`: the roles that the other end may have."""
 
     def __init__(self, role: str, accepted_roles: tuple[str, ...], now: int) -> None:
         self.role, self.accepted_roles = role, accepted_roles
@@ -74,33 +73,33 @@
         self._allowed: tuple[type, ...] = _ALWAYS
 
     def receive(self, data: bytes | memoryview, now: int) -> list[frames.AnyFrame]:
-        """Frames to act on. Raises LinkFault."""
+        """The frames that the data completes. Raises ProtocolError."""
         if self.state is ConnectionState.CLOSED:
             return []
         self.received_at = now
-        fault: codec.BadFrame | None = None
+        error: codec.BadFrame | None = None
         try:
-            got = self._decoder.feed(data)
-        except codec.BadFrame as bad:
-            got, fault = bad.frames_before, bad
-        for at, frame in enumerate(got):
-            wrong, tell = self._violation(frame)
-            if wrong:
+            received = self._decoder.feed(data)
+        except codec.BadFrame as raised:
+            received, error = raised.frames_before, raised
+        for index, frame in enumerate(received):
+            violation, notify_peer = self._violation(frame)
+            if violation:
                 self.state = ConnectionState.CLOSED
-                raise ProtocolError(wrong, tell, got[:at])
+                raise ProtocolError(violation, notify_peer, received[:index])
             if isinstance(frame, frames.Hello):
                 self.peer, self.state = frame, ConnectionState.UP
                 self._allowed = _ALWAYS + ALLOWED_FRAMES.get((frame.role, self.role), ())
-        if fault:
+        if error:
             self.state = ConnectionState.CLOSED
-            raise ProtocolError(str(fault), True, got)
-        return got
+            raise ProtocolError(str(error), True, received)
+        return received
 
     def _violation(self, frame: frames.AnyFrame) -> tuple[str, bool]:
-        """What is wrong with a frame in this state, and whether the other end is told."""
+        """What is wrong with a frame in this state, if anything, and whether the other end is notified."""
         name = frame.__struct_config__.tag
         if isinstance(frame, frames.Fault):
-            return f"told by the other end: {frame.text[:200]}", False
+            return f"reported by the other end: {frame.text[:200]}", False
         if self.state is ConnectionState.WAITING:
             if not isinstance(frame, frames.Hello):
                 return f"{name} before Hello", True
@@ -116,12 +115,12 @@
         return "", False
 
     def timed_out(self, now: int) -> bool:
-        """Whether the other end has been silent for too long: half-open, paused or dead. Until it has said who it is,
-        nothing but its Hello counts: one that drips a byte now and then would hold its link for ever."""
+        """Whether the other end has been silent for too long: half-open, paused or dead. Before its Hello, the time
+        since the opening counts: a client that sends a byte now and then would keep its connection for ever."""
         if self.state is ConnectionState.WAITING:
             return now - self.opened_at > SILENCE_TIMEOUT_US
         return self.state is not ConnectionState.CLOSED and now - self.received_at > SILENCE_TIMEOUT_US
 
     def mark_closed(self) -> None:
-        """The bytes have ended."""
+        """Mark the connection as closed."""
         self.state = ConnectionState.CLOSED
