--- a/wellhitch/adapter/__init__.py
+++ b/wellhitch/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Feeds the decisions from the simulator's wire and writes back what they ask for."""
+"""Connects the decision module to the simulator's wire protocol."""
--- a/wellhitch/adapter/__main__.py
+++ b/wellhitch/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wellhitch.adapter`: the decisions on the simulator's wire, over standard input and output."""
+"""`python -m wellhitch.adapter`: serves the simulator over standard input and output."""
 
 import sys
 
--- a/wellhitch/deciding/__init__.py
+++ b/wellhitch/deciding/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decisions for whichever server holds them: one event at a time, timers, rescue after one raises."""
+"""Runs the decision module for a server: one event at a time, with timers and an answer after an error."""
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -1,8 +1,8 @@
-"""What runs the module. Pure: time comes with each event, timers and the log are handed in.
+"""Runs the decision module. Pure state machine: the time comes with each event, and timers and the log are passed in.
 
-A server feeds events; `decide` is told one at a time, and what it asks for is carried out in order before the next,
-also where carrying out brings events of its own. Its timers are kept here, and a fault in one decision costs the
-dialogue concerned its chance, not its answer.
+A server feeds events. Each is passed to `decide`, and the resulting actions are executed in order before the next
+event is, even where executing them feeds further events. Timers are started here. An error in one decision costs the
+dialogue concerned its chance to be established, but not its answer.
 """
 
 from collections import Counter, deque
@@ -14,9 +14,8 @@
 from wellhitch.interface.state import Dialogue, Exchange
 from wellhitch.rules import decide
 
-INTERVAL_AGAIN = (
-    250_000  # us until the interval rings again where the decision that arms it raised: its own length
-)
+# Delay of the interval timer after the decision that restarts it raised an error: the usual interval.
+RESTART_INTERVAL_US = 250_000
 
 # Names of the event counters in the metrics; operators' tools match them.
 COUNTER_NAMES: dict[type[ev.Event], str] = {
@@ -33,20 +32,21 @@
 
 
 class Server(Protocol):
-    """What the runner needs of the server that holds it."""
+    """The server that owns the runner."""
 
     def feed(self, event: ev.Event, now: int) -> None:
-        """Take an event in where the server's own are taken in, so that a timer's passes the same door."""
+        """Feed an event by the server's usual way, so that timer events pass the same checks as all others."""
 
     def execute(self, action: act.Action, now: int) -> None:
-        """Do what the decisions ask for; Wake never comes here."""
+        """Execute an action of the decision module, any but `StartTimer`."""
 
     def decision_failed(self, dialogue: int, now: int) -> None:
-        """The decisions raised on this dialogue and have forgotten it: it is owed an answer, if it still waits."""
+        """A decision on this dialogue raised an error, and its record was removed. If it has no answer yet, the
+        server must answer it."""
 
 
 class Runner:
-    """The decisions of one call server and what they know."""
+    """Feeds one call server's events to the decision module, whose state it holds."""
 
     def __init__(
         self,
@@ -58,63 +58,64 @@
         self.exchange = Exchange()
         self._server, self._timer, self._log, self._counts = server, timer, log, counts
         self._events: deque[ev.Event] = deque()
-        self._feeding = False
+        self._processing = False
 
     def feed(self, event: ev.Event, now: int) -> None:
-        """Tell the decisions one event, carry their actions out in order, then the events that came of them."""
+        """Process one event and execute the resulting actions in order, then the events that arose from them."""
         self._events.append(event)
-        if self._feeding:
+        if self._processing:
             return
-        self._feeding = True
+        self._processing = True
         try:
             while self._events:
                 event = self._events.popleft()
                 self._counts[f"event.{COUNTER_NAMES[type(event)]}"] += 1
                 try:
-                    wanted = decide(self.exchange, event, now)
-                except Exception as fault:  # the call server outlives a fault in one decision
-                    self._rescue(event, fault, now)
+                    actions = decide(self.exchange, event, now)
+                except Exception as error:  # an error in one decision must not end the call server
+                    self._handle_error(event, error, now)
                     continue
-                for action in wanted:
+                for action in actions:
                     if isinstance(action, act.StartTimer):
-                        self._wake(action)
+                        self._start_timer(action)
                     else:
                         self._server.execute(action, now)
         finally:
-            self._feeding = False
+            self._processing = False
 
-    def _wake(self, action: act.StartTimer) -> None:
-        rang = ev.TimerFired(action.token)
-        self._timer(action.delay, lambda at: self._server.feed(rang, at))
+    def _start_timer(self, action: act.StartTimer) -> None:
+        fired = ev.TimerFired(action.token)
+        self._timer(action.delay, lambda fired_at: self._server.feed(fired, fired_at))
 
-    def _rescue(self, event: ev.Event, fault: Exception, now: int) -> None:
-        """Guards against a decision that raises: the dialogue concerned gets its one final answer, its dial is
-        called off, and all others go on."""
+    def _handle_error(self, event: ev.Event, error: Exception, now: int) -> None:
+        """Answer for a decision that raised an error: the dialogue concerned gets its one final answer, its dial is
+        cancelled, and all other dialogues continue."""
         self._counts["decision_faults"] += 1
-        where = fault.__traceback__
-        while where and where.tb_next:
-            where = where.tb_next
-        line = where.tb_lineno if where else 0
-        about = getattr(event, "dialogue", event.token - 1 if isinstance(event, ev.TimerFired) else -1)
-        known = self.exchange.dialogues.get(about)
+        traceback = error.__traceback__
+        while traceback and traceback.tb_next:
+            traceback = traceback.tb_next
+        line = traceback.tb_lineno if traceback else 0
+        dialogue_id = getattr(event, "dialogue", event.token - 1 if isinstance(event, ev.TimerFired) else -1)
+        dialogue = self.exchange.dialogues.get(dialogue_id)
         self._log(
             "decision_fault",
-            fault=f"{type(fault).__name__}: {fault}",
+            fault=f"{type(error).__name__}: {error}",
             line=line,
             told=repr(event),
             own_price=self.exchange.own_price,
             held=len(self.exchange.dialogues),
-            dialogue=known and _shown(known),
+            dialogue=dialogue and _dialogue_fields(dialogue),
         )
         if isinstance(event, ev.TimerFired) and event.token == 0:
-            # The interval's timer is armed by the decision that raised; without it no price would step again.
-            self._wake(act.StartTimer(INTERVAL_AGAIN, 0))
-        self.exchange.dialogues.pop(about, None)
-        self._server.decision_failed(about, now)
+            # The decision that raised an error restarts the interval timer; without it, prices would never change
+            # again.
+            self._start_timer(act.StartTimer(RESTART_INTERVAL_US, 0))
+        self.exchange.dialogues.pop(dialogue_id, None)
+        self._server.decision_failed(dialogue_id, now)
 
 
-def _shown(dialogue: Dialogue) -> dict[str, Any]:
-    """A dialogue's record for the log, without the records that it points to."""
+def _dialogue_fields(dialogue: Dialogue) -> dict[str, Any]:
+    """Fields of a dialogue for the log, without references to other records."""
     return {
         "use_case": dialogue.traffic_class.name,
         "destination": dialogue.destination,
--- a/wellhitch/interface/__init__.py
+++ b/wellhitch/interface/__init__.py
@@ -1,1 +1,1 @@
-"""Types shared by the decisions and whatever feeds them: facts, events, actions and state records."""
+"""Types shared by the decision module and the servers: start configuration, events, actions and state records."""
--- a/wellhitch/interface/actions.py
+++ b/wellhitch/interface/actions.py
@@ -1,11 +1,12 @@
-"""What the decisions may ask for. Ids leave through here only. Times are whole microseconds from now."""
+"""Actions that the decision module returns. They name dialogues and offices by id. Times are whole microseconds,
+relative to now."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Set the dialogue up by this office; the dial is abandoned after `within`."""
+    """Set the dialogue up through this office. The dial is abandoned after `timeout`."""
 
     dialogue: int
     office: str
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Call one dial off."""
+    """Cancel one dial of a dialogue."""
 
     dialogue: int
     dial: int
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not taken; `come_back` of 0 names no time."""
+    """Final answer: the dialogue is rejected. The caller may retry after `retry_after`; 0 gives no time."""
 
     dialogue: int
     retry_after: int
@@ -30,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up."""
+    """Final answer: the dialogue has failed."""
 
     dialogue: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Ring after `after`."""
+    """Start a timer that fires `TimerFired` with the same token after `delay`."""
 
     delay: int
     token: int
@@ -45,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send every other call server a short message."""
+    """Send a short message to every other call server."""
 
     text: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SubscribeDiscovery:
-    """Ask discovery for changes from now on."""
+    """Subscribe to changes of the office list."""
 
 
 Action = Send | Cancel | Reject | Fail | StartTimer | SendPeerMessage | SubscribeDiscovery
--- a/wellhitch/interface/events.py
+++ b/wellhitch/interface/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a call server. Ids appear here and nowhere further in."""
+"""Events that a call server receives. They name dialogues and offices by id. Times are whole microseconds."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -7,7 +7,7 @@
 
 
 class DialResult(Enum):
-    """How a dial ended."""
+    """How a dial ended. The names, in lower case, are counters (`ending.fault`) and values in the log."""
 
     ENDED_WELL = auto()
     FAULT = auto()
@@ -20,7 +20,8 @@
 
 
 class ReleaseCause(Enum):
-    """The reason that came with an ending."""
+    """The reason given with the end of a dial. The names, in lower case, are counters (`blame.no_circuit`) and values
+    in the log."""
 
     NONE = auto()
     NO_CIRCUIT = auto()
@@ -31,7 +32,7 @@
 
 
 class OfficeState(Enum):
-    """What the list says of an office."""
+    """State of an office in the office list. The names, in lower case, appear in the status output and in hooks."""
 
     READY = auto()
     DRAINING = auto()
@@ -39,7 +40,7 @@
 
 
 class ListKind(Enum):
-    """Which kind of list came."""
+    """Kind of an office list: changes only, the full list, a list cached before the start, or a failed request."""
 
     CHANGES = auto()
     FULL = auto()
@@ -49,7 +50,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OfficeReport:
-    """Free circuits and size of the trunk group, then the processor's figures; None where not told."""
+    """State that an office reports: the trunk group's free circuits and size, then the processor's figures. A field
+    is None where the office does not report it. `load_reduction` is the share of their load that senders should hold
+    back."""
 
     free_circuits: int | None = None
     group_size: int | None = None
@@ -61,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OfficeEntry:
-    """One line of the list of offices; `started` is None for long ago."""
+    """One entry of the office list. `started_at` is None for an office that started long ago."""
 
     office: str
     number: int
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStarted:
-    """The call server has started and knows nothing else yet."""
+    """The call server has started. Until the first office list arrives, this configuration is all that it knows."""
 
     seed: int
     traffic_classes: tuple[TrafficClass, ...]
@@ -83,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OfficeListReceived:
-    """Discovery spoke."""
+    """An update of the office list arrived from discovery, or a request for it failed."""
 
     kind: ListKind
     entries: tuple[OfficeEntry, ...]
@@ -91,8 +94,8 @@
 
 @dataclass(frozen=True, slots=True)
 class DialogueArrived:
-    """A dialogue was handed over; it is owed one final answer within `left`. `favour`: times its use case's payoff,
-    as the operators' hooks say."""
+    """A caller or another exchange handed over a dialogue. It must get one final answer within `time_left`. The
+    operators' hooks set `value_factor`, by which the value of its traffic class is multiplied."""
 
     dialogue: int
     traffic_class: str
@@ -108,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DialogueEstablished:
-    """A dial was answered: the dialogue stands."""
+    """A dial was answered, and the dialogue is established."""
 
     dialogue: int
     dial: int
@@ -117,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DialEnded:
-    """A dial came to its end; `over` tells that the dialogue needs no answer any more."""
+    """A dial ended. With `dialogue_over`, the dialogue needs no answer any more."""
 
     dialogue: int
     dial: int
@@ -131,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OfficeReported:
-    """A trunk group changed, or a probe came back."""
+    """A trunk group changed, or a probe was answered or failed."""
 
     office: str
     from_probe: bool
@@ -141,21 +144,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """The caller left; the dialogue is over."""
+    """The caller left before an answer, and the dialogue is over."""
 
     dialogue: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer is due."""
+    """A timer started with this token is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Another call server sent a message."""
+    """A message from another call server arrived."""
 
     peer: int
     text: bytes = field(default=b"")
--- a/wellhitch/interface/facts.py
+++ b/wellhitch/interface/facts.py
@@ -1,11 +1,13 @@
-"""What a call server is told once, at start, in small records. Times are whole microseconds."""
+"""Configuration that a call server receives once, at its start. Times are whole microseconds."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """One kind of dialogue; the agreed time and the outer limit count from its first try."""
+    """One class of dialogues. The target latency and the deadline count from the first try of a dialogue. An answer
+    after the target latency is worth `late_share` of the value. A repeatable class may be dialled again within
+    `repeat_within` of the first dial, or at any time if that is 0."""
 
     name: str
     value: float
@@ -21,8 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerTopology:
-    """Where this call server stands; `number` is None where the offices are pools, `advised` tells of a
-    centre that names a tandem with each dialogue."""
+    """Position of this call server among the others. `own_number` is None where the offices are pools. With
+    `has_centre`, a centre advises a tandem for each dialogue."""
 
     own_number: int | None
     peer_count: int
@@ -33,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Permissions:
-    """What this deployment lets a call server do."""
+    """What this deployment permits a call server to do."""
 
     max_dials: int
     may_cancel: bool
@@ -45,7 +47,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRule:
-    """Waits that the rules on release and on draining state."""
+    """`release_wait`: time after a dial without a confirmed end until its circuits are free and the dialogue may be
+    dialled again. `drain_grace`: time after which nothing new may reach a draining office."""
 
     release_wait: int
     drain_grace: int
@@ -53,7 +56,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStartRule:
-    """How a fresh processor starts and what makes it fall over."""
+    """A processor starts at `start_share` of its capacity and is warm after `warm_after`. Until then, set-ups for
+    more than `multiple` times its current capacity within `window` make it fail."""
 
     start_share: float
     warm_after: int
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -1,4 +1,5 @@
-"""State records, grouped by how long they live: a dial, a dialogue, an office, the call server."""
+"""State records of the decision module, by lifetime: a dial, a dialogue, a called number, an office, the call server.
+Times are whole microseconds of the clock that comes with the events."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class Dial:
-    """One dial, from the send to its ending."""
+    """One dial. `setup_delay` is the time to its answer, or the time that it waited in vain."""
 
     dialogue: Dialogue
     office: Office
@@ -22,7 +23,8 @@
 
 @dataclass(slots=True, eq=False)
 class Dialogue:
-    """One dialogue, from hand-over to its final answer or its end."""
+    """One dialogue, from its arrival to its final answer or its end. `may_have_run_at`: when the first dial that may
+    have run the dialogue was sent. `not_before`: earliest time of the next dial."""
 
     id: int
     traffic_class: TrafficClass
@@ -45,7 +47,8 @@
 
 @dataclass(slots=True, eq=False)
 class CalledNumber:
-    """A number called of late."""
+    """A number called within the last minute. While its lines are busy, `pause` and `blocked_until` hold dialogues
+    back."""
 
     pause: int = 0
     blocked_until: int = 0
@@ -55,7 +58,9 @@
 
 @dataclass(slots=True, eq=False)
 class Office:
-    """One office as this call server knows it."""
+    """What this call server knows of one office. Prices, counts and delays are those of its processor. By
+    destination: `proven_destinations` were reached through it, `reported_spare` is what it reported as free, and
+    `blocked_destinations` are not tried through it until the given time."""
 
     id: str
     number: int
@@ -65,9 +70,8 @@
     group_size: int | None = None
     price: float = 0.0
     full_count: int = 0
-    consecutive_faults: int = (
-        1  # in a row since a dial here was last answered; one with a new office, which has proven nothing
-    )
+    # Faults in a row since the last answered dial; 1 at the start, because a new office has not answered any dial.
+    consecutive_faults: int = 1
     recent_dials: list[Dial] = field(default_factory=list)
     utilisation: float | None = None
     queue_wait: int | None = None
@@ -84,7 +88,8 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """All that one call server knows, from its start until it is stopped."""
+    """Everything that one call server knows, from its start to its stop. `direct_share`: share of the other offices
+    to which a trunk group leads."""
 
     rng_state: int = 0
     traffic_classes: dict[str, TrafficClass] = field(default_factory=dict)
