--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from wellhitch.adapter.codec import read_opened
+from wellhitch.adapter.codec import read_server_started
 from wellhitch.board import codec as board
 from wellhitch.interface.events import ServerStarted
 from wellhitch.net.transport import only_numeric, split
@@ -150,7 +150,7 @@
     if decoded.limits.sockets < MIN_DESCRIPTORS:
         raise Faults(path, [f"limits.sockets = {decoded.limits.sockets}: less than {MIN_DESCRIPTORS}"])
     settings = read_open({"settings": decoded.settings}, _SettingsWrapper, path).settings
-    opened = read_opened(seed, msgspec.to_builtins(settings))
+    opened = read_server_started(seed, msgspec.to_builtins(settings))
     if not opened.traffic_classes:
         raise Faults(path, ["settings.classes = []: at least one traffic class is required"])
     revision, known_updates = board.read_known(decoded.known, path)
