--- a/wellhitch/adapter/codec.py
+++ b/wellhitch/adapter/codec.py
@@ -228,4 +228,4 @@
             return ["Signal", instance, -1, text.hex()]
         case actions.SubscribeDiscovery():
             return ["StreamChanges", instance, True]
-    raise TypeError(f"action {action!r} has no wire format")
+    raise TypeError(f"no wire format for action {action!r}")
