--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -298,8 +298,8 @@
             if text:
                 sheet_hooks["a"] = text
             daemon = fleet.daemons[0]
-            daemon.reread = lambda: sheet_hooks
-            replies.append(daemon.hooks_asked(command))
+            daemon.read_hooks = lambda: sheet_hooks
+            replies.append(daemon.hooks_request(command))
 
         steps = [
             ("reload", "on arrive { return {favour: 3} }"),
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -23,7 +23,7 @@
 from wellhitch.ledger.entries import Answered
 from wellhitch.ledger.outbox import quarantine, write_atomically
 from wellhitch.ledger.rating import Tariff, invoice, tariff_errors, to_cents
-from wellhitch.net.transport import split
+from wellhitch.net.transport import split_address
 from wellhitch.settings.checked import Faults
 from wellhitch.settings.checked import read as read_settings
 from wellhitch.settings.sheet import Sheet
@@ -118,7 +118,7 @@
         names = {
             (entry.origin, entry.dialogue)
             for _, _, entry in found.rows
-            if isinstance(entry, Answered) and keys.matches(called, entry.number, entry.number_key)
+            if isinstance(entry, Answered) and keys.matches(called, entry.called_hash, entry.number_key)
         }
         settled = [one for one in settled if one.dialogue_id in names]
     rows = [
@@ -195,7 +195,7 @@
             "tenant": one.tenant,
             "use_case": one.traffic_class,
             "dialogues": one.dialogues,
-            "seconds": f"{one.span / 1e6:.3f}",
+            "seconds": f"{one.duration_us / 1e6:.3f}",
             prices.currency: _money(cents[f"{one.tenant}\0{one.traffic_class}"]),
         }
         for one in lines
@@ -218,7 +218,7 @@
     made = read_sheet(sheet)
     if not made.doors.operators:
         raise Faults(str(sheet), ["doors.operators = '': the daemon is asked there"])
-    host, port = split(made.doors.operators)
+    host, port = split_address(made.doors.operators)
     try:
         with socket.create_connection((host, port), timeout=5) as line:
             line.sendall(f"ledger {what}\n".encode())
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -17,7 +17,7 @@
 from wellhitch.ledger import reader
 from wellhitch.ledger.chain import ChainFault, ChainId, verify
 from wellhitch.ledger.periods import CLOCK_MARGIN_US, next_period, period_end
-from wellhitch.ledger.service import STORE, AccountingChannel
+from wellhitch.ledger.service import STORE_NAME, AccountingChannel
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
 from wellhitch.settings.sheet import span
@@ -129,14 +129,14 @@
         fleet.wall_at_start += period_end(next_period(PERIOD)) - period_end(PERIOD)
         loop.advance(after_s)
         exported = {
-            number: daemon.desk.export_progress.completed_period
+            number: daemon.settlement.export_progress.completed_period
             for number, daemon in fleet.daemons.items()
-            if daemon.desk
+            if daemon.settlement
         }
         counts: Counter[str] = Counter()
         for daemon in fleet.daemons.values():
-            if daemon.desk:
-                counts += daemon.desk.counts
+            if daemon.settlement:
+                counts += daemon.settlement.counts
         fleet.power_cut = lambda number: None
         fleet.close()
         town.close()
@@ -158,7 +158,7 @@
 
 def verified(disk: EmulatedDisk) -> list[ChainFault]:
     """What is wrong with the chains on a disk."""
-    engine = disk.after_kill().open(STORE)
+    engine = disk.after_kill().open(STORE_NAME)
     chains: dict[ChainId, list[tuple[int, bytes | None]]] = {}
     for one in engine.scan("chain"):
         key = one.key if isinstance(one, DamagedRecord) else one[0]
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from wellhitch.board.codec import Notice
-from wellhitch.net.transport import Network, Sender, Timer, now_us
+from wellhitch.net.transport import DatagramSender, Network, Timer, now_us
 from wellhitch.office_lines.codec import Line
 from wellhitch.platform.callers import CallerConnection, CallerConnections
 from wellhitch.platform.configuration import Configuration
@@ -112,7 +112,7 @@
             self.counts,
         )
         self.peers = {address: index for index, address in enumerate(configuration.addresses.peers)}
-        self.sender: Sender | None = None
+        self.sender: DatagramSender | None = None
         self.stopping = False
         self._stop_at = 0
         self._schedule = shutdown_schedule(0)
@@ -130,7 +130,7 @@
         self.core.start(self.configuration.known_updates, self.now())
         self.discovery.start()
         if self.configuration.addresses.peer_listen:
-            self.network.datagrams(
+            self.network.open_datagrams(
                 self.configuration.addresses.peer_listen, self._datagram_received, self._sender_ready
             )
         self.callers.listen(
@@ -358,7 +358,7 @@
     def _discovery_update(self, update: Notice) -> None:
         self.core.discovery_update(update, self.now())
 
-    def _sender_ready(self, sender: Sender) -> None:
+    def _sender_ready(self, sender: DatagramSender) -> None:
         self.sender = sender
 
     def _datagram_received(self, data: bytes, address: str) -> None:
