--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -367,7 +367,7 @@
     with apsw.Connection(str(tmp_path / "t")) as other:
         other.execute("create table x(y)")
     other.close()
-    with pytest.raises(StoreError, match="something else"):
+    with pytest.raises(StoreError, match="another application"):
         Engine(str(tmp_path / "t"))
 
 
@@ -580,7 +580,7 @@
 
     def read(engine: Engine) -> None:
         opened.append(engine)
-        raise DamagedRecord("identity", b"", "its checksum does not fit")
+        raise DamagedRecord("identity", b"", "its checksum does not match")
 
     keeper.open(read, lambda found: None)
     loop.advance(1.0)
--- a/wellhitch/emulator/disk.py
+++ b/wellhitch/emulator/disk.py
@@ -96,7 +96,7 @@
     def open(self, name: str) -> Engine:
         """As `Disk`."""
         if name in self.locked:
-            raise StoreError("in_use", f"{name}: another process has it")
+            raise StoreError("in_use", f"{name}: in use by another process")
         engine = Engine(name, self._vfs.vfs_name, exclusive=True)
         self.locked.add(name)
         return engine
--- a/wellhitch/store/engine.py
+++ b/wellhitch/store/engine.py
@@ -1,7 +1,7 @@
-"""The file: SQLite through apsw, one table of records. The only place where the project meets the database.
+"""The store's file: SQLite through apsw, one table of records. The only module that uses the database.
 
-Write-ahead log, a sync at each commit, the log brought in piece by piece by `upkeep`. All calls block; in service
-they run off the loop (`service.py`)."""
+It uses a write-ahead log with a sync at each commit; the log is checkpointed in steps by `maintenance`. All calls
+block; `service.py` runs them off the event loop."""
 
 import contextlib
 from collections.abc import Iterator, Sequence
@@ -13,13 +13,13 @@
 from wellhitch.store.maintenance import STEP_PAGES, Sizes
 from wellhitch.store.records import Change, DamagedRecord, pack, unpack
 
-APPLICATION = 0x57484C53  # "WHLS", in the file's header: a file of something else is not written to
-LAYOUT = 1  # of the tables
-BUSY_MS = 200  # a reader of the tools' holds a checkpoint up that long at most
+APPLICATION_ID = 0x57484C53  # "WHLS" in the file's header: the file of another application is not written to
+LAYOUT_VERSION = 1  # of the tables
+BUSY_TIMEOUT_MS = 200  # the longest that a command-line reader holds up a checkpoint
 
 
 class StoreError(Exception):
-    """The store cannot do what it should. `trouble`: `full`, `read_only`, `damaged`, `failing`, `in_use`, `foreign`."""
+    """A store operation failed. `kind`: `full`, `read_only`, `damaged`, `failing`, `in_use` or `foreign`."""
 
     def __init__(self, kind: str, text: str) -> None:
         super().__init__(text)
@@ -40,8 +40,8 @@
 
 
 def as_store_error(error: Exception) -> StoreError:
-    """Whatever work on a disk raised, as a fault that whoever waits for the work is told. Guards against work that ends
-    without a word: upkeep, commits and the opening of the store then waited for it for ever."""
+    """Convert any exception raised by work on a disk, so that the caller is always notified. Without this maintenance,
+    commits and the opening of the store would wait for ever for work that failed."""
     if isinstance(error, StoreError):
         return error
     if isinstance(error, apsw.Error):
@@ -52,29 +52,30 @@
 
 
 def from_sqlite_error(error: apsw.Error, name: str) -> StoreError:
-    """SQLite's error as ours."""
+    """Convert an error of SQLite."""
     kind = next((kind for error_type, kind in SQLITE_ERROR_KINDS if isinstance(error, error_type)), "failing")
     return StoreError(kind, f"{name}: {error}")
 
 
 @dataclass(slots=True)
 class ScrubProgress:
-    """How far a pass over all records is, and the damage it found."""
+    """The progress of a pass over all records, and the damage it found."""
 
     after: tuple[str, bytes] = ("", b"")
     records: int = 0
     damage: int = 0
 
 
-# Read as blobs whatever their type says: a damaged record may call itself a text, which need not be one, or nothing.
+# Keys and data are read as blobs whatever their type: a damaged record may claim to be a text, which it need not be, or
+# null.
 
 
 class Engine:
-    """One open file. `vfs`: the file seam, empty for the system's. `alone`: no other process may open it, and no
-    shared memory is needed; the emulated disk has none."""
+    """One open file. `vfs`: the SQLite VFS, empty for the system's. `exclusive`: no other process may open the file,
+    and no shared memory is needed; the emulated disk has none."""
 
     def __init__(self, name: str, vfs: str = "", exclusive: bool = False, read_only: bool = False) -> None:
-        """Raises StoreFault."""
+        """Raises StoreError."""
         self.name, self.vfs = name, vfs
         flags = (
             apsw.SQLITE_OPEN_READONLY if read_only else apsw.SQLITE_OPEN_READWRITE | apsw.SQLITE_OPEN_CREATE
@@ -88,22 +89,22 @@
         try:
             self._open(exclusive, read_only)
         except Exception as error:
-            with contextlib.suppress(Exception):  # the first fault is the one to tell
+            with contextlib.suppress(Exception):  # the first error is the one to report
                 self.db.close(True)
             if isinstance(error, apsw.Error):
                 raise from_sqlite_error(error, name) from None
             raise
 
     def _open(self, exclusive: bool, read_only: bool) -> None:
-        self.db.set_busy_timeout(BUSY_MS)
+        self.db.set_busy_timeout(BUSY_TIMEOUT_MS)
         if exclusive:
             self.db.execute("pragma locking_mode = exclusive")
         found, layout = self.db.pragma("application_id"), self.db.pragma("user_version")
         empty = self.db.execute("select count(*) from sqlite_schema").get == 0
-        if not empty and found != APPLICATION:
-            raise StoreError("foreign", f"{self.name}: a database of something else")
-        if not empty and layout != LAYOUT:
-            raise StoreError("foreign", f"{self.name}: layout {layout}; this program reads {LAYOUT}")
+        if not empty and found != APPLICATION_ID:
+            raise StoreError("foreign", f"{self.name}: a database of another application")
+        if not empty and layout != LAYOUT_VERSION:
+            raise StoreError("foreign", f"{self.name}: layout {layout}; this program reads {LAYOUT_VERSION}")
         if read_only:
             return
         if empty:
@@ -120,36 +121,36 @@
                     "create table record(shelf integer not null, key blob not null, data blob not null, "
                     "primary key(shelf, key)) without rowid"
                 )
-                self.db.execute(f"pragma user_version = {LAYOUT}")
-                self.db.execute(f"pragma application_id = {APPLICATION}")
+                self.db.execute(f"pragma user_version = {LAYOUT_VERSION}")
+                self.db.execute(f"pragma application_id = {APPLICATION_ID}")
 
     # -- writing --
 
     def commit(self, changes: Sequence[Change]) -> None:
-        """Put and take away, all or nothing, on disk when this returns. Raises StoreFault."""
+        """Put and delete atomically; the changes are on disk when this returns. Raises StoreError."""
         try:
             with self.db:
                 numbers = self._numbers({change.bucket for change in changes})
-                # Of several changes of one key the last holds: what came and went within a commit is never written.
+                # Of several changes to one key only the last is written.
                 last = {(numbers[change.bucket], change.key): change for change in changes}
-                put = [(*at, pack(one)) for at, one in last.items() if one.body is not None]
-                gone = [at for at, one in last.items() if one.body is None]
+                put = [(*place, pack(change)) for place, change in last.items() if change.body is not None]
+                deleted = [place for place, change in last.items() if change.body is None]
                 self.db.executemany("insert or replace into record values (?, ?, ?)", put)
-                self.db.executemany("delete from record where shelf = ? and key = ?", gone)
+                self.db.executemany("delete from record where shelf = ? and key = ?", deleted)
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
 
     def _numbers(self, names: set[str]) -> dict[str, int]:
-        out = {}
+        numbers = {}
         for name in sorted(names):
             self.db.execute("insert or ignore into shelf(name) values (?)", (name,))
-            out[name] = self.db.execute("select number from shelf where name = ?", (name,)).get
-        return out
+            numbers[name] = self.db.execute("select number from shelf where name = ?", (name,)).get
+        return numbers
 
     # -- reading --
 
     def get(self, bucket: str, key: bytes) -> tuple[int, bytes] | None:
-        """Version and body. Raises Damaged, StoreFault."""
+        """Version and body of a record. Raises DamagedRecord, StoreError."""
         try:
             found = self.db.execute(
                 "select cast(data as blob) from record, shelf "
@@ -163,15 +164,15 @@
     def scan(
         self, bucket: str, low: bytes = b"", high: bytes | None = None, reverse: bool = False
     ) -> Iterator[tuple[bytes, int, bytes] | DamagedRecord]:
-        """Keys from `low` on, under `high`, in order, or from the last `back`; a damaged record is told in its place.
-        Raises StoreFault."""
+        """Key, version and body of the records from `low` up to but without `high`, in key order or `reverse`. A
+        damaged record is yielded in its place. Raises StoreError."""
         order = "desc" if reverse else "asc"
-        top, values = ("", (bucket, low)) if high is None else ("and key < ?", (bucket, low, high))
+        upper_bound, values = ("", (bucket, low)) if high is None else ("and key < ?", (bucket, low, high))
         try:
             rows = self.db.execute(
                 "select cast(key as blob), cast(data as blob) from record, shelf "
                 "where shelf.name = ? and record.shelf = shelf.number "
-                f"and key >= ? {top} order by key {order}",
+                f"and key >= ? {upper_bound} order by key {order}",
                 values,
             )
             for key, data in rows:
@@ -183,64 +184,65 @@
             raise from_sqlite_error(error, self.name) from None
 
     def buckets(self) -> list[str]:
-        """Names of all shelves. Raises StoreFault."""
+        """Names of all buckets. Raises StoreError."""
         try:
             return [name for (name,) in self.db.execute("select name from shelf order by name")]
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
 
-    # -- upkeep: one piece at a time --
+    # -- maintenance: one step per call --
 
     def sizes(self) -> Sizes:
-        """Pages of the log that are not brought in, and free ones in the file."""
-        log, brought_in = self.db.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_NOOP)
-        return Sizes(max(0, log - brought_in), int(self.db.pragma("freelist_count")))
+        """Pages of the log that are not checkpointed yet, and free pages in the file."""
+        log, checkpointed = self.db.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_NOOP)
+        return Sizes(max(0, log - checkpointed), int(self.db.pragma("freelist_count")))
 
     def checkpoint(self) -> None:
-        """Bring the log in. Raises StoreFault."""
+        """Checkpoint the log. Raises StoreError."""
         try:
             self.db.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
         except apsw.BusyError:
-            return  # a reader stands in the way; the log is brought in at the next try
+            return  # blocked by a reader; the next attempt checkpoints the log
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
 
     def vacuum(self) -> None:
-        """Give free pages back. Raises StoreFault."""
+        """Return free pages to the file system. Raises StoreError."""
         try:
             self.db.execute(f"pragma incremental_vacuum({STEP_PAGES})").get  # noqa: B018 - runs to its end
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
 
-    def scrub(self, state: ScrubProgress, records: int) -> list[DamagedRecord] | None:
-        """Read the next records again; the damage among them, or None when the pass is over. Raises StoreFault."""
+    def scrub(self, progress: ScrubProgress, records: int) -> list[DamagedRecord] | None:
+        """Verify the next records. Returns the damaged ones, or None when the pass is complete. Raises StoreError."""
         try:
             rows = list(
                 self.db.execute(
                     "select name, cast(key as blob), cast(data as blob) from record, shelf "
                     "where shelf.number = record.shelf and "
                     "(name, key) > (?, ?) order by name, key limit ?",
-                    (*state.after, records),
+                    (*progress.after, records),
                 )
             )
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
         if not rows:
             return None
-        out = []
+        damaged = []
         for name, key, data in rows:
             try:
                 unpack(name, key or b"", data or b"")
             except DamagedRecord as damage:
-                out.append(damage)
-        state.after = (rows[-1][0], rows[-1][1])
-        state.records += len(rows)
-        state.damage += len(out)
-        return out
+                damaged.append(damage)
+        progress.after = (rows[-1][0], rows[-1][1])
+        progress.records += len(rows)
+        progress.damage += len(damaged)
+        return damaged
 
     def check(self) -> list[str]:
-        """What the database itself finds wrong with the whole file, ten lines at most. Guards against a bit flipped in
-        an inner page, which hides records: no checksum of ours is asked about those. Reads all. Raises StoreFault."""
+        """The faults that the database itself finds in the whole file, at most ten lines. Guards against a flipped bit
+        in an inner page, which hides records, so that their checksums are never verified. Reads the whole file. Raises
+        StoreError."""
         try:
             found = [text for (text,) in self.db.execute("pragma quick_check(10)")]
         except apsw.Error as error:
@@ -248,8 +250,8 @@
         return [] if found == ["ok"] else found
 
     def snapshot(self, to: str) -> bool:
-        """Copy the next piece into another file beside, which is whole once this returns True and no store before. A
-        commit between two pieces is copied too. Raises StoreFault."""
+        """Copy the next STEP_PAGES into another file in the same folder. The copy is complete once this returns True
+        and unusable before; a commit between two steps is copied too. Raises StoreError."""
         try:
             if self._backup is None:
                 self._copy = apsw.Connection(str(Path(self.name).with_name(to)), vfs=self.vfs or None)
@@ -271,6 +273,6 @@
         self._backup = self._copy = None
 
     def close(self) -> None:
-        """Bring the log in and close, as far as the disk lets."""
+        """Checkpoint the log and close, as far as the disk allows."""
         self._end_snapshot()
         self.db.close(True)
--- a/wellhitch/store/files.py
+++ b/wellhitch/store/files.py
@@ -1,27 +1,27 @@
-"""Files that people or other programs put there, read whole. Guards against what is no file: a pipe holds whoever opens
-it up for ever, a directory or a file of gigabytes is told as such."""
+"""Reads whole files that users or other programs provide. Guards against what is not a regular file: opening a pipe
+would block for ever, a directory or a file of gigabytes is reported as such."""
 
 import errno
 import os
 import stat
 from pathlib import Path
 
-MOST = 64 << 20  # bytes, where a caller names no bound of its own: far over any sheet, key or state
+MAX_FILE_BYTES = 64 << 20  # default limit: far above any settings file, key or state
 
 
-def read_file(path: Path, most: int = MOST) -> bytes:
-    """All bytes of a regular file. Raises OSError, also for what is none and for one over `most` bytes."""
-    # Opened without waiting, then looked at: between a look and an opening it could become another.
-    with open(path, "rb", opener=_at_once) as file:
+def read_file(path: Path, limit: int = MAX_FILE_BYTES) -> bytes:
+    """All bytes of a regular file. Raises OSError, also for other kinds of file and for one over `limit` bytes."""
+    # Opened without blocking and then checked: between a check and an open the file could be replaced.
+    with open(path, "rb", opener=_open_nonblocking) as file:
         size = os.fstat(file.fileno()).st_size
-        if size > most:
-            raise OSError(errno.EFBIG, f"{size} bytes, over {most}", str(path))
-        return file.read(most)
+        if size > limit:
+            raise OSError(errno.EFBIG, f"{size} bytes, over the limit of {limit}", str(path))
+        return file.read(limit)
 
 
-def _at_once(path: str, flags: int) -> int:
+def _open_nonblocking(path: str, flags: int) -> int:
     opened = os.open(path, flags | os.O_NONBLOCK)
     if not stat.S_ISREG(os.fstat(opened).st_mode):
         os.close(opened)
-        raise OSError(errno.EINVAL, "not a file", str(path))
+        raise OSError(errno.EINVAL, "not a regular file", str(path))
     return opened
--- a/wellhitch/store/records.py
+++ b/wellhitch/store/records.py
@@ -1,12 +1,13 @@
-"""The bytes of one record: a checksum of our own over where it lies and what it says, and upgrades of old versions.
+"""The bytes of one record: a checksum over its place and its content, and upgrades of old versions.
 
     1 byte   format: 1
-    2 bytes  version of the body, big-endian: the shelf's owner counts them
-    16 bytes blake3 over shelf, key, version and body
+    2 bytes  version of the body, big-endian, assigned by the bucket's owner
+    16 bytes blake3 over bucket, key, version and body
     rest     body
 
-SQLite's pages carry no checksum: of 150 bytes flipped at random in a file, 134 were read back as other content
-without a word (`docs/design/store.md`). A record that was moved to another key is found as well as one altered."""
+A bucket is a named set of records; the file and the log call it `shelf`. SQLite's pages carry no checksum: of 150 bytes
+flipped at random in a file, 134 were read back as different content without an error (`docs/design/store.md`). The
+checksum also detects a record that was moved to another key."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -15,13 +16,12 @@
 
 FORMAT = 1
 HEADER_BYTES = 3
-CHECKSUM_BYTES = (
-    16  # bytes: chance finds an equal sum once in 2^64 tries, and nobody forges one here; chains carry 32
-)
+# Two equal sums occur by chance once in 2^64 tries. Forgery is not a concern here; the ledger's chains carry 32 bytes.
+CHECKSUM_BYTES = 16
 
 
 class DamagedRecord(Exception):
-    """A record that is not what was written. Names shelf and key."""
+    """A stored record that differs from what was written."""
 
     def __init__(self, bucket: str, key: bytes, why: str) -> None:
         super().__init__(f"shelf {bucket}, key {key.hex()}: {why}")
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One record to put, or, with `body` None, to take away."""
+    """One record to put, or to delete if `body` is None."""
 
     bucket: str
     key: bytes
@@ -39,33 +39,33 @@
 
     @property
     def size(self) -> int:
-        """Bytes that it makes the disk write, about."""
+        """Approximate number of bytes that the change writes to disk."""
         return len(self.key) + len(self.body or b"") + HEADER_BYTES + CHECKSUM_BYTES
 
 
 def checksum(bucket: str, key: bytes, version: int, body: bytes) -> bytes:
-    """The sum of a record."""
-    made = blake3(len(bucket).to_bytes(2, "big") + bucket.encode())
-    made.update(len(key).to_bytes(2, "big") + key + version.to_bytes(2, "big"))
-    made.update(body)
-    return made.digest(CHECKSUM_BYTES)
+    """The checksum of a record."""
+    hasher = blake3(len(bucket).to_bytes(2, "big") + bucket.encode())
+    hasher.update(len(key).to_bytes(2, "big") + key + version.to_bytes(2, "big"))
+    hasher.update(body)
+    return hasher.digest(CHECKSUM_BYTES)
 
 
 def pack(change: Change) -> bytes:
-    """A record's bytes. Raises ValueError where the version is none of 1 to 65,535."""
+    """Encode a record. Raises ValueError unless it has a body and a version from 1 to 65,535."""
     if change.body is None or not 0 < change.version < 1 << 16:
-        raise ValueError(f"version {change.version} of a record, or no body")
+        raise ValueError(f"record without a body, or version {change.version} not from 1 to 65535")
     total = checksum(change.bucket, change.key, change.version, change.body)
     return bytes([FORMAT]) + change.version.to_bytes(2, "big") + total + change.body
 
 
 def unpack(bucket: str, key: bytes, data: bytes) -> tuple[int, bytes]:
-    """Version and body. Raises Damaged; total: any bytes give a record or that."""
+    """Version and body of a record. Any input gives a record or raises DamagedRecord."""
     if len(data) < HEADER_BYTES + CHECKSUM_BYTES:
         raise DamagedRecord(bucket, key, f"{len(data)} bytes, too few for a record")
     version, body = int.from_bytes(data[1:3], "big"), data[HEADER_BYTES + CHECKSUM_BYTES :]
     if data[HEADER_BYTES : HEADER_BYTES + CHECKSUM_BYTES] != checksum(bucket, key, version, body):
-        raise DamagedRecord(bucket, key, "its checksum does not fit")
+        raise DamagedRecord(bucket, key, "its checksum does not match")
     if data[0] != FORMAT:
         raise DamagedRecord(bucket, key, f"format {data[0]}; this program reads {FORMAT}")
     return version, body
@@ -76,21 +76,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Upgrades:
-    """How bodies of older versions become the present one: `steps[n]` turns version n into n + 1."""
+    """Converts bodies of older versions to the current one: `steps[n]` converts version n to n + 1."""
 
-    present: int
+    current: int
     steps: Mapping[int, Upgrade]
 
     def __post_init__(self) -> None:
-        missing = [n for n in range(1, self.present) if n not in self.steps]
+        missing = [version for version in range(1, self.current) if version not in self.steps]
         if missing:
             raise ValueError(f"no step from version {missing[0]}")
 
     def body(self, bucket: str, key: bytes, version: int, body: bytes) -> bytes:
-        """The body as of the present version. Raises Damaged for a version that a newer program wrote: it is left as
-        it is, for nothing may be lost by an older one reading it."""
-        if not 1 <= version <= self.present:
-            raise DamagedRecord(bucket, key, f"version {version}; this program reads 1 to {self.present}")
-        for n in range(version, self.present):
-            body = self.steps[n](body)
+        """The body in the current version. Raises DamagedRecord for a version that a newer program wrote; the record
+        stays as it is, so that an older program does not destroy data by reading it."""
+        if not 1 <= version <= self.current:
+            raise DamagedRecord(bucket, key, f"version {version}; this program reads 1 to {self.current}")
+        for step in range(version, self.current):
+            body = self.steps[step](body)
         return body
--- a/wellhitch/store/writer.py
+++ b/wellhitch/store/writer.py
@@ -1,9 +1,10 @@
-"""What waits for the disk, and when it goes: group commit. Pure: takes what happened and now.
+"""Group commit: which changes wait for the disk and when they are written. Pure: events and the time are passed in.
 
-A dialogue never waits: `put` takes a change at once, and the disk gets all that waits as one commit when the one
-before is done and the oldest has lingered. What a power cut would lose is what waits and what is being written:
-`at_risk` tells it in changes and us. A disk that fails keeps its batch, which is tried again after doubling waits;
-what waits is bounded, and what comes beyond is refused and counted, never silently dropped."""
+A dialogue never waits: `put` accepts a change at once. The disk gets all waiting changes as one commit when the
+previous commit is done and the oldest change has waited for the linger time. A power cut would lose what is waiting or
+being written; `at_risk` reports it as a number of changes and an age in us. When the disk fails, the batch is kept and
+retried after doubling waits. The number of waiting changes is bounded; changes beyond it are refused and counted, never
+dropped silently."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -11,27 +12,20 @@
 
 from wellhitch.store.records import Change
 
-LINGER_US = (
-    20_000  # us that the oldest change waits for company: at 1,000 a second 20 go in one commit, whose sync
-)
-# (0.2 ms here, 5 to 10 ms on a turning disk) is then a small part
-MAX_WAITING_CHANGES = (
-    100_000  # changes; a hundred seconds of 520 dialogues a second, two changes each, some 25 MB
-)
-MAX_CHANGES_PER_COMMIT = (
-    5_000  # changes of a commit, but for a group that has more; ten ms of work here, so that what follows
-)
-# does not wait long
-INITIAL_RETRY_WAIT_US = 100_000  # us before a failed commit is tried again, doubling
-MAX_RETRY_WAIT_US = 5_000_000  # us: a disk with room again is used within that
-SLOW_COMMIT_US = (
-    1_000_000  # us that a commit may take before the disk is called slow; a hundred times the usual
-)
+# Time that the oldest change waits for others: at 1,000 a second 20 go in one commit, of which the sync (0.2 ms on a
+# fast disk, 5 to 10 ms on a hard disk) is then a small part.
+LINGER_US = 20_000
+MAX_WAITING_CHANGES = 100_000  # 100 seconds of 520 dialogues a second, two changes each, some 25 MB
+# Except for a group that has more. Takes 10 ms, so that the next commit does not wait long.
+MAX_CHANGES_PER_COMMIT = 5_000
+INITIAL_RETRY_WAIT_US = 100_000  # before a failed commit is retried; doubles
+MAX_RETRY_WAIT_US = 5_000_000  # a disk that has free space again is used within this time
+SLOW_COMMIT_US = 1_000_000  # a commit that takes longer marks the disk as slow; 100 times the usual
 
 
 @dataclass(slots=True)
 class RefusedChanges:
-    """Changes that found no room, as one stretch of time."""
+    """Changes that were refused for lack of capacity, and the times of the first and last."""
 
     count: int = 0
     first: int = 0
@@ -40,14 +34,14 @@
 
 @dataclass(slots=True)
 class Writer:
-    """Changes on their way to one disk. `trouble` names what the disk suffers from, empty where it is well:
-    `full`, `read_only`, `damaged`, `failing`."""
+    """Changes on their way to one disk. `fault`: `full`, `read_only`, `damaged` or `failing`; empty while the disk
+    works. `held`: changes not on disk yet. `began`: start of the commit under way. `longest`: of all commits, in us."""
 
     linger: int = LINGER_US
     max_waiting: int = MAX_WAITING_CHANGES
     waiting: deque[tuple[Sequence[Change], int]] = field(default_factory=deque)
     writing: list[tuple[Sequence[Change], int]] = field(default_factory=list)
-    held: int = 0  # changes not on disk yet
+    held: int = 0
     began: int | None = None
     retry_at: int = 0
     wait: int = INITIAL_RETRY_WAIT_US
@@ -56,8 +50,8 @@
     longest: int = 0
 
     def put(self, changes: Sequence[Change], now: int) -> bool:
-        """Take a group of changes, which go in one commit; False, and none is taken, where there is no room: they are
-        counted among the refused."""
+        """Accept a group of changes, which are committed together. Returns False, and accepts none, if capacity is
+        exceeded: they are counted as refused."""
         if self.held + len(changes) > self.max_waiting:
             for _ in changes:
                 self.refuse(now)
@@ -67,14 +61,14 @@
         return True
 
     def refuse(self, now: int) -> None:
-        """Count a change that found no room."""
+        """Count a refused change."""
         if not self.refused.count:
             self.refused.first = now
         self.refused.count += 1
         self.refused.last = now
 
     def due(self, now: int) -> int | None:
-        """us until a commit should begin; None while one is under way or nothing waits."""
+        """Time in us until a commit should begin; None while one is under way or nothing waits."""
         if self.began is not None or not self.held:
             return None
         if self.writing:
@@ -84,12 +78,12 @@
         return max(0, self.waiting[0][1] + self.linger - now)
 
     def begin(self, now: int) -> list[Change]:
-        """The changes of the next commit, in the order they came. A batch that failed comes again as it was: its
-        commit may have reached the disk although that said otherwise, and the same put twice does no harm."""
+        """The changes of the next commit, in order of arrival. A failed batch is repeated unchanged: its commit may
+        have reached the disk despite the error, and putting the same records twice is harmless."""
         assert self.began is None
         count = 0
         while self.waiting and not self.fault and count < MAX_CHANGES_PER_COMMIT:
-            # Groups are never parted: half of what belongs together is worth nothing.
+            # Groups are never divided between two commits: their changes are consistent only together.
             group = self.waiting.popleft()
             self.writing.append(group)
             count += len(group[0])
@@ -97,35 +91,35 @@
         return [change for group, _ in self.writing for change in group]
 
     def committed(self, now: int) -> int:
-        """The commit is on disk; returns how many changes that were."""
-        done = sum(len(group) for group, _ in self.writing)
-        self.held -= done
+        """The commit is on disk; returns the number of its changes."""
+        count = sum(len(group) for group, _ in self.writing)
+        self.held -= count
         self.longest = max(self.longest, now - (self.began or now))
         self.writing, self.began = [], None
         self.fault, self.wait = "", INITIAL_RETRY_WAIT_US
-        return done
+        return count
 
     def failed(self, fault: str, now: int) -> None:
-        """The disk did not take the commit."""
+        """The commit failed."""
         self.began = None
         self.fault = fault
         self.retry_at = now + self.wait
         self.wait = min(2 * self.wait, MAX_RETRY_WAIT_US)
 
     def condition(self, now: int) -> str:
-        """`well`, `slow`, or the trouble."""
+        """`well`, `slow`, or the fault."""
         if self.fault:
             return self.fault
         return "slow" if self.began is not None and now - self.began > SLOW_COMMIT_US else "well"
 
     def at_risk(self, now: int) -> tuple[int, int]:
-        """What a power cut now would lose: changes, and the age of the oldest in us."""
+        """What a power cut would lose now: the number of changes, and the age of the oldest in us."""
         oldest = self.writing[0][1] if self.writing else self.waiting[0][1] if self.waiting else now
         return self.held, now - oldest
 
     def take_refused(self) -> RefusedChanges:
-        """What was refused since this was last asked, where there is room again to say so; else nothing."""
+        """The changes refused since the last call, once there is capacity to record that; until then none."""
         if not self.refused.count or self.held >= self.max_waiting:
             return RefusedChanges()
-        told, self.refused = self.refused, RefusedChanges()
-        return told
+        taken, self.refused = self.refused, RefusedChanges()
+        return taken
