--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -8,7 +8,7 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 from wellhitch.net.transport import now_us
 from wellhitch.platform.configuration import Addresses, Configuration
 from wellhitch.platform.service import Service
@@ -17,8 +17,8 @@
 SECOND = 1_000_000
 UNIX_START_US = 1_796_000_000 * SECOND  # Unix time when the loop's clock is 0
 TRAFFIC_CLASSES = (
-    UseCase("cheap", 1.0, 0.25, 380_000, 3 * SECOND, 1, 2 * SECOND, (), True, 0),
-    UseCase("dear", 6.0, 0.25, 300_000, 2 * SECOND, 1, 2 * SECOND, (), True, 0),
+    TrafficClass("cheap", 1.0, 0.25, 380_000, 3 * SECOND, 1, 2 * SECOND, (), True, 0),
+    TrafficClass("dear", 6.0, 0.25, 300_000, 2 * SECOND, 1, 2 * SECOND, (), True, 0),
 )
 SERVER = "10.0.0.1"
 DISCOVERY = "10.2.0.1:8500"
@@ -37,13 +37,13 @@
 
 def configuration(**over: Any) -> Configuration:
     """The configuration of the call server, with fields replaced by `over`."""
-    opened = ev.Opened(
+    opened = ev.ServerStarted(
         seed=7,
-        use_cases=TRAFFIC_CLASSES,
-        place=Place(0, 2, False, 0, True),
+        traffic_classes=TRAFFIC_CLASSES,
+        topology=ServerTopology(0, 2, False, 0, True),
         permissions=Permissions(5, True, False, True, 0, False),
         release=ReleaseRule(100_000, 250_000),
-        cold=ColdRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
+        cold_start=ColdStartRule(0.33, 15 * SECOND, 2.5, 2 * SECOND),
     )
     default = Configuration(
         addresses=Addresses(
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -11,7 +11,7 @@
 
 from wellhitch.deciding import runner as runner_module
 from wellhitch.interface import events as ev
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology
 from wellhitch.server.dials import LEGAL, MOST_RECENT, DialOut, Recent, Step, Taken
 from wellhitch.server.switch import ANSWER_MARGIN_US, Switch
 from wellhitch.trunk import frames
@@ -88,13 +88,13 @@
 
     def __init__(self, size: int = 10, max_open: int = 100) -> None:
         self.out = Paper()
-        opened = ev.Opened(
+        opened = ev.ServerStarted(
             3,
             (CHEAP, DEAR),
-            Place(0, 2, False, 0),
+            ServerTopology(0, 2, False, 0),
             Permissions(4, False, False, False, 0, True),
             ReleaseRule(WAIT, 250_000),
-            ColdRule(0.3, 10 * SECOND, 2.5, 2 * SECOND),
+            ColdStartRule(0.3, 10 * SECOND, 2.5, 2 * SECOND),
         )
         self.switch = Switch(opened, max_open, self.out)
         self.switch.start(0)
@@ -249,7 +249,7 @@
 def test_a_list_that_goes_back_is_skipped(bench: Bench) -> None:
     bench.told("ready", "draining", "ready", revision=5)
     bench.told("ready", "ready", "ready", revision=4)
-    assert bench.switch.offices["o1"].standing is ev.Standing.DRAINING
+    assert bench.switch.offices["o1"].standing is ev.OfficeState.DRAINING
     assert bench.switch.counts["lists_skipped"] == 1
 
 
@@ -257,9 +257,9 @@
     """A register that restarted counts from an old revision; its news of a drain is news all the same."""
     bench.told("ready", "ready", "draining", revision=9)
     bench.told("ready", "draining", "ready", revision=3)
-    assert bench.switch.offices["o1"].standing is ev.Standing.DRAINING
-    assert bench.switch.offices["o2"].standing is ev.Standing.DRAINING
-    assert bench.switch.offices["o0"].standing is ev.Standing.READY and bench.switch.revision == 9
+    assert bench.switch.offices["o1"].standing is ev.OfficeState.DRAINING
+    assert bench.switch.offices["o2"].standing is ev.OfficeState.DRAINING
+    assert bench.switch.offices["o0"].standing is ev.OfficeState.READY and bench.switch.revision == 9
     bench.call()
     assert bench.finals == ["pushed_back"]
 
@@ -270,12 +270,12 @@
     bench.switch.listed(frames.OfficeList("changes", 9, fresh), bench.out.now)
     old = [frames.OfficeListEntry("o1", 1, "gone", 50 * SECOND, "o1:1")]
     bench.switch.listed(frames.OfficeList("changes", 3, old), bench.out.now)
-    assert bench.switch.offices["o1"].standing is ev.Standing.READY
+    assert bench.switch.offices["o1"].standing is ev.OfficeState.READY
 
 
 def test_a_malformed_list_leaves_the_last_good_one(bench: Bench) -> None:
     bench.told("gone", "sleeping", "gone", revision=5)
-    assert bench.switch.offices["o0"].standing is ev.Standing.READY and bench.switch.revision == 1
+    assert bench.switch.offices["o0"].standing is ev.OfficeState.READY and bench.switch.revision == 1
 
 
 def test_full_groups_and_a_dead_own_office_are_told_as_not_sent() -> None:
@@ -329,7 +329,16 @@
 
 
 @pytest.mark.parametrize(
-    "kind", [ev.Arrived, ev.Stood, ev.DialEnded, ev.WentAway, ev.Rang, ev.Reported, ev.Listed]
+    "kind",
+    [
+        ev.DialogueArrived,
+        ev.DialogueEstablished,
+        ev.DialEnded,
+        ev.CallerLeft,
+        ev.TimerFired,
+        ev.OfficeReported,
+        ev.OfficeListReceived,
+    ],
 )
 def test_a_decision_that_raises_costs_one_dialogue_its_chance_and_nobody_an_answer(
     bench: Bench, kind: type, monkeypatch: pytest.MonkeyPatch
@@ -344,24 +353,24 @@
         return real(x, event, now)
 
     monkeypatch.setattr(runner_module, "decide", faulty)
-    setup = bench.dial() if kind is not ev.Arrived else None
-    if kind is ev.Arrived:
+    setup = bench.dial() if kind is not ev.DialogueArrived else None
+    if kind is ev.DialogueArrived:
         bench.call()
-    elif kind is ev.Stood:
+    elif kind is ev.DialogueEstablished:
         bench.switch.answered("o1", frames.Answer(setup.dial_ref), 0)
         bench.pass_own()
     elif kind is ev.DialEnded:
         bench.switch.pushed_back("o1", frames.Reject(setup.dial_ref, "fault"), 0)
-    elif kind is ev.WentAway:
+    elif kind is ev.CallerLeft:
         bench.switch.leave("link", 1, 0)
-    elif kind is ev.Listed:
+    elif kind is ev.OfficeListReceived:
         bench.told("ready", "ready", "ready", revision=2)
     bench.run(4 * SECOND)
     assert bench.switch.counts["decision_faults"] == 1 and "decision_fault" in bench.out.said
-    assert len(bench.finals) == (0 if kind is ev.WentAway else 1)
+    assert len(bench.finals) == (0 if kind is ev.CallerLeft else 1)
     bench.call(id=2)
     bench.pass_own()
-    assert len(bench.of(frames.Setup)) == (1 if kind is ev.Arrived else 2)  # the next one goes
+    assert len(bench.of(frames.Setup)) == (1 if kind is ev.DialogueArrived else 2)  # the next one goes
     assert any(one.due > bench.out.now for one in bench.out.timers if not one.cancelled)
 
 
@@ -439,7 +448,7 @@
 def test_a_time_without_end_holds_a_place_no_longer_than_the_outer_limit(bench: Bench) -> None:
     """The office answers nothing; the dialogue and its circuits were held for ever."""
     bench.dial(left=1 << 62)
-    bench.run(CHEAP.outer_limit + SECOND)
+    bench.run(CHEAP.deadline + SECOND)
     assert bench.finals == ["forfeited"] and not bench.switch.taken and bench.free() == 10
 
 
@@ -480,7 +489,7 @@
 def test_an_age_under_nought_is_a_start_just_now(bench: Bench) -> None:
     lines = [frames.OfficeListEntry("o1", 1, "ready", -(10**9), "o1:1")]
     bench.switch.listed(frames.OfficeList("changes", 2, lines), 5)
-    assert bench.switch.exchange.offices["o1"].started == 5
+    assert bench.switch.exchange.offices["o1"].started_at == 5
 
 
 @pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0])
@@ -489,7 +498,7 @@
     office = bench.switch.exchange.offices["o1"]
     office.price = 0.5
     bench.switch.load_told("o1", frames.LoadReport(frames.Load(figure, -1, figure, figure)), 0)
-    assert office.utilisation is None and office.wait is None
+    assert office.utilisation is None and office.queue_wait is None
 
 
 def test_an_id_or_ref_that_comes_again_is_skipped_whether_its_dialogue_is_open_or_over(bench: Bench) -> None:
@@ -563,7 +572,7 @@
 def test_a_revision_that_jumps_or_goes_back_shuts_and_never_opens(bench: Bench, revision: int) -> None:
     bench.told("ready", "draining", "ready", revision=5)
     bench.told("ready", "ready", "ready", revision=revision)
-    opened = bench.switch.offices["o1"].standing is ev.Standing.READY
+    opened = bench.switch.offices["o1"].standing is ev.OfficeState.READY
     assert opened == (revision > 5)
 
 
--- a/wellhitch/interface/actions.py
+++ b/wellhitch/interface/actions.py
@@ -9,7 +9,7 @@
 
     dialogue: int
     office: str
-    within: int
+    timeout: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,38 +21,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PushBack:
+class Reject:
     """Final answer: not taken; `come_back` of 0 names no time."""
 
     dialogue: int
-    come_back: int
+    retry_after: int
 
 
 @dataclass(frozen=True, slots=True)
-class Forfeit:
+class Fail:
     """Final answer: given up."""
 
     dialogue: int
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class StartTimer:
     """Ring after `after`."""
 
-    after: int
+    delay: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeers:
+class SendPeerMessage:
     """Send every other call server a short message."""
 
     text: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
+class SubscribeDiscovery:
     """Ask discovery for changes from now on."""
 
 
-Action = Send | Cancel | PushBack | Forfeit | Wake | TellPeers | Follow
+Action = Send | Cancel | Reject | Fail | StartTimer | SendPeerMessage | SubscribeDiscovery
--- a/wellhitch/interface/state.py
+++ b/wellhitch/interface/state.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from wellhitch.interface.events import Standing
-from wellhitch.interface.facts import ColdRule, Permissions, Place, ReleaseRule, UseCase
+from wellhitch.interface.events import OfficeState
+from wellhitch.interface.facts import ColdStartRule, Permissions, ReleaseRule, ServerTopology, TrafficClass
 
 
 @dataclass(slots=True, eq=False)
@@ -14,9 +14,9 @@
 
     dialogue: Dialogue
     office: Office
-    sent: int
+    sent_at: int
     direct: bool
-    took: int | None = None
+    setup_delay: int | None = None
     answered: bool = False
 
 
@@ -25,22 +25,22 @@
     """One dialogue, from hand-over to its final answer or its end."""
 
     id: int
-    use_case: UseCase
+    traffic_class: TrafficClass
     destination: int
-    called: CalledNumber
+    called_number: CalledNumber
     width: int
-    first_try: int
-    give_up: int
-    advised: int | None
+    first_try_at: int
+    expires_at: int
+    advised_tandem: int | None
     transit: bool
-    chance: float
-    favour: float = 1.0
+    random_draw: float
+    value_factor: float = 1.0
     dials: list[Dial] = field(default_factory=list)
-    tried: list[Office] = field(default_factory=list)
-    out: Dial | None = None
-    may_have_run: int | None = None
+    excluded_offices: list[Office] = field(default_factory=list)
+    pending_dial: Dial | None = None
+    may_have_run_at: int | None = None
     not_before: int = 0
-    stands: bool = False
+    established: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -48,9 +48,9 @@
     """A number called of late."""
 
     pause: int = 0
-    open_at: int = 0
-    called_at: int = 0
-    first_try: int | None = None
+    blocked_until: int = 0
+    last_called_at: int = 0
+    first_try_at: int | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -59,51 +59,51 @@
 
     id: str
     number: int
-    standing: Standing
-    started: int | None
-    free: int = 0
-    size: int | None = None
+    state: OfficeState
+    started_at: int | None
+    free_circuits: int = 0
+    group_size: int | None = None
     price: float = 0.0
-    fulls: int = 0
-    faults: int = (
+    full_count: int = 0
+    consecutive_faults: int = (
         1  # in a row since a dial here was last answered; one with a new office, which has proven nothing
     )
-    recent: list[Dial] = field(default_factory=list)
+    recent_dials: list[Dial] = field(default_factory=list)
     utilisation: float | None = None
-    wait: int | None = None
-    sent: int = 0
-    usual: float = 0.0
-    first_budget: float = 0.0
+    queue_wait: int | None = None
+    dials_in_interval: int = 0
+    usual_rate: float = 0.0
+    initial_budget: float = 0.0
     budget: float = 0.0
-    budget_at: int = 0
-    way_on: set[int] = field(default_factory=set)
-    told: list[int] = field(default_factory=list)
-    told_at: int = 0
-    no_way_on: dict[int, int] = field(default_factory=dict)
+    budget_updated_at: int = 0
+    proven_destinations: set[int] = field(default_factory=set)
+    reported_spare: list[int] = field(default_factory=list)
+    reported_at: int = 0
+    blocked_destinations: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
     """All that one call server knows, from its start until it is stopped."""
 
-    chance: int = 0
-    use_cases: dict[str, UseCase] = field(default_factory=dict)
-    place: Place = Place(None, 0, False, 0)
+    rng_state: int = 0
+    traffic_classes: dict[str, TrafficClass] = field(default_factory=dict)
+    topology: ServerTopology = ServerTopology(None, 0, False, 0)
     permissions: Permissions = Permissions(0, False, False, False, 0, False)
     release: ReleaseRule = ReleaseRule(0, 0)
-    cold: ColdRule = ColdRule(0.0, 0, 0.0, 0)
+    cold_start: ColdStartRule = ColdStartRule(0.0, 0, 0.0, 0)
     offices: dict[str, Office] = field(default_factory=dict)
     by_number: dict[int, Office] = field(default_factory=dict)
-    called: dict[str, CalledNumber] = field(default_factory=dict)
+    called_numbers: dict[str, CalledNumber] = field(default_factory=dict)
     dialogues: dict[int, Dialogue] = field(default_factory=dict)
     own_price: float = 0.0
-    own_fulls: int = 0
-    recent: list[Dial] = field(default_factory=list)
+    own_full_count: int = 0
+    recent_dials: list[Dial] = field(default_factory=list)
     usual_delay: int = 0
-    waiting: list[Dial] = field(default_factory=list)
-    refollow: bool = False
-    tell_at: int = 0
-    linked: float = 1.0
-    bound_delay: int = 0
-    unit: float = 0.0
-    top: float = 0.0
+    unanswered_dials: list[Dial] = field(default_factory=list)
+    resubscribe: bool = False
+    next_peer_message_at: int = 0
+    direct_share: float = 1.0
+    delay_bound: int = 0
+    min_value: float = 0.0
+    max_value: float = 0.0
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -97,9 +97,9 @@
 class Switch:
     """One exchange's call server."""
 
-    def __init__(self, opened: ev.Opened, max_open: int, outlet: Outlet) -> None:
+    def __init__(self, opened: ev.ServerStarted, max_open: int, outlet: Outlet) -> None:
         self.opened, self.max_open, self.outlet = opened, max_open, outlet
-        self.number = opened.place.number if opened.place.number is not None else -1
+        self.number = opened.topology.own_number if opened.topology.own_number is not None else -1
         self.counts: Counter[str] = Counter()
         self.runner = Runner(self, outlet.timer, outlet.log, self.counts)
         self.exchange = self.runner.exchange
@@ -119,7 +119,7 @@
         self._next_id = 0
         self._untold: set[int] = set()
         self._tell_timer: Timer | None = None
-        self._outer_limits = {use.name: use.outer_limit for use in opened.use_cases}
+        self._outer_limits = {use.name: use.deadline for use in opened.traffic_classes}
 
     # ---- the decisions ----
 
@@ -140,13 +140,13 @@
         come up meanwhile, which wait their turn."""
         self.runner.feed(event, now)
 
-    def rescued(self, dialogue: int, now: int) -> None:
+    def decision_failed(self, dialogue: int, now: int) -> None:
         """The decisions raised on this dialogue: it gets its one final answer."""
         taken = self.taken.get(dialogue)
         if taken and not taken.stands:
             self._answer(taken, "forfeited", 0, now)
 
-    def carry_out(self, action: act.Action, now: int) -> None:
+    def execute(self, action: act.Action, now: int) -> None:
         """Do one thing that the decisions ask for."""
         match action:
             case act.Send(dialogue, office, within):
@@ -155,16 +155,16 @@
                 taken = self.taken.get(dialogue)
                 dial = taken.dials[number] if taken and number < len(taken.dials) else None
                 if dial and dial.step in (Step.PASSING, Step.OUT, Step.ANSWERING):
-                    self._give_up_dial(dial, ev.Ending.CANCELLED, now)
-            case act.PushBack(dialogue, come_back):
+                    self._give_up_dial(dial, ev.DialResult.CANCELLED, now)
+            case act.Reject(dialogue, come_back):
                 if dialogue in self.taken:
                     self._answer(self.taken[dialogue], "pushed_back", come_back, now)
-            case act.Forfeit(dialogue):
+            case act.Fail(dialogue):
                 if dialogue in self.taken:
                     self._answer(self.taken[dialogue], "forfeited", 0, now)
-            case act.TellPeers(text):
+            case act.SendPeerMessage(text):
                 self.outlet.tell_peers(text)
-            case act.Follow():
+            case act.SubscribeDiscovery():
                 pass  # the register pushes to every link from its Hello on
 
     # ---- callers ----
@@ -240,17 +240,17 @@
         left = min(left, self._outer_limits[taken.use_case])
         taken.came, taken.until = now, now + left
         self.feed(
-            ev.Arrived(
+            ev.DialogueArrived(
                 dialogue=taken.id,
-                use_case=taken.use_case,
+                traffic_class=taken.use_case,
                 destination=taken.destination,
-                called=taken.called,
-                left=max(0, left - ANSWER_MARGIN_US),
+                called_number=taken.called,
+                time_left=max(0, left - ANSWER_MARGIN_US),
                 width=taken.width,
-                advised=None if advised < 0 or taken.home else advised,
-                redialled=redialled,
+                advised_tandem=None if advised < 0 or taken.home else advised,
+                is_redial=redialled,
                 transit=taken.home is not None,
-                favour=favour,
+                value_factor=favour,
             ),
             now,
         )
@@ -277,11 +277,11 @@
                 self.outlet.to_office(dial.home.id, frames.ProcessStep(0, "release"))
             self._end_dial(dial, frames.Release(dial.ref), now)
             self._forget(taken)
-            self._dial_ended(dial, ev.Ending.ENDED_WELL, ev.Blame.NONE, 0, True, None, now)
+            self._dial_ended(dial, ev.DialResult.ENDED_WELL, ev.ReleaseCause.NONE, 0, True, None, now)
             return
         self._told_answer(taken, "gone")
         self._forget(taken)
-        self.feed(ev.WentAway(taken.id), now)
+        self.feed(ev.CallerLeft(taken.id), now)
         if dial:
             self._end_dial(dial, frames.Cancel(dial.ref), now)
 
@@ -384,7 +384,7 @@
     def _home(self) -> OfficeEnd | None:
         """The own office whose link is up, the newest that the list calls ready first."""
         own = [end for end in self.offices.values() if end.number == self.number and end.up]
-        ready = [end for end in own if end.standing is ev.Standing.READY]
+        ready = [end for end in own if end.standing is ev.OfficeState.READY]
         return max(ready or own, key=lambda end: end.started or 0, default=None)
 
     def _send(self, dialogue: int, office: str, within: int, now: int) -> None:
@@ -401,11 +401,11 @@
         self.counts["sends"] += 1
         group = self.groups.get(end.number)
         if home is None:
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.PROCESSOR_FULL, now)
         elif not end.up:
-            self._not_sent(dial, ev.Ending.UNREACHABLE, ev.Blame.NONE, now)
+            self._not_sent(dial, ev.DialResult.UNREACHABLE, ev.ReleaseCause.NONE, now)
         elif group is not None and not group.seize(dial, taken.width):
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.NO_CIRCUIT, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NO_CIRCUIT, now)
         else:
             self._changed(end.number)
             dial.timer = self.outlet.timer(max(0, within), lambda at: self._overdue(dial, at))
@@ -413,7 +413,7 @@
             home.passing[dial.home_ref] = dial
             self.outlet.to_office(home.id, frames.ProcessStep(dial.home_ref, "setup"))
 
-    def _not_sent(self, dial: DialOut, ending: ev.Ending, blame: ev.Blame, now: int) -> None:
+    def _not_sent(self, dial: DialOut, ending: ev.DialResult, blame: ev.ReleaseCause, now: int) -> None:
         dial.move(Step.FREE)
         self._free(dial)
         self._dial_ended(dial, ending, blame, 0, False, None, now)
@@ -421,8 +421,8 @@
     def _dial_ended(
         self,
         dial: DialOut,
-        ending: ev.Ending,
-        blame: ev.Blame,
+        ending: ev.DialResult,
+        blame: ev.ReleaseCause,
         wait: int,
         over: bool,
         load: frames.Load | None,
@@ -453,15 +453,15 @@
         taken, end = dial.taken, dial.office
         if not accepted:
             self._stop_timer(dial)
-            self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.PROCESSOR_FULL, now)
+            self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.PROCESSOR_FULL, now)
             return
-        if end.standing is not ev.Standing.READY or not end.up:
+        if end.standing is not ev.OfficeState.READY or not end.up:
             # Guards rule 3: the office drained, or its link was lost, while the set-up waited in the own
             # processor. Nothing was sent, so the decisions may dial elsewhere at once.
             self.counts["kept_back.drained" if end.up else "kept_back.unreachable"] += 1
             self._stop_timer(dial)
-            ending = ev.Ending.NOT_SENT if end.up else ev.Ending.UNREACHABLE
-            self._not_sent(dial, ending, ev.Blame.NONE, now)
+            ending = ev.DialResult.NOT_SENT if end.up else ev.DialResult.UNREACHABLE
+            self._not_sent(dial, ending, ev.ReleaseCause.NONE, now)
             return
         dial.move(Step.OUT)
         dial.ref = end.ref()
@@ -486,15 +486,15 @@
         dial.move(Step.STANDS)
         self._stop_timer(dial)
         self._answer(dial.taken, "stands", 0, now)
-        self.feed(ev.Stood(dial.taken.id, dial.number, now - dial.sent), now)
+        self.feed(ev.DialogueEstablished(dial.taken.id, dial.number, now - dial.sent), now)
 
     def _overdue(self, dial: DialOut, now: int) -> None:
         if dial.step in (Step.PASSING, Step.OUT, Step.ANSWERING):
-            self._give_up_dial(dial, ev.Ending.TIMED_OUT, now)
+            self._give_up_dial(dial, ev.DialResult.TIMED_OUT, now)
 
-    def _give_up_dial(self, dial: DialOut, ending: ev.Ending, now: int) -> None:
+    def _give_up_dial(self, dial: DialOut, ending: ev.DialResult, now: int) -> None:
         self._end_dial(dial, frames.Cancel(dial.ref), now)
-        self._dial_ended(dial, ending, ev.Blame.NONE, 0, False, None, now)
+        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, 0, False, None, now)
 
     def _end_dial(self, dial: DialOut, word: frames.Cancel | frames.Release, now: int) -> None:
         """End a dial from this end. Where it was sent, the circuits stay taken until the far end confirms or
@@ -561,7 +561,7 @@
         self._stop_timer(dial)
         dial.move(Step.FREE)
         self._free(dial)
-        ending, blame = ENDINGS.get(frame.reason, (ev.Ending.FAULT, ev.Blame.NONE))
+        ending, blame = ENDINGS.get(frame.reason, (ev.DialResult.FAULT, ev.ReleaseCause.NONE))
         self._dial_ended(dial, ending, blame, max(0, frame.wait), False, frame.load, now)
 
     def cut(self, office: str, ref: int, now: int) -> None:
@@ -597,7 +597,7 @@
             elif taken.home is not None:
                 self.outlet.to_office(taken.home.id, frames.Cut(taken.home_ref))
             self._forget(taken)
-        self._dial_ended(dial, ev.Ending.RESET, ev.Blame.NONE, 0, stood, None, now)
+        self._dial_ended(dial, ev.DialResult.RESET, ev.ReleaseCause.NONE, 0, stood, None, now)
 
     def released(self, office: str, frame: frames.Released, now: int) -> None:
         """An office freed what a dial held there."""
@@ -646,12 +646,12 @@
     def load_told(self, office: str, frame: frames.LoadReport, now: int) -> None:
         """A processor told its figures."""
         end = self.offices[office]
-        self.feed(ev.Reported(office, frame.asked, True, self._report(end.number, frame.load)), now)
+        self.feed(ev.OfficeReported(office, frame.asked, True, self._report(end.number, frame.load)), now)
 
     def _heard_load(self, office: str, load: frames.Load | None, now: int) -> None:
         if load is not None:
             report = self._report(self.offices[office].number, load)
-            self.feed(ev.Reported(office, False, True, report), now)
+            self.feed(ev.OfficeReported(office, False, True, report), now)
 
     # ---- groups ----
 
@@ -691,19 +691,19 @@
             for home in own:
                 self.outlet.to_office(home.id, frames.GroupState(number, group.local_count))
             for end in self.offices.values():
-                if end.number == number and end.standing is not ev.Standing.GONE:
-                    self.feed(ev.Reported(end.id, False, True, self._report(number, None)), now)
+                if end.number == number and end.standing is not ev.OfficeState.GONE:
+                    self.feed(ev.OfficeReported(end.id, False, True, self._report(number, None)), now)
 
-    def _report(self, number: int, load: frames.Load | None) -> ev.Report:
+    def _report(self, number: int, load: frames.Load | None) -> ev.OfficeReport:
         group = self.groups.get(number)
         utilisation, wait, takes, hold_back = load_of(load)
-        return ev.Report(
-            free=group.free if group else None,
-            size=group.size if group else None,
+        return ev.OfficeReport(
+            free_circuits=group.free if group else None,
+            group_size=group.size if group else None,
             utilisation=utilisation,
-            wait=wait,
-            takes_per_s=takes,
-            hold_back=hold_back,
+            queue_wait=wait,
+            accept_rate_per_s=takes,
+            load_reduction=hold_back,
         )
 
     def held_for(self, office: str) -> int:
@@ -749,7 +749,7 @@
             return
         end.up = False
         self.counts["links_lost.office"] += 1
-        if end.standing is ev.Standing.READY and not self.stopping:
+        if end.standing is ev.OfficeState.READY and not self.stopping:
             self.outlet.log("office_lost", office=office, why=why, dials=len(end.dials))
         for dial in list(end.dials.values()):
             self._reset_dial(dial, now)
@@ -800,23 +800,23 @@
         if frame.kind != "changes":
             for end in self.offices.values():
                 if end.id not in named:
-                    end.standing = ev.Standing.GONE
-        heard = {"changes": ev.Heard.CHANGES, "whole": ev.Heard.WHOLE, "remembered": ev.Heard.REMEMBERED}
+                    end.standing = ev.OfficeState.GONE
+        heard = {"changes": ev.ListKind.CHANGES, "whole": ev.ListKind.FULL, "remembered": ev.ListKind.CACHED}
         entries = [self.offices[line.office] for line in frame.entries]
-        lines = tuple(ev.Entry(end.id, end.number, end.standing, end.started) for end in entries)
-        self.feed(ev.Listed(heard[frame.kind], lines), now)
+        lines = tuple(ev.OfficeEntry(end.id, end.number, end.standing, end.started) for end in entries)
+        self.feed(ev.OfficeListReceived(heard[frame.kind], lines), now)
         for end in list(self.offices.values()):
             self._follow_standing(end, now)
             if self.hooked and before.get(end.id) is not end.standing:
                 end.mark = self.hooked.listed(end, now) or end.mark
-            if end.standing is ev.Standing.GONE and not (end.dials or end.passing or end.transits):
+            if end.standing is ev.OfficeState.GONE and not (end.dials or end.passing or end.transits):
                 del self.offices[end.id]  # replaced processors must not pile up over the weeks
         return not old
 
     def _less_usable(self, line: frames.OfficeListEntry, now: int) -> bool:
         """Whether a line says of an office held ready that it is not, and not of a processor before the present."""
         end = self.offices.get(line.office)
-        if end is None or end.standing is not ev.Standing.READY or line.state == "ready":
+        if end is None or end.standing is not ev.OfficeState.READY or line.state == "ready":
             return False
         started = None if line.age is None else now - max(0, line.age)  # none starts in the future
         return end.started is None or (started is not None and started >= end.started - STARTED_SLACK)
@@ -837,12 +837,12 @@
             end.address = line.address
 
     def _follow_standing(self, end: OfficeEnd, now: int) -> None:
-        if end.standing is ev.Standing.GONE:
+        if end.standing is ev.OfficeState.GONE:
             self._take_back(end, now)
             self.outlet.drop_link(end.id)
         else:
             self.outlet.keep_link(end.id, end.address)
-            if end.standing is ev.Standing.DRAINING:
+            if end.standing is ev.OfficeState.DRAINING:
                 self._take_back(end, now)
 
     def _take_back(self, end: OfficeEnd, now: int) -> None:
@@ -855,13 +855,13 @@
             if dial and dial.step is Step.OUT:
                 self.counts["kept_back.drained"] += 1
                 self._stop_timer(dial)
-                self._not_sent(dial, ev.Ending.NOT_SENT, ev.Blame.NONE, now)
+                self._not_sent(dial, ev.DialResult.NOT_SENT, ev.ReleaseCause.NONE, now)
         if not end.up:
             return
         n, grace = self.outlet.mark(end.id), self.opened.release.drain_grace
 
         def look(at: int) -> None:
-            if end.up and end.standing is not ev.Standing.READY and not self.outlet.marked(end.id, n):
+            if end.up and end.standing is not ev.OfficeState.READY and not self.outlet.marked(end.id, n):
                 self.counts["resets_of_drained"] += 1
                 self.outlet.reset(end.id, "drains and does not read")
 
@@ -878,7 +878,7 @@
         home = self._home()
         if home:
             self.outlet.to_office(home.id, frames.ProcessStep(0, "word"))
-        self.feed(ev.PeerSaid(peer, text), now)
+        self.feed(ev.PeerMessageReceived(peer, text), now)
 
     def stop(self, now: int) -> int:
         """Take nothing more; returns how many answers are still owed."""
--- a/wellhitch/settings/sheet.py
+++ b/wellhitch/settings/sheet.py
@@ -158,18 +158,18 @@
     return lines
 
 
-def opened(sheet: Sheet) -> events.Opened:
+def opened(sheet: Sheet) -> events.ServerStarted:
     """The start facts that the decisions are told."""
     limits, rules = sheet.limits, sheet.rules
-    return events.Opened(
+    return events.ServerStarted(
         seed=sheet.seed,
-        use_cases=tuple(
-            facts.UseCase(
+        traffic_classes=tuple(
+            facts.TrafficClass(
                 name=use.name,
-                payoff=use.payoff,
+                value=use.payoff,
                 late_share=use.late_share,
-                agreed_time=span(use.agreed_time),
-                outer_limit=span(use.outer_limit),
+                target_latency=span(use.agreed_time),
+                deadline=span(use.outer_limit),
                 width=use.width,
                 hold=span(use.hold),
                 pools=(),
@@ -178,7 +178,7 @@
             )
             for use in sheet.use_cases
         ),
-        place=facts.Place(sheet.number, sheet.peers, False, 0, bool(sheet.doors.centre)),
+        topology=facts.ServerTopology(sheet.number, sheet.peers, False, 0, bool(sheet.doors.centre)),
         permissions=facts.Permissions(
             limits.most_dials,
             limits.may_cancel,
@@ -188,7 +188,7 @@
             limits.marks_redials,
         ),
         release=facts.ReleaseRule(span(rules.release_wait), span(rules.drain_grace)),
-        cold=facts.ColdRule(
+        cold_start=facts.ColdStartRule(
             rules.cold_share, span(rules.cold_for), rules.cold_multiple, span(rules.cold_window)
         ),
     )
