--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: power cut at every write and sync, disks that are full, read-only, slow or damaged."""
+"""The store: power cuts at every write and sync; disks that are full, read-only, slow or damaged."""
 
 import asyncio
 import contextlib
@@ -56,7 +56,7 @@
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_a_record_or_damage(data: bytes) -> None:
+def test_any_bytes_are_a_record_or_reported_as_damaged(data: bytes) -> None:
     try:
         version, body = unpack("a", b"k", data)
     except DamagedRecord:
@@ -65,7 +65,7 @@
 
 
 @given(st.binary(max_size=60), st.data())
-def test_a_flipped_bit_or_another_place_is_found(body: bytes, data: st.DataObject) -> None:
+def test_a_flipped_bit_or_a_moved_record_is_detected(body: bytes, data: st.DataObject) -> None:
     packed = bytearray(pack(Change("a", b"k", body)))
     assert unpack("a", b"k", bytes(packed)) == (1, body)
     for bucket, key in (("b", b"k"), ("a", b"l"), ("ak", b"")):
@@ -85,10 +85,10 @@
         Upgrades(3, {1: bytes})
 
 
-# ---- what waits ----
+# ---- group commit and maintenance ----
 
 
-def test_changes_go_in_groups_and_what_is_at_risk_is_told() -> None:
+def test_changes_are_committed_in_groups_and_those_at_risk_are_reported() -> None:
     writer = Writer()
     for n in range(5):
         assert writer.put([change(n)], n * 1000)
@@ -103,7 +103,7 @@
     assert writer.committed(LINGER_US + 300) == 5 and writer.at_risk(LINGER_US + 300) == (1, 300)
 
 
-def test_a_failed_batch_comes_again_as_it_was_after_doubling_waits() -> None:
+def test_a_failed_batch_is_retried_unchanged_after_doubling_waits() -> None:
     writer, now, waits = Writer(), 0, []
     writer.put([change(1)], now)
     for _ in range(8):
@@ -120,24 +120,24 @@
     assert writer.held == 8
 
 
-def test_what_finds_no_room_is_refused_counted_and_told_once_there_is_room() -> None:
+def test_changes_beyond_capacity_are_refused_counted_and_reported_once_there_is_capacity() -> None:
     writer = Writer(max_waiting=3)
     assert [writer.put([change(n)], n) for n in range(6)] == [True] * 3 + [False] * 3
-    assert writer.take_refused().count == 0  # no room to say so yet
+    assert writer.take_refused().count == 0  # no capacity to record it yet
     writer.begin(10)
     writer.committed(11)
-    told = writer.take_refused()
-    assert (told.count, told.first, told.last) == (3, 3, 5) and writer.take_refused().count == 0
+    refused = writer.take_refused()
+    assert (refused.count, refused.first, refused.last) == (3, 3, 5) and writer.take_refused().count == 0
 
 
-def test_a_commit_holds_no_more_than_its_bound() -> None:
+def test_the_size_of_a_commit_is_bounded() -> None:
     writer = Writer()
     for n in range(MAX_CHANGES_PER_COMMIT + 5):
         writer.put([change(n)], 0)
     assert writer.due(0) == 0 and len(writer.begin(0)) == MAX_CHANGES_PER_COMMIT
 
 
-def test_groups_are_never_parted_between_two_commits() -> None:
+def test_groups_are_never_divided_between_two_commits() -> None:
     writer = Writer()
     writer.put([change(n) for n in range(MAX_CHANGES_PER_COMMIT - 1)], 0)
     writer.put([change(n) for n in range(MAX_CHANGES_PER_COMMIT + 7)], 0)
@@ -149,7 +149,7 @@
     assert writer.held == 1
 
 
-def test_upkeep_keeps_to_its_budget_and_a_full_log_goes_first() -> None:
+def test_maintenance_keeps_to_its_budget_and_a_full_log_comes_first() -> None:
     upkeep, now, pages = Maintenance(scrubbing=False), 0, 0
     for _ in range(100):
         now += SECOND // 10
@@ -163,8 +163,8 @@
 
 
 @contextlib.contextmanager
-def until_the_cut(disk: EmulatedDisk) -> Iterator[None]:
-    """What fails once the power is gone is of no matter."""
+def power_cut_expected(disk: EmulatedDisk) -> Iterator[None]:
+    """Ignores errors raised after the power was cut."""
     try:
         yield
     except (PowerCut, StoreError):
@@ -184,10 +184,10 @@
 BATCHES = [[change(n * 10 + i, 30 + 90 * (n % 4)) for i in range(1 + n % 5)] for n in range(12)]
 
 
-def lived(disk: EmulatedDisk) -> int:
-    """Commits of a small run with upkeep between, until the power goes; how many returned."""
+def run_until_cut(disk: EmulatedDisk) -> int:
+    """Runs commits with maintenance in between until the power is cut; returns how many commits completed."""
     done = 0
-    with until_the_cut(disk), opened(disk) as engine:
+    with power_cut_expected(disk), opened(disk) as engine:
         for n, batch in enumerate(BATCHES):
             engine.commit(batch)
             if disk.dead:
@@ -196,40 +196,40 @@
             if n % 4 == 3:
                 engine.checkpoint()
             if n == 8:
-                engine.commit([Change("a", one.key, None) for one in BATCHES[0]])
+                engine.commit([Change("a", change.key, None) for change in BATCHES[0]])
                 engine.vacuum()
     return done
 
 
-def found(disk: EmulatedDisk) -> dict[bytes, bytes]:
-    """All records of the next life. Damage raises."""
-    out = {}
+def stored_records(disk: EmulatedDisk) -> dict[bytes, bytes]:
+    """All records found after a restart. Fails on a damaged one."""
+    records = {}
     with opened(disk) as engine:
         assert engine.db.pragma("integrity_check") == "ok"
-        for one in engine.scan("a"):
-            assert not isinstance(one, DamagedRecord), one
-            out[one[0]] = one[2]
-    return out
+        for record in engine.scan("a"):
+            assert not isinstance(record, DamagedRecord), record
+            records[record[0]] = record[2]
+    return records
 
 
 def expected(commits: int, deleted: bool) -> dict[bytes, bytes]:
-    out = {one.key: one.body or b"" for batch in BATCHES[:commits] for one in batch}
-    for one in BATCHES[0] if deleted else []:
-        out.pop(one.key, None)
-    return out
+    records = {change.key: change.body or b"" for batch in BATCHES[:commits] for change in batch}
+    for change in BATCHES[0] if deleted else []:
+        records.pop(change.key, None)
+    return records
 
 
-def test_power_cut_at_every_write_and_every_sync_loses_nothing_that_was_told_safe() -> None:
+def test_a_power_cut_at_every_write_and_every_sync_loses_no_durable_change() -> None:
     whole = EmulatedDisk(1)
-    assert lived(whole) == len(BATCHES)
+    assert run_until_cut(whole) == len(BATCHES)
     points = 0
     for at in range(whole.ops):
         cut = EmulatedDisk(1)
         cut.cut_at = at
-        done = lived(cut)
+        done = run_until_cut(cut)
         for seed, keep in ((at, 0.0), (at, 1.0), (at, 0.5), (at + 1, 0.9), (at + 2, 0.1)):
-            records = found(cut.after_power_cut(seed, keep))
-            # What was told safe is there; the batch that was under way is there as a whole or not at all.
+            records = stored_records(cut.after_power_cut(seed, keep))
+            # Completed commits are there; the batch under way is there as a whole or not at all.
             ways = [expected(n, gone) for n in (done, done + 1) for gone in (False, True)]
             assert records in ways, (at, seed, keep, done)
             if done < 9:
@@ -238,34 +238,38 @@
     assert points == 5 * whole.ops and whole.ops > 100
 
 
-def test_cuts_of_a_long_run_and_of_the_lives_after_it() -> None:
-    """Sampled by seed: each life begins on what the one before left, and is cut again, also while it recovers."""
-    chance = random.Random(5)
+def test_power_cuts_in_a_long_run_and_in_the_recoveries_after_it() -> None:
+    """Sampled by seed: each run starts on the disk that the previous one left and may be cut during recovery."""
+    rng = random.Random(5)
     for round_ in range(60):
-        disk, safe, maybe = EmulatedDisk(round_), {}, {}
+        disk, durable, in_flight = EmulatedDisk(round_), {}, {}
         for life in range(4):
-            disk.cut_at = chance.randrange(400)
-            with until_the_cut(disk), opened(disk) as engine:
-                there = {one[0]: one[2] for one in engine.scan("a") if not isinstance(one, DamagedRecord)}
-                assert safe.items() <= there.items() <= (safe | maybe).items()
-                safe, maybe = there, {}
+            disk.cut_at = rng.randrange(400)
+            with power_cut_expected(disk), opened(disk) as engine:
+                stored = {
+                    record[0]: record[2]
+                    for record in engine.scan("a")
+                    if not isinstance(record, DamagedRecord)
+                }
+                assert durable.items() <= stored.items() <= (durable | in_flight).items()
+                durable, in_flight = stored, {}
                 for n in range(200):
                     batch = [
-                        change(life * 1000 + n * 4 + i, chance.randrange(300))
-                        for i in range(chance.randrange(1, 4))
+                        change(life * 1000 + n * 4 + i, rng.randrange(300))
+                        for i in range(rng.randrange(1, 4))
                     ]
-                    maybe = {one.key: one.body or b"" for one in batch}
+                    in_flight = {change.key: change.body or b"" for change in batch}
                     engine.commit(batch)
                     if disk.dead:
                         break
-                    safe, maybe = safe | maybe, {}
-                    if chance.random() < 0.1:
+                    durable, in_flight = durable | in_flight, {}
+                    if rng.random() < 0.1:
                         engine.checkpoint()
-            disk = disk.after_power_cut(chance.randrange(1 << 30), chance.random())
+            disk = disk.after_power_cut(rng.randrange(1 << 30), rng.random())
 
 
-def test_a_test_disk_that_lies_about_syncs_is_caught() -> None:
-    """The cuts above can fail: a disk whose sync does nothing loses what was told safe."""
+def test_the_power_cut_test_detects_a_disk_that_ignores_syncs() -> None:
+    """Shows that the tests above can fail: a disk whose sync does nothing loses completed commits."""
 
     class Lying(EmulatedDisk):
         def after_power_cut(self, seed: int, keep: float) -> EmulatedDisk:
@@ -278,9 +282,9 @@
     for at in range(100, 160):
         cut = Lying(1)
         cut.cut_at = at
-        done = lived(cut)
+        done = run_until_cut(cut)
         try:
-            lost += found(cut.after_power_cut(at, 0.5)) not in (
+            lost += stored_records(cut.after_power_cut(at, 0.5)) not in (
                 expected(done, False),
                 expected(done + 1, False),
             )
@@ -289,48 +293,50 @@
     assert lost > 50
 
 
-def test_the_emulated_disk_keeps_tears_and_loses_sectors_by_chance() -> None:
+def test_the_emulated_disk_keeps_tears_and_loses_sectors_at_random() -> None:
     blob = Blob()
     blob.write(0, b"o" * 4 * SECTOR)
     blob.sync()
     blob.write(100, b"n" * 3 * SECTOR)
-    seen = {blob.survivor(random.Random(seed), 0.5) for seed in range(40)}
-    assert len(seen) > 12 and all(len(one) == 4 * SECTOR and one[:100] == b"o" * 100 for one in seen)
+    survivors = {blob.survivor(random.Random(seed), 0.5) for seed in range(40)}
+    assert len(survivors) > 12 and all(
+        len(survivor) == 4 * SECTOR and survivor[:100] == b"o" * 100 for survivor in survivors
+    )
     assert blob.survivor(random.Random(1), 0.0) == b"o" * 4 * SECTOR
 
 
 # ---- damage ----
 
 
-def test_a_bit_flipped_in_any_page_is_found_or_in_no_record() -> None:
+def test_a_flipped_bit_in_any_page_is_detected_or_outside_all_records() -> None:
     disk = EmulatedDisk(1)
     engine = disk.open("s")
     for n in range(60):
         engine.commit([change(n * 5 + i, 200) for i in range(5)])
     engine.close()
-    whole, good = bytes(disk.files["s"].now), found(disk.after_kill())
+    whole, good = bytes(disk.files["s"].now), stored_records(disk.after_kill())
     pages = len(whole) // 4096
-    told = 0
+    detected = 0
     for page in range(pages):
         for at in (page * 4096 + 3, page * 4096 + 40, page * 4096 + 2100, page * 4096 + 4090):
-            hurt = EmulatedDisk(1)
-            hurt.files["s"] = Blob(now=bytearray(whole))
-            hurt.files["s"].now[at] ^= 0x20
+            damaged_disk = EmulatedDisk(1)
+            damaged_disk.files["s"] = Blob(now=bytearray(whole))
+            damaged_disk.files["s"].now[at] ^= 0x20
             read: dict[bytes, bytes] = {}
             hits = 0
             try:
-                for one in hurt.open("s").scan("a"):
-                    if isinstance(one, DamagedRecord):
+                for record in damaged_disk.open("s").scan("a"):
+                    if isinstance(record, DamagedRecord):
                         hits += 1
                     else:
-                        read[one[0]] = one[2]
-            except StoreError as fault:
-                assert fault.kind in ("damaged", "foreign", "failing"), fault
+                        read[record[0]] = record[2]
+            except StoreError as error:
+                assert error.kind in ("damaged", "foreign", "failing"), error
                 hits += 1
-            # Never another body under a key: what is read is what was written.
+            # A key never has a body that was not written under it.
             assert read.items() <= good.items(), at
-            told += hits > 0
-    assert told > pages
+            detected += hits > 0
+    assert detected > pages
 
 
 def test_scrubbing_names_each_damaged_record() -> None:
@@ -338,31 +344,31 @@
     engine.commit([change(n) for n in range(50)])
     engine.db.execute("update record set data = zeroblob(30) where key = ?", (change(7).key,))
     engine.db.execute("update record set key = ? where key = ?", (b"\xff", change(9).key))
-    state, seen = ScrubProgress(), []
-    while (some := engine.scrub(state, 8)) is not None:
-        seen += some
-    assert [(one.bucket, one.key) for one in seen] == [("a", change(7).key), ("a", b"\xff")]
-    assert state.records == 50 and state.damage == 2
+    progress, damaged = ScrubProgress(), []
+    while (batch := engine.scrub(progress, 8)) is not None:
+        damaged += batch
+    assert [(record.bucket, record.key) for record in damaged] == [("a", change(7).key), ("a", b"\xff")]
+    assert progress.records == 50 and progress.damage == 2
 
 
-def test_a_damaged_record_that_calls_itself_a_text_or_nothing_is_told() -> None:
-    """Found by the tools' test: such a record ended the read with an error of the database's own."""
+def test_a_damaged_record_stored_as_a_text_or_a_number_is_reported() -> None:
+    """Such a record ended the read with an error of the database."""
     engine = EmulatedDisk(1).open("s")
     engine.commit([change(n) for n in range(4)])
     engine.db.execute("update record set data = cast(x'ff41ff' as text) where key = ?", (change(1).key,))
     engine.db.execute("update record set data = 5 where key = ?", (change(2).key,))
-    found = list(engine.scan("a"))
-    assert [isinstance(one, DamagedRecord) for one in found] == [False, True, True, False]
+    records = list(engine.scan("a"))
+    assert [isinstance(record, DamagedRecord) for record in records] == [False, True, True, False]
     with pytest.raises(DamagedRecord):
         engine.get("a", change(1).key)
     assert len(engine.scrub(ScrubProgress(), 10) or []) == 2
 
 
-def test_a_file_of_something_else_is_not_written_to(tmp_path: Path) -> None:
+def test_a_file_of_another_application_is_not_written_to(tmp_path: Path) -> None:
     (tmp_path / "s").write_bytes(b"no database at all" * 400)
-    with pytest.raises(StoreError) as fault:
+    with pytest.raises(StoreError) as raised:
         Engine(str(tmp_path / "s"))
-    assert fault.value.kind == "damaged"
+    assert raised.value.kind == "damaged"
 
     with apsw.Connection(str(tmp_path / "t")) as other:
         other.execute("create table x(y)")
@@ -371,110 +377,114 @@
         Engine(str(tmp_path / "t"))
 
 
-# ---- in service, in virtual time ----
+# ---- on an event loop, in virtual time ----
 
 
-class World:
+class StoreBench:
     def __init__(self, **more: Any) -> None:
         self.loop = VirtualLoop()
         self.disk = EmulatedDisk(1, self.loop)
-        self.words: list[tuple[str, dict[str, Any]]] = []
-        self.safe: list[int] = []
-        self.keeper = StoreService(
-            self.loop, self.disk, "s", lambda event, **facts: self.words.append((event, facts)), **more
+        self.log_lines: list[tuple[str, dict[str, Any]]] = []
+        self.durable: list[int] = []
+        self.store = StoreService(
+            self.loop, self.disk, "s", lambda event, **facts: self.log_lines.append((event, facts)), **more
         )
-        self.keeper.open(lambda engine: None, lambda found: None)
+        self.store.open(lambda engine: None, lambda result: None)
 
     def put(self, n: int) -> bool:
-        return self.keeper.put([change(n)], lambda: self.safe.append(n))
+        return self.store.put([change(n)], lambda: self.durable.append(n))
 
     def events(self) -> list[str]:
-        return [event for event, _ in self.words]
+        return [event for event, _ in self.log_lines]
 
 
-def test_changes_are_safe_within_the_linger_and_a_power_cut_loses_no_more() -> None:
-    world = World()
-    world.loop.advance(1)
+def test_changes_are_durable_within_the_linger_time_and_a_power_cut_loses_no_more() -> None:
+    bench = StoreBench()
+    bench.loop.advance(1)
     for n in range(100):
-        world.put(n)
-        world.loop.advance(0.001)
-    risk = world.keeper.condition()
+        bench.put(n)
+        bench.loop.advance(0.001)
+    risk = bench.store.condition()
     assert risk.changes_at_risk <= 21 and risk.us_at_risk <= LINGER_US + 1000
-    there = found(world.disk.after_power_cut(1, 0.0))
-    assert set(there) >= {change(n).key for n in world.safe} and len(there) >= 79
-
-
-def test_a_full_disk_keeps_what_waits_then_refuses_and_goes_on_when_there_is_room() -> None:
-    world = World(max_waiting=50)
-    world.loop.advance(1)
-    world.disk.full = True
-    took = [world.put(n) for n in range(80)]
-    world.loop.advance(20)
-    assert took == [True] * 50 + [False] * 30 and world.keeper.condition().state == "full" and not world.safe
-    world.disk.full = False
-    world.loop.advance(6)
-    assert world.safe == list(range(50)) and world.keeper.condition().state == "well"
-    told = world.keeper.take_refused()
-    assert told.count == 30 and world.events().count("store_condition") == 2
-
-
-def test_a_read_only_disk_and_a_disk_that_takes_five_seconds_hold_nobody_up() -> None:
-    world = World()
-    world.loop.advance(1)
-    world.disk.read_only = True
-    world.put(1)
-    world.loop.advance(3)
-    assert world.keeper.condition().state == "read_only"
-    world.disk.read_only, world.disk.took_us = False, 5 * SECOND
-    world.loop.advance(7)
+    stored = stored_records(bench.disk.after_power_cut(1, 0.0))
+    assert set(stored) >= {change(n).key for n in bench.durable} and len(stored) >= 79
+
+
+def test_a_full_disk_keeps_waiting_changes_then_refuses_and_recovers_with_free_space() -> None:
+    bench = StoreBench(max_waiting=50)
+    bench.loop.advance(1)
+    bench.disk.full = True
+    accepted = [bench.put(n) for n in range(80)]
+    bench.loop.advance(20)
+    assert (
+        accepted == [True] * 50 + [False] * 30
+        and bench.store.condition().state == "full"
+        and not bench.durable
+    )
+    bench.disk.full = False
+    bench.loop.advance(6)
+    assert bench.durable == list(range(50)) and bench.store.condition().state == "well"
+    refused = bench.store.take_refused()
+    assert refused.count == 30 and bench.events().count("store_condition") == 2
+
+
+def test_a_read_only_disk_and_a_disk_that_takes_five_seconds_do_not_block_callers() -> None:
+    bench = StoreBench()
+    bench.loop.advance(1)
+    bench.disk.read_only = True
+    bench.put(1)
+    bench.loop.advance(3)
+    assert bench.store.condition().state == "read_only"
+    bench.disk.read_only, bench.disk.took_us = False, 5 * SECOND
+    bench.loop.advance(7)
     for n in range(2, 500):
-        assert world.put(n)
-    world.loop.advance(2)
-    assert world.keeper.condition().state == "slow"
-    world.loop.advance(30)
-    assert world.safe == list(range(1, 500))
-
-
-def test_a_store_that_cannot_be_opened_is_tried_again_and_what_came_meanwhile_is_kept() -> None:
-    world = World()
-    world.disk.locked.add("s")
-    world.keeper = StoreService(
-        world.loop, world.disk, "s", lambda event, **facts: world.words.append((event, facts))
+        assert bench.put(n)
+    bench.loop.advance(2)
+    assert bench.store.condition().state == "slow"
+    bench.loop.advance(30)
+    assert bench.durable == list(range(1, 500))
+
+
+def test_a_store_that_cannot_be_opened_is_retried_and_changes_put_meanwhile_are_kept() -> None:
+    bench = StoreBench()
+    bench.disk.locked.add("s")
+    bench.store = StoreService(
+        bench.loop, bench.disk, "s", lambda event, **facts: bench.log_lines.append((event, facts))
     )
-    world.keeper.open(lambda engine: None, lambda found: None)
-    world.loop.advance(1)
-    assert world.keeper.condition().state == "in_use" and world.put(1)
-    world.disk.locked.clear()
-    world.loop.advance(6)
-    assert world.safe == [1]
+    bench.store.open(lambda engine: None, lambda result: None)
+    bench.loop.advance(1)
+    assert bench.store.condition().state == "in_use" and bench.put(1)
+    bench.disk.locked.clear()
+    bench.loop.advance(6)
+    assert bench.durable == [1]
 
 
-def test_upkeep_brings_the_log_in_scrubs_and_makes_snapshots_while_commits_go_on() -> None:
-    world = World()
-    world.loop.advance(1)
+def test_maintenance_checkpoints_scrubs_and_makes_snapshots_during_commits() -> None:
+    bench = StoreBench()
+    bench.loop.advance(1)
     done: list[str] = []
     for n in range(3000):
-        world.keeper.put([change(n, 3000)])
+        bench.store.put([change(n, 3000)])
         if n == 1500:
-            world.keeper.snapshot("copy", done.append)
-        world.loop.advance(0.01)
-    world.loop.advance(60)
-    assert world.keeper.counts["store_upkeep.checkpoint"] and world.keeper.counts["store_upkeep.scrub"]
-    assert "store_scrubbed" in world.events() and len(found(world.disk.after_kill())) == 3000
+            bench.store.snapshot("copy", done.append)
+        bench.loop.advance(0.01)
+    bench.loop.advance(60)
+    assert bench.store.counts["store_upkeep.checkpoint"] and bench.store.counts["store_upkeep.scrub"]
+    assert "store_scrubbed" in bench.events() and len(stored_records(bench.disk.after_kill())) == 3000
     assert done == [""]
-    copy = world.disk.after_kill()
+    copy = bench.disk.after_kill()
     copy.files["s"] = copy.files["copy"]
     del copy.files["s-wal"]
-    assert 1500 < len(found(copy)) <= 3000
+    assert 1500 < len(stored_records(copy)) <= 3000
 
 
-def test_closing_commits_what_waits_and_killing_does_not() -> None:
+def test_closing_commits_waiting_changes_and_killing_does_not() -> None:
     for ends, kept in (("close", 1), ("kill", 0)):
-        world = World()
-        world.loop.advance(1)
-        world.put(1)
-        getattr(world.keeper, ends)()
-        assert len(found(world.disk.after_kill())) == kept
+        bench = StoreBench()
+        bench.loop.advance(1)
+        bench.put(1)
+        getattr(bench.store, ends)()
+        assert len(stored_records(bench.disk.after_kill())) == kept
 
 
 # ---- the real disk ----
@@ -495,14 +505,14 @@
         "try: SystemDisk(asyncio.new_event_loop(), folder).open('s')\n"
         "except StoreError as error: print(error.kind)\n"
     )
-    told = subprocess.run([sys.executable, "-c", text, str(tmp_path)], capture_output=True, text=True)
+    child = subprocess.run([sys.executable, "-c", text, str(tmp_path)], capture_output=True, text=True)
     engine.close()
     disk.close()
     loop.close()
-    assert told.stdout.split() == ["1", "in_use"], told.stderr
+    assert child.stdout.split() == ["1", "in_use"], child.stderr
 
 
-def test_a_process_killed_at_random_moments_loses_nothing_told_safe(tmp_path: Path) -> None:
+def test_a_process_killed_at_random_moments_loses_no_durable_change(tmp_path: Path) -> None:
     text = (
         "import sys; from wellhitch.store.engine import Engine; from wellhitch.store.records import Change\n"
         "engine = Engine(sys.argv[1])\n"
@@ -511,69 +521,71 @@
         "    print(n, flush=True)\n"
         "    if n % 50 == 7: engine.checkpoint()\n"
     )
-    for told_before_the_kill in (1, 60, 151):
-        path = tmp_path / f"s{told_before_the_kill}"
+    for reported_before_kill in (1, 60, 151):
+        path = tmp_path / f"s{reported_before_kill}"
         child = subprocess.Popen([sys.executable, "-c", text, str(path)], stdout=subprocess.PIPE, text=True)
         assert child.stdout
-        for _ in range(told_before_the_kill):
+        for _ in range(reported_before_kill):
             last = int(child.stdout.readline())
         child.kill()
         child.wait()
         child.stdout.close()
         engine = Engine(str(path))
         a, b = (len(list(engine.scan(bucket))) for bucket in "ab")
-        assert a == b and a > last and not any(isinstance(one, DamagedRecord) for one in engine.scan("a"))
+        assert (
+            a == b and a > last and not any(isinstance(record, DamagedRecord) for record in engine.scan("a"))
+        )
         engine.close()
     assert HEADER_BYTES + CHECKSUM_BYTES == 19
 
 
-# ---- faults that the engine has no name for ----
+# ---- exceptions without a specific error kind ----
 
 
 @pytest.mark.parametrize(
-    "fault", [OverflowError("int too big"), apsw.IOError("disk I/O error"), DamagedRecord("a", b"k", "why")]
+    "error", [OverflowError("int too big"), apsw.IOError("disk I/O error"), DamagedRecord("a", b"k", "why")]
 )
-def test_work_on_a_disk_that_raises_anything_is_told(tmp_path: Path, fault: Exception) -> None:
-    """Else nobody was told, and whoever waited for the disk waited for ever."""
+def test_any_exception_of_work_on_a_disk_is_reported(tmp_path: Path, error: Exception) -> None:
+    """Otherwise the caller is never notified and waits for the disk for ever."""
 
     def work() -> None:
-        raise fault
+        raise error
 
-    async def tried() -> Any:
+    async def run_on_system_disk() -> Any:
         loop = asyncio.get_running_loop()
-        disk, told = SystemDisk(loop, tmp_path), loop.create_future()
-        disk.run(work, told.set_result)
-        found = await asyncio.wait_for(told, 30)
+        disk, reported = SystemDisk(loop, tmp_path), loop.create_future()
+        disk.run(work, reported.set_result)
+        result = await asyncio.wait_for(reported, 30)
         disk.close()
-        return found
+        return result
 
-    told: list[Any] = []
-    EmulatedDisk().run(work, told.append)
-    for found in (asyncio.run(tried()), *told):
-        assert isinstance(found, StoreError) and str(fault) in str(found)
-        assert found.kind == ("damaged" if isinstance(fault, DamagedRecord) else "failing")
+    results: list[Any] = []
+    EmulatedDisk().run(work, results.append)
+    for result in (asyncio.run(run_on_system_disk()), *results):
+        assert isinstance(result, StoreError) and str(error) in str(result)
+        assert result.kind == ("damaged" if isinstance(error, DamagedRecord) else "failing")
 
 
-def test_upkeep_goes_on_after_an_error_of_the_disk() -> None:
-    """An error while sizes were asked for left it busy for good: the log grew without bound."""
+def test_maintenance_continues_after_a_disk_error() -> None:
+    """An error while reading the sizes left maintenance marked as running: the log grew without bound."""
     loop, log = VirtualLoop(), list[str]()
-    keeper = StoreService(loop, EmulatedDisk(1, loop), "s", lambda event, **facts: log.append(event))
-    keeper.open(lambda engine: None, lambda found: None)
+    store = StoreService(loop, EmulatedDisk(1, loop), "s", lambda event, **facts: log.append(event))
+    store.open(lambda engine: None, lambda result: None)
     loop.advance(0.1)
-    engine = keeper.engine
+    engine = store.engine
     assert engine
     sizes, engine.sizes = engine.sizes, lambda: (_ for _ in ()).throw(apsw.IOError("no"))  # type: ignore[method-assign]
     loop.advance(1.0)
-    assert keeper.counts["store_upkeep_failed"] > 1 and "store_scrubbed" not in log
+    assert store.counts["store_upkeep_failed"] > 1 and "store_scrubbed" not in log
     engine.sizes = sizes  # type: ignore[method-assign]
     loop.advance(2.0)
     assert "store_scrubbed" in log
 
 
-def test_a_store_whose_first_reading_fails_is_said_and_closed() -> None:
+def test_a_store_whose_first_read_fails_is_logged_and_closed() -> None:
     loop, log = VirtualLoop(), list[str]()
     disk = EmulatedDisk(1, loop)
-    keeper = StoreService(
+    store = StoreService(
         loop, disk, "s", lambda event, **facts: log.append(f"{event} {facts.get('trouble')}")
     )
     opened: list[Engine] = []
@@ -582,15 +594,15 @@
         opened.append(engine)
         raise DamagedRecord("identity", b"", "its checksum does not match")
 
-    keeper.open(read, lambda found: None)
+    store.open(read, lambda result: None)
     loop.advance(1.0)
-    assert log[0] == "store_not_opened damaged" and keeper.condition().state == "damaged"
+    assert log[0] == "store_not_opened damaged" and store.condition().state == "damaged"
     with pytest.raises((StoreError, apsw.Error)):
-        opened[0].get("a", b"")  # closed, so that the next try finds it free
+        opened[0].get("a", b"")  # closed, so that the next attempt does not find it in use
 
 
-def _gone_unsaid(tmp_path: Path, place: int) -> int:
-    """Records that neither reading nor a scrub speaks of, after a bit is flipped at a place of an inner page."""
+def silently_lost_records(tmp_path: Path, place: int) -> int:
+    """The number of records that neither reading nor a scrub reports after a bit of an inner page was flipped."""
     path = tmp_path / "s"
     engine = Engine(str(path))
     engine.commit([change(n, 150) for n in range(2000)])
@@ -612,19 +624,19 @@
 
 
 @pytest.mark.parametrize("place", [3, 4, 5, 6, 8, 11, 12, 13, 20, 40, 4000])
-def test_no_record_is_gone_without_a_word(tmp_path: Path, place: int) -> None:
-    """Five of 150 flips hid up to 700 records, and no checksum of ours was asked about them."""
-    assert not _gone_unsaid(tmp_path, place)
+def test_no_record_is_lost_silently(tmp_path: Path, place: int) -> None:
+    """Five of 150 flips hid up to 700 records, so that their checksums were never verified."""
+    assert not silently_lost_records(tmp_path, place)
 
 
 def test_a_pass_over_all_records_ends_with_the_databases_own_check() -> None:
     loop, log = VirtualLoop(), list[tuple[str, Any]]()
-    keeper = StoreService(
+    store = StoreService(
         loop, EmulatedDisk(1, loop), "s", lambda event, **facts: log.append((event, facts.get("why")))
     )
-    keeper.open(lambda engine: None, lambda found: None)
+    store.open(lambda engine: None, lambda result: None)
     loop.advance(0.1)
-    assert keeper.engine
-    keeper.engine.check = lambda: ["page 7: out of order"]  # type: ignore[method-assign]
+    assert store.engine
+    store.engine.check = lambda: ["page 7: out of order"]  # type: ignore[method-assign]
     loop.advance(3.0)
-    assert ("store_damaged", "page 7: out of order") in log and keeper.condition().damaged == 1
+    assert ("store_damaged", "page 7: out of order") in log and store.condition().damaged == 1
