--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's decisions: entries, chain, settling, periods, reconciling. All pure."""
+"""The ledger's pure parts: entries, chain, journal, settling, periods, reconciliation."""
 
 import random
 from itertools import permutations
@@ -58,7 +58,7 @@
     return Answered(side, 3, 9, "card-lock", 5, answer, at, **more)  # type: ignore[arg-type]
 
 
-def over(side: str = "origin", duration: int = 5 * SECOND, ending: str = "released") -> Ended:
+def ended(side: str = "origin", duration: int = 5 * SECOND, ending: str = "released") -> Ended:
     return Ended(side, 3, 9, ending, DECEMBER + duration, duration)
 
 
@@ -66,7 +66,7 @@
 
 
 @given(st.binary(max_size=60))
-def test_any_bytes_are_an_entry_or_a_named_error(data: bytes) -> None:
+def test_any_bytes_are_an_entry_or_an_invalid_entry_error(data: bytes) -> None:
     try:
         entry = decode(data)
     except InvalidEntryError:
@@ -80,7 +80,7 @@
     assert key == 2 and b"0800" not in number and keys.matches("0800123", number, 2)
     old, _ = NumberKeys({1: b"a" * 32}).hashed("0800123")
     assert old != number and keys.matches("0800123", old, 1)
-    assert NumberKeys({2: b"b" * 32}).matches("0800123", old, 1) is None  # the key was thrown away
+    assert NumberKeys({2: b"b" * 32}).matches("0800123", old, 1) is None  # the key was deleted
     with pytest.raises(ValueError, match="number key 3: expected 32 bytes, got 5"):
         NumberKeys({3: b"short"})
 
@@ -101,13 +101,13 @@
     return seq, decode_row(data).hash(NAME)
 
 
-def test_a_whole_chain_verifies() -> None:
+def test_an_intact_chain_verifies() -> None:
     rows = a_chain()
     assert list(verify(NAME, rows, head(rows))) == []
 
 
 @pytest.mark.parametrize(
-    ("what", "seq", "why"),
+    ("fault", "seq", "why"),
     [
         ("missing", 5, "missing"),
         ("altered", 6, "does not follow row 5"),
@@ -119,12 +119,12 @@
         ("another chain's", 1, "does not reach"),
     ],
 )
-def test_what_is_wrong_with_a_chain_is_found_and_named(what: str, seq: int, why: str) -> None:
+def test_each_fault_of_a_chain_is_detected_and_located(fault: str, seq: int, why: str) -> None:
     rows = a_chain()
-    known = head(rows)
-    if what == "missing":
+    known_head = head(rows)
+    if fault == "missing":
         del rows[4]
-    elif what == "altered":
+    elif fault == "altered":
         data = rows[4][1]
         assert data
         row = decode_row(data)
@@ -132,88 +132,94 @@
             5,
             msgspec.msgpack.encode(msgspec.structs.replace(row, entry=encode(EntriesLost(99, 0, 0)))),
         )
-    elif what == "damaged":
+    elif fault == "damaged":
         rows[4] = (5, None)
-    elif what == "garbage":
+    elif fault == "garbage":
         rows[4] = (5, b"\x01\x02")
-    elif what == "cut off":
+    elif fault == "cut off":
         rows = rows[:9]
-    elif what == "rewritten":
+    elif fault == "rewritten":
         chain = Chain(NAME)
         rows = [
             (n, msgspec.msgpack.encode(chain.append(EntriesLost(n + (n > 6), 0, 0), "2026-12")))
             for n in range(1, 13)
         ]
-    elif what == "twice":
+    elif fault == "twice":
         rows[4] = (5, rows[3][1])
     else:
-        # Rows of another chain under this one's keys: their hashes do not fit this chain's name.
+        # Rows of another chain under this one's keys: their hashes do not match this chain's name.
         other = Chain(ChainId(3, 78))
         rows = [
             (n, msgspec.msgpack.encode(other.append(EntriesLost(n, 0, 0), "2026-12"))) for n in range(1, 13)
         ]
         seq, why = 2, "does not follow row 1"
-    found = list(verify(NAME, rows, known))
-    assert (seq, True) in [(one.seq, why in one.why) for one in found], [str(one) for one in found]
+    faults = list(verify(NAME, rows, known_head))
+    assert (seq, True) in [(found.seq, why in found.why) for found in faults], [
+        str(found) for found in faults
+    ]
 
 
 @given(st.integers(0, 11), st.integers(0, 7), st.data())
-def test_any_bit_flipped_in_any_row_is_found(at: int, bit: int, data: st.DataObject) -> None:
+def test_any_flipped_bit_in_any_row_is_detected(index: int, bit: int, data: st.DataObject) -> None:
     rows = a_chain()
-    known = head(rows)
-    seq, body = rows[at]
+    known_head = head(rows)
+    seq, body = rows[index]
     assert body
     byte = data.draw(st.integers(0, len(body) - 1))
-    rows[at] = (seq, body[:byte] + bytes([body[byte] ^ 1 << bit]) + body[byte + 1 :])
-    assert list(verify(NAME, rows, known))
+    rows[index] = (seq, body[:byte] + bytes([body[byte] ^ 1 << bit]) + body[byte + 1 :])
+    assert list(verify(NAME, rows, known_head))
 
 
-# ---- the book ----
+# ---- the journal ----
 
 
 def rows_of(changes: list[Change]) -> list[Entry]:
-    return [decode(decode_row(one.body).entry) for one in changes if one.bucket == "chain" and one.body]
+    return [
+        decode(decode_row(change.body).entry)
+        for change in changes
+        if change.bucket == "chain" and change.body
+    ]
 
 
-SEEN = DialogueFacts("origin", 3, 9, "card-lock", 5, "0800123", 1, "north", ("a",), "v1")
+FACTS = DialogueFacts("origin", 3, 9, "card-lock", 5, "0800123", 1, "north", ("a",), "v1")
 
 
-def test_a_dialogue_is_two_entries_and_its_span_is_by_the_loops_clock() -> None:
-    book, new = open_journal(3, None, None, 77, NumberKeys({1: b"k" * 32}))
+def test_a_dialogue_is_two_entries_and_its_duration_is_measured_by_the_loops_clock() -> None:
+    journal, new = open_journal(3, None, None, 77, NumberKeys({1: b"k" * 32}))
     assert new
-    first = book.answered(SEEN, "stands", DECEMBER, 1000)
-    # The wall clock went back an hour in between: the span is what the loop's clock says.
-    then = book.ended("origin", 3, 9, "released", DECEMBER - 3600 * SECOND, 1000 + 7 * SECOND)
-    said = rows_of(first + then)
-    assert isinstance(said[0], Answered) and said[0].tenant == "north" and said[0].tags == ("a",)
-    assert isinstance(said[1], Ended) and said[1].duration == 7 * SECOND
-    assert book.ended("origin", 3, 9, "released", DECEMBER, 0) == []  # twice: nothing more
-    assert not book.established
-
-
-def test_a_clock_set_back_at_a_periods_end_makes_late_rows_not_changed_periods() -> None:
-    book, _ = open_journal(3, None, None, 77, NumberKeys({}))
+    answer = journal.answered(FACTS, "stands", DECEMBER, 1000)
+    # The wall clock was set back by an hour in between; the loop's clock was not.
+    end = journal.ended("origin", 3, 9, "released", DECEMBER - 3600 * SECOND, 1000 + 7 * SECOND)
+    entries = rows_of(answer + end)
+    assert isinstance(entries[0], Answered) and entries[0].tenant == "north" and entries[0].tags == ("a",)
+    assert isinstance(entries[1], Ended) and entries[1].duration == 7 * SECOND
+    assert journal.ended("origin", 3, 9, "released", DECEMBER, 0) == []  # a second end adds nothing
+    assert not journal.established
+
+
+def test_a_clock_set_back_at_a_periods_end_makes_late_rows_and_changes_no_period() -> None:
+    journal, _ = open_journal(3, None, None, 77, NumberKeys({}))
     end = period_end("2026-12")
-    book.answered(SEEN, "pushed_back", end - SECOND, 0)
-    told = book.statement("2026-12")
-    assert (told.seq, told.hash) == (1, book.chain.last_hash)
-    late = book.answered(SEEN, "pushed_back", end - 1800 * SECOND, 0)
-    row = decode_row(late[0].body or b"")
+    journal.answered(FACTS, "pushed_back", end - SECOND, 0)
+    stated = journal.statement("2026-12")
+    assert (stated.seq, stated.hash) == (1, journal.chain.last_hash)
+    late_changes = journal.answered(FACTS, "pushed_back", end - 1800 * SECOND, 0)
+    row = decode_row(late_changes[0].body or b"")
     assert (row.period, row.late_for) == ("2027-01", "2026-12")
 
 
-def test_after_a_crash_what_stood_is_cut_as_of_the_last_moment_of_life() -> None:
-    book, _ = open_journal(3, None, None, 77, NumberKeys({}))
-    book.answered(SEEN, "stands", DECEMBER, 0)
-    identity = book.heartbeat(DECEMBER + 5 * SECOND)[0].body
-    again, new = open_journal(3, identity, (book.chain.seq, book.chain.last_hash), 99, NumberKeys({}))
-    # A chain of its own, bound to the end of the one before: on an old disk the numbers that follow may be used up.
+def test_after_a_crash_established_dialogues_are_cut_as_of_the_last_heartbeat() -> None:
+    journal, _ = open_journal(3, None, None, 77, NumberKeys({}))
+    journal.answered(FACTS, "stands", DECEMBER, 0)
+    identity = journal.heartbeat(DECEMBER + 5 * SECOND)[0].body
+    again, new = open_journal(3, identity, (journal.chain.seq, journal.chain.last_hash), 99, NumberKeys({}))
+    # A new chain that names the end of the previous one: on an old disk the numbers that follow may be in use.
     assert not new and again.chain.name == ChainId(3, 99) and again.identity.marks == [77, 99]
-    said = rows_of(
+    entries = rows_of(
         again.resume([EstablishedDialogue("origin", 3, 9, DECEMBER)], 20_000, DECEMBER + 60 * SECOND)
     )
-    assert said == [
-        Restarted(DECEMBER + 60 * SECOND, DECEMBER + 5 * SECOND, 20_000, 77, 1, book.chain.last_hash),
+    assert entries == [
+        Restarted(DECEMBER + 60 * SECOND, DECEMBER + 5 * SECOND, 20_000, 77, 1, journal.chain.last_hash),
         Ended("origin", 3, 9, "restart", DECEMBER + 5 * SECOND, 5 * SECOND),
     ]
     with pytest.raises(WrongDiskError, match="belongs to call server 3, not 4"):
@@ -230,7 +236,7 @@
         st.integers(DECEMBER, DECEMBER + 3),
     ),
     st.builds(
-        over,
+        ended,
         st.sampled_from(["origin", "tandem", "destination"]),
         st.integers(0, 9).map(lambda n: n * SECOND),
         st.sampled_from(["released", "cut", "restart"]),
@@ -241,58 +247,59 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(ENTRIES, max_size=7), st.randoms(use_true_random=False), st.integers(0, 7))
-def test_every_end_settles_alike_whatever_the_order_and_however_often(
-    entries: list[Entry], chance: random.Random, cut: int
+def test_every_end_settles_alike_in_any_order_and_with_any_repetition(
+    entries: list[Entry], rng: random.Random, cut: int
 ) -> None:
-    one = group_by_dialogue(entries).get((3, 9), DialogueEvidence((3, 9))).settled()
-    mixed = [*entries, *entries[:cut]]
-    chance.shuffle(mixed)
-    assert group_by_dialogue(mixed).get((3, 9), DialogueEvidence((3, 9))).settled() == one
-    # Two ends that each know a part and then all: the same again.
+    expected = group_by_dialogue(entries).get((3, 9), DialogueEvidence((3, 9))).settled()
+    repeated = [*entries, *entries[:cut]]
+    rng.shuffle(repeated)
+    assert group_by_dialogue(repeated).get((3, 9), DialogueEvidence((3, 9))).settled() == expected
+    # Two ends that each know a part and exchange all reach the same result.
     left, right = group_by_dialogue(entries[:cut]), group_by_dialogue(entries[cut:])
     joined = left.get((3, 9), DialogueEvidence((3, 9)))
     joined.join(right.get((3, 9), DialogueEvidence((3, 9))))
-    assert joined.settled() == one and one.billed >= 0
+    assert joined.settled() == expected and expected.billed >= 0
 
 
 @pytest.mark.parametrize(
     ("entries", "state", "billed", "dispute"),
     [
-        ([answered(), over()], "billed", 5 * SECOND, ""),
-        ([answered(), over(), answered("destination"), over("destination", 4 * SECOND)], "billed", 4 * SECOND, ""),
-        ([answered(), over(duration=60 * SECOND), over("destination", SECOND), answered("destination")], "billed",
+        ([answered(), ended()], "billed", 5 * SECOND, ""),
+        ([answered(), ended(), answered("destination"), ended("destination", 4 * SECOND)], "billed", 4 * SECOND, ""),
+        ([answered(), ended(duration=60 * SECOND), ended("destination", SECOND), answered("destination")], "billed",
          SECOND, "destination 1000000, origin 60000000"),
-        ([answered(answer="forfeited"), answered("destination"), over("destination")], "not_billed", 0,
+        ([answered(answer="forfeited"), answered("destination"), ended("destination")], "not_billed", 0,
          "origin forfeited"),
-        # A tandem that turned the first dial back, or lost its answer, says nothing of the second that stood.
-        ([answered(onward_dial=1), over(), answered("tandem", "pushed_back", dial=0)], "billed", 5 * SECOND, ""),
-        ([answered(onward_dial=1), over(), answered("destination", dial=0),
+        # A tandem that rejected the first dial, or lost its answer, says nothing about the second one, which was
+        # established.
+        ([answered(onward_dial=1), ended(), answered("tandem", "pushed_back", dial=0)], "billed", 5 * SECOND, ""),
+        ([answered(onward_dial=1), ended(), answered("destination", dial=0),
           Ended("destination", 3, 9, "cut", 0, SECOND, 0),
           answered("destination", dial=1), Ended("destination", 3, 9, "cut", 0, 4 * SECOND, 1)],
          "billed", 4 * SECOND, ""),
-        # By a tandem: its onward dial is the one that the destination knows.
-        ([answered(onward_dial=2, tandem=7), over(), answered("tandem", dial=2, onward_dial=5),
+        # Through a tandem: its onward dial is the one that the destination knows.
+        ([answered(onward_dial=2, tandem=7), ended(), answered("tandem", dial=2, onward_dial=5),
           answered("destination", dial=5),
           Ended("tandem", 3, 9, "released", 0, 4 * SECOND, 2), Ended("destination", 3, 9, "released", 0, 0, 2),
           Ended("destination", 3, 9, "released", 0, 3 * SECOND, 5)], "billed", 3 * SECOND, ""),
-        ([answered(onward_dial=2, tandem=7), over(), Ended("destination", 3, 9, "cut", 0, SECOND, 2)],
+        ([answered(onward_dial=2, tandem=7), ended(), Ended("destination", 3, 9, "cut", 0, SECOND, 2)],
          "billed", 5 * SECOND, ""),
-        ([answered(onward_dial=2, tandem=7), over(), answered("tandem", "pushed_back", dial=2)], "billed", 0,
+        ([answered(onward_dial=2, tandem=7), ended(), answered("tandem", "pushed_back", dial=2)], "billed", 0,
          "origin 5000000, tandem 0"),
-        ([answered("destination"), over("destination")], "orphan", 0, ""),
+        ([answered("destination"), ended("destination")], "orphan", 0, ""),
         ([answered()], "open", 0, ""),
-        ([answered(), over(), answered("destination")], "billed", 5 * SECOND, ""),
-        ([answered(), over(), Corrected(3, 9, -9 * SECOND, "ana", "x", 0)], "billed", 0, ""),
-        ([answered(), over(), over(duration=3 * SECOND)], "billed", 3 * SECOND, ""),
-        ([answered(), over(), over(duration=SECOND, ending="restart")], "billed", 5 * SECOND, ""),
-        ([answered(), over(duration=SECOND, ending="restart")], "billed", SECOND, ""),
+        ([answered(), ended(), answered("destination")], "billed", 5 * SECOND, ""),
+        ([answered(), ended(), Corrected(3, 9, -9 * SECOND, "ana", "x", 0)], "billed", 0, ""),
+        ([answered(), ended(), ended(duration=3 * SECOND)], "billed", 3 * SECOND, ""),
+        ([answered(), ended(), ended(duration=SECOND, ending="restart")], "billed", 5 * SECOND, ""),
+        ([answered(), ended(duration=SECOND, ending="restart")], "billed", SECOND, ""),
     ],
 )  # fmt: skip
-def test_what_the_rule_says(entries: list[Entry], state: str, billed: int, dispute: str) -> None:
+def test_the_settling_rule(entries: list[Entry], state: str, billed: int, dispute: str) -> None:
     for order in permutations(entries):
-        found = group_by_dialogue(order)[3, 9].settled()
-        assert (found.state, found.billed) == (state, billed) and found.dispute.startswith(dispute)
-        assert bool(found.dispute) == bool(dispute)
+        result = group_by_dialogue(order)[3, 9].settled()
+        assert (result.state, result.billed) == (state, billed) and result.dispute.startswith(dispute)
+        assert bool(result.dispute) == bool(dispute)
     assert DISPUTE_THRESHOLD_US > SECOND
 
 
@@ -310,72 +317,74 @@
         period_end("2026-13")
 
 
-def said(number: int) -> Statement:
+def statement(number: int) -> Statement:
     return Statement(number, 1, 5, b"h")
 
 
-class Town:
-    """Instances whose messages are lost, doubled and late by chance."""
+class SimulatedInstances:
+    """Instances whose messages are lost, duplicated and delayed at random."""
 
-    def __init__(self, count: int, chance: random.Random, loss: float) -> None:
-        self.chance, self.loss = chance, loss
+    def __init__(self, count: int, rng: random.Random, loss: float) -> None:
+        self.rng, self.loss = rng, loss
         roster = tuple(range(count))
         self.all = [Agreement(me, roster, PeriodRecord("2026-12")) for me in roster]
         self.sent: list[tuple[int, int, object]] = []
-        self.away: set[int] = set()
+        self.absent: set[int] = set()
 
-    def do(self, me: int, out: object) -> None:
-        for to, message in out.send:  # type: ignore[attr-defined]
-            self.sent += [(me, to, message)] * self.chance.choice([1, 1, 2])
+    def send(self, me: int, outcome: object) -> None:
+        for to, message in outcome.send:  # type: ignore[attr-defined]
+            self.sent += [(me, to, message)] * self.rng.choice([1, 1, 2])
 
     def run(self, turns: int, wall: int) -> None:
-        """Turns of AGAIN; a message goes when it will, some in the turn after."""
+        """Runs turns of the retry interval; messages arrive in random order, some in the next turn."""
         for turn in range(turns):
-            for one in self.all:
-                if one.own_number not in self.away:
-                    self.do(one.own_number, one.retry(wall + turn * CLOSING_RETRY_US))
+            for instance in self.all:
+                if instance.own_number not in self.absent:
+                    self.send(instance.own_number, instance.retry(wall + turn * CLOSING_RETRY_US))
             for _ in range(3 * len(self.sent)):
                 if not self.sent:
                     break
-                sender, to, message = self.sent.pop(self.chance.randrange(len(self.sent)))
-                if self.chance.random() >= self.loss and to not in self.away and sender not in self.away:
-                    self.do(to, self.all[to].receive(sender, message))  # type: ignore[arg-type]
+                sender, to, message = self.sent.pop(self.rng.randrange(len(self.sent)))
+                if self.rng.random() >= self.loss and to not in self.absent and sender not in self.absent:
+                    self.send(to, self.all[to].receive(sender, message))  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 7])
 def test_a_period_closes_with_all_statements_whatever_is_lost(count: int) -> None:
     for seed in range(15):
-        town = Town(count, random.Random(seed), 0.3)
-        for one in town.all:
-            town.do(one.own_number, one.record_own_statement(said(one.own_number)))
-        town.run(60 * count, period_end("2026-12") + CLOCK_MARGIN_US + 60 * SECOND)
-        assert {one.record.closed for one in town.all} == {tuple(said(n) for n in range(count))}
-        assert {one.state for one in town.all} == {"closed"}
-
-
-def test_an_instance_that_is_away_is_left_out_after_patience_and_not_before() -> None:
-    town = Town(3, random.Random(1), 0.2)
-    town.away = {1}
+        instances = SimulatedInstances(count, random.Random(seed), 0.3)
+        for instance in instances.all:
+            instances.send(instance.own_number, instance.record_own_statement(statement(instance.own_number)))
+        instances.run(60 * count, period_end("2026-12") + CLOCK_MARGIN_US + 60 * SECOND)
+        assert {instance.record.closed for instance in instances.all} == {
+            tuple(statement(n) for n in range(count))
+        }
+        assert {instance.state for instance in instances.all} == {"closed"}
+
+
+def test_an_absent_instance_is_left_out_after_the_absence_timeout_and_not_before() -> None:
+    instances = SimulatedInstances(3, random.Random(1), 0.2)
+    instances.absent = {1}
     for me in (0, 2):
-        town.do(me, town.all[me].record_own_statement(said(me)))
+        instances.send(me, instances.all[me].record_own_statement(statement(me)))
     end = period_end("2026-12")
-    town.run(100, end + ABSENCE_TIMEOUT_US - 1000 * SECOND)
-    assert [one.state for one in town.all] == ["closing", "open", "closing"]
-    town.run(100, end + ABSENCE_TIMEOUT_US + 60 * SECOND)
-    assert town.all[0].record.closed == (said(0), said(2)) == town.all[2].record.closed
-    # It comes back, says its own, and hears what was closed without it.
-    town.away = set()
-    town.do(1, town.all[1].record_own_statement(said(1)))
-    town.run(20, end + 2 * ABSENCE_TIMEOUT_US)
-    assert town.all[1].record.closed == (said(0), said(2))
+    instances.run(100, end + ABSENCE_TIMEOUT_US - 1000 * SECOND)
+    assert [instance.state for instance in instances.all] == ["closing", "open", "closing"]
+    instances.run(100, end + ABSENCE_TIMEOUT_US + 60 * SECOND)
+    assert instances.all[0].record.closed == (statement(0), statement(2)) == instances.all[2].record.closed
+    # It comes back, sends its statement, and learns that the period was closed without it.
+    instances.absent = set()
+    instances.send(1, instances.all[1].record_own_statement(statement(1)))
+    instances.run(20, end + 2 * ABSENCE_TIMEOUT_US)
+    assert instances.all[1].record.closed == (statement(0), statement(2))
 
 
 def test_without_a_majority_nothing_closes() -> None:
-    town = Town(3, random.Random(1), 0.0)
-    town.away = {1, 2}
-    town.all[0].record_own_statement(said(0))
-    town.run(100, period_end("2026-12") + 2 * ABSENCE_TIMEOUT_US)
-    assert town.all[0].state == "closing"
+    instances = SimulatedInstances(3, random.Random(1), 0.0)
+    instances.absent = {1, 2}
+    instances.all[0].record_own_statement(statement(0))
+    instances.run(100, period_end("2026-12") + 2 * ABSENCE_TIMEOUT_US)
+    assert instances.all[0].state == "closing"
 
 
 def test_no_interleaving_closes_a_period_in_two_ways() -> None:
@@ -384,58 +393,58 @@
     assert not explore(Bounds(3, 1, 0, 2), 12_000).broken
 
 
-def test_the_search_finds_an_agreement_that_is_too_easily_content() -> None:
-    class Alone(Agreement):
+def test_the_search_detects_an_agreement_without_a_majority_or_without_earlier_content() -> None:
+    class NeedsNoMajority(Agreement):
         @property
         def majority(self) -> int:
             return 1
 
-    assert explore(Bounds(2, 1, 0), 50_000, Alone).broken == "a period closed in two ways"
+    assert explore(Bounds(2, 1, 0), 50_000, NeedsNoMajority).broken == "a period closed in two ways"
 
-    class Stubborn(Agreement):
-        """Proposes its own content, whatever may be chosen already."""
+    class IgnoresEarlierContent(Agreement):
+        """Proposes its own content, even if another may have been chosen already."""
 
         def _promised(self, sender, message):  # type: ignore[no-untyped-def]
             message = msgspec.structs.replace(message, accepted=None, content=())
             return super()._promised(sender, message)
 
-    assert explore(Bounds(2, 1, 0), 400_000, Stubborn).broken == "a period closed in two ways"
+    assert explore(Bounds(2, 1, 0), 400_000, IgnoresEarlierContent).broken == "a period closed in two ways"
 
 
 # ---- reconciling ----
 
 
 def items(count: int, seed: int = 1) -> list[tuple[bytes, bytes]]:
-    chance = random.Random(seed)
-    return [(n.to_bytes(8, "big"), chance.randbytes(16)) for n in range(count)]
+    rng = random.Random(seed)
+    return [(n.to_bytes(8, "big"), rng.randbytes(16)) for n in range(count)]
 
 
-def level(mine: Collection, theirs: Collection, chance: random.Random, loss: float) -> tuple[Pull, int, int]:
-    """Pull until level; bytes and rounds."""
+def pull_all(mine: Collection, theirs: Collection, rng: random.Random, loss: float) -> tuple[Pull, int, int]:
+    """Pulls until nothing is missing; returns the pull, the bytes sent and the rounds."""
     pull, now, size, steps = Pull("t", mine), 0, 0, 0
-    late: list[object] = []
+    in_flight: list[object] = []
     while not pull.done:
         steps += 1
         assert steps < 2000
         for message in pull.next_requests(now):
             size += len(msgspec.msgpack.encode(message))
-            if chance.random() < loss:
+            if rng.random() < loss:
                 continue
             if isinstance(message, CompareRanges):
-                late.append(compare_ranges(theirs, message))
+                in_flight.append(compare_ranges(theirs, message))
             elif isinstance(message, Fetch):
-                late += [[(key, theirs.get(key) or b"") for key in message.keys]]
-        chance.shuffle(late)
-        for _ in range(len(late)):
-            back = late.pop()
-            size += len(msgspec.msgpack.encode(back))
-            for _ in range(chance.choice([1, 1, 2])):
-                if chance.random() < loss:
+                in_flight += [[(key, theirs.get(key) or b"") for key in message.keys]]
+        rng.shuffle(in_flight)
+        for _ in range(len(in_flight)):
+            answer = in_flight.pop()
+            size += len(msgspec.msgpack.encode(answer))
+            for _ in range(rng.choice([1, 1, 2])):
+                if rng.random() < loss:
                     continue
-                if isinstance(back, RangeDifferences):
-                    pull.apply_differences(back)
+                if isinstance(answer, RangeDifferences):
+                    pull.apply_differences(answer)
                 else:
-                    for key, digest in back:  # type: ignore[attr-defined]
+                    for key, digest in answer:  # type: ignore[attr-defined]
                         pull.accept_row(key, digest)
         now += RETRY_INTERVAL_US
     return pull, size, pull.rounds
@@ -448,7 +457,7 @@
     st.integers(0, 99),
     st.sampled_from([0.0, 0.3]),
 )
-def test_after_a_pull_nothing_of_the_other_end_is_lacking(
+def test_after_a_pull_no_row_of_the_other_end_is_missing(
     mine: set[int], theirs: set[int], seed: int, loss: float
 ) -> None:
     all_items = items(401)
@@ -457,9 +466,10 @@
     random.Random(seed).shuffle(order)
     a.extend(all_items[n] for n in order)
     b.extend(all_items[n] for n in sorted(theirs))
-    pull, _, _ = level(a, b, random.Random(seed), loss)
+    pull, _, _ = pull_all(a, b, random.Random(seed), loss)
     assert a.keys == [all_items[n][0] for n in sorted(mine | theirs)]
-    # What is only here may have been looked at or not; it is never called altered, and never what is there.
+    # Keys that exist only here may have been compared or not; they are never reported as altered, and no other key is
+    # reported.
     assert set(pull.conflicts) <= {all_items[n][0] for n in mine - theirs}
     assert set(pull.conflicts.values()) <= {"only here"}
 
@@ -469,33 +479,33 @@
     for count in (1_000, 16_000):
         for missing in (0, 10):
             a, b = Collection(), Collection()
-            whole = items(count)
-            b.extend(whole)
-            gone = set(random.Random(3).sample(range(count), missing))
-            a.extend(one for n, one in enumerate(whole) if n not in gone)
-            _, sizes[count, missing], _ = level(a, b, random.Random(1), 0.0)
+            all_items = items(count)
+            b.extend(all_items)
+            missing_items = set(random.Random(3).sample(range(count), missing))
+            a.extend(item for n, item in enumerate(all_items) if n not in missing_items)
+            _, sizes[count, missing], _ = pull_all(a, b, random.Random(1), 0.0)
     assert sizes[16_000, 0] == sizes[1_000, 0] < 100
     assert sizes[16_000, 10] < 2.5 * sizes[1_000, 10] and sizes[16_000, 10] < 16_000 * 24 * 0.1
 
 
-def test_an_altered_row_is_evidence_and_is_not_taken_over() -> None:
+def test_an_altered_row_is_reported_as_a_conflict_and_not_replaced() -> None:
     a, b = Collection(), Collection()
     a.extend(items(50))
     b.extend(items(50))
     b.add(items(50)[7][0], b"x" * 16)
-    pull, _, _ = level(a, b, random.Random(1), 0.0)
+    pull, _, _ = pull_all(a, b, random.Random(1), 0.0)
     assert pull.conflicts == {items(50)[7][0]: "differs"} and a.get(items(50)[7][0]) == items(50)[7][1]
-    assert not pull.accept_row(b"k", b"d")  # a row that nobody asked for
+    assert not pull.accept_row(b"k", b"d")  # a row that was not requested
 
 
-def test_two_items_that_trade_their_digests_are_seen() -> None:
+def test_two_items_that_swap_their_digests_are_detected() -> None:
     a, b = Collection(), Collection()
     a.extend([(b"a", b"1"), (b"b", b"2")])
     b.extend([(b"a", b"2"), (b"b", b"1")])
     assert a.summarize(b"", b"").sum != b.summarize(b"", b"").sum
 
 
-def test_an_allowance_bounds_the_bytes_of_a_second() -> None:
+def test_the_token_bucket_bounds_the_bytes_of_a_second() -> None:
     bucket, sent = TokenBucket(rate=1000, tokens=0), 0
     for now in range(0, 10 * SECOND, SECOND // 100):
         sent += 300 if bucket.take(300, now) else 0
@@ -503,8 +513,8 @@
 
 
 @given(st.binary(max_size=3), st.binary(max_size=3), st.integers(0, 40))
-def test_any_range_that_is_asked_about_is_answered(low: bytes, high: bytes, count: int) -> None:
-    """Ends that are swapped raised in the middle of an answer, and cost the link to the peer."""
+def test_any_requested_range_is_answered(low: bytes, high: bytes, count: int) -> None:
+    """A range with swapped ends raised while it was answered, which cost the connection to the peer."""
     mine = Collection()
     mine.extend((bytes((n, n)), bytes((n,)) * 16) for n in range(count))
     mine_part = mine.summarize(low, high)
