--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from wellhitch.board.codec import DRAINING, GONE, READY, Notice, Row
+from wellhitch.board.codec import DRAINING, READY, REMOVED, OfficeEntry, Update
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
@@ -22,15 +22,15 @@
 )
 SERVER = "10.0.0.1"
 DISCOVERY = "10.2.0.1:8500"
-__all__ = ["DRAINING", "GONE", "READY", "SECOND", "UNIX_START_US", "World", "invite", "row"]
+__all__ = ["DRAINING", "REMOVED", "READY", "SECOND", "UNIX_START_US", "World", "invite", "row"]
 
 
 def row(
     number: int, state: int = READY, office: int | None = None, started_ms: int = 0, host: str = ""
-) -> Row:
+) -> OfficeEntry:
     """An office of exchange `number` in a discovery update. Its id is `office`, by default the exchange number."""
     office_number = number if office is None else office
-    return Row(
+    return OfficeEntry(
         f"s-{office_number:08x}", f"{host or f'10.1.0.{office_number}'}:2905", state, number, started_ms
     )
 
@@ -56,7 +56,7 @@
         ),
         opened=opened,
         revision=1,
-        known_updates=(Notice(1, True, (row(0), row(1), row(2))),),
+        known_updates=(Update(1, True, (row(0), row(1), row(2))),),
         max_descriptors=256,
         max_open=2000,
         connect_timeout_us=500_000,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 import pytest
-from platform_world import DRAINING, GONE, READY, SECOND, UNIX_START_US, World, configuration, invite, row
+from platform_world import DRAINING, READY, REMOVED, SECOND, UNIX_START_US, World, configuration, invite, row
 
 from wellhitch.board import codec as board_codec
-from wellhitch.board.codec import Notice
+from wellhitch.board.codec import Update
 from wellhitch.deciding import runner as runner_module
 from wellhitch.interface import events as ev
 from wellhitch.platform.service import descriptor_shares
@@ -496,7 +496,7 @@
     world.discovery.tell(row(1, DRAINING))
     world.run(3)
     assert A in world.core.calls
-    world.discovery.tell(row(1, GONE))
+    world.discovery.tell(row(1, REMOVED))
     world.run(1)
     assert len(caller.byes(A)) == 1 and "s-00000001" not in world.core.offices
 
@@ -504,7 +504,7 @@
 def test_new_office_at_the_address_of_a_removed_one_is_distinct() -> None:
     world = World()
     caller = world.establish(A)
-    world.discovery.tell(row(1, GONE), row(1, READY, 0x77, host="10.1.0.1"))
+    world.discovery.tell(row(1, REMOVED), row(1, READY, 0x77, host="10.1.0.1"))
     world.run(1)
     assert len(caller.byes(A)) == 1
     world.establish(call_id(2), caller)
@@ -551,7 +551,7 @@
 
 def _cut_within_a_frame(world: World) -> None:
     update = world.discovery.tell(row(1, DRAINING), loud=False)
-    world.discovery.raw(board_codec.frame(update)[:20])
+    world.discovery.raw(board_codec.encode_update(update)[:20])
     world.run(0.05)
     world.discovery.cut()
 
@@ -564,7 +564,7 @@
 
 def _duplicate_update(world: World) -> None:
     update = world.discovery.tell(row(1, DRAINING))
-    world.discovery.raw(board_codec.frame(update))
+    world.discovery.raw(board_codec.encode_update(update))
 
 
 def _missing_update(world: World) -> None:
@@ -587,7 +587,7 @@
     fault(world)
     world.run(3.5)
     assert world.core.offices["s-00000001"].state is ev.Standing.DRAINING
-    assert world.service.discovery.revision == world.discovery.events[-1].number
+    assert world.service.discovery.revision == world.discovery.events[-1].revision
     draining_events = [
         facts for event, facts in world.log if event == "office" and facts["standing"] == "DRAINING"
     ]
@@ -596,8 +596,8 @@
 
 def test_missing_revision_is_requested_once() -> None:
     world = World()
-    world.discovery.events.append(Notice(5, False, (row(1, DRAINING),)))
-    world.discovery.raw(board_codec.frame(world.discovery.events[-1]))
+    world.discovery.events.append(Update(5, False, (row(1, DRAINING),)))
+    world.discovery.raw(board_codec.encode_update(world.discovery.events[-1]))
     world.run(1)
     assert world.service.discovery.revision == 5 and len(world.discovery.asked) == 2
 
@@ -904,7 +904,7 @@
     for n in range(20):
         office = 0x100 + n
         world.discovery.tell(
-            row(1, GONE, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1")
+            row(1, REMOVED, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1")
         )
         world.run(0.3)
     assert len(world.core.offices) == 3 and len(world.service.office_connections.pools) == 2
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -31,7 +31,7 @@
         try:
             out += decoder.feed(piece)
         except sip.BadSip as bad:
-            return out + bad.before, bad.limit
+            return out + bad.before, bad.reason
     return out, ""
 
 
@@ -105,7 +105,7 @@
         for _ in range(1000):
             decoder.feed(b"X" * 100 if fed else f"INVITE sip:{CALL_ID}@net SIP/2.0\r\n".encode())
             fed += 100
-    assert fed <= sip.MAX_HEAD + 200
+    assert fed <= sip.MAX_HEAD_BYTES + 200
 
 
 # ---- set-up requests ----
@@ -169,8 +169,8 @@
 
 @given(st.text(max_size=200).filter(lambda text: "\x00" not in text))
 def test_description_reaches_the_office_unchanged_as_one_line(text: str) -> None:
-    line = lines.new(CALL_ID, "cheap", "7f3a9c21e0b4d655", 1000, text)
-    assert line.count(b"\n") == 1 and len(line) < lines.MAX_LINE
+    line = lines.set_up(CALL_ID, "cheap", "7f3a9c21e0b4d655", 1000, text)
+    assert line.count(b"\n") == 1 and len(line) < lines.MAX_LINE_BYTES
     assert json.loads(line)["d"] == text
     assert json.loads(line)["f"] == {"class": "cheap", "key": "7f3a9c21e0b4d655", "left": "1000"}
 
@@ -189,7 +189,7 @@
         try:
             out += decoder.feed(piece)
         except lines.BadLine as bad:
-            return out + bad.before, bad.limit
+            return out + bad.before, bad.reason
     return out, ""
 
 
@@ -228,7 +228,7 @@
         for _ in range(100):
             decoder.feed(b"x" * 1000)
             fed += 1000
-    assert fed <= lines.MAX_LINE + 1000
+    assert fed <= lines.MAX_LINE_BYTES + 1000
 
 
 @pytest.mark.parametrize(
@@ -242,25 +242,25 @@
     ],
 )
 def test_load_report_keeps_only_the_valid_numbers(load: object, got: dict[str, float]) -> None:
-    assert lines.figures(load) == got
+    assert lines.parse_load(load) == got
 
 
 # ---- discovery ----
 
 UPDATE_ROWS = (
-    board.Row("s-00c41f7a", "10.1.0.9:2905", board.READY, 2, 0),
-    board.Row("s-00000001", "10.1.0.8:2905", board.GONE, 1, 5),
+    board.OfficeEntry("s-00c41f7a", "10.1.0.9:2905", board.READY, 2, 0),
+    board.OfficeEntry("s-00000001", "10.1.0.8:2905", board.REMOVED, 1, 5),
 )
 UPDATES = [
-    board.Notice(2, True, UPDATE_ROWS),
-    board.Notice(2, False, (), True),
-    board.Notice(3, False, UPDATE_ROWS[:1]),
+    board.Update(2, True, UPDATE_ROWS),
+    board.Update(2, False, (), True),
+    board.Update(3, False, UPDATE_ROWS[:1]),
 ]
-UPDATE_FRAMES = b"".join(board.frame(one) for one in UPDATES)
+UPDATE_FRAMES = b"".join(board.encode_update(one) for one in UPDATES)
 
 
-def decode_frames(pieces: list[bytes]) -> tuple[list[board.Notice], str]:
-    decoder, out = board.Decoder(), list[board.Notice]()
+def decode_frames(pieces: list[bytes]) -> tuple[list[board.Update], str]:
+    decoder, out = board.Decoder(), list[board.Update]()
     for piece in pieces:
         try:
             out += decoder.feed(piece)
@@ -286,8 +286,18 @@
         (b"\0\0\0\x08" + b"\0" * 9, "frame_length"),
         (b"\0\0\0\x0a" + b"\0" * 8 + b"\x01x", "frame_form"),
         (b"\0\0\0\x09" + b"\0" * 8 + b"\x07", "frame_form"),
-        (board.frame(board.Notice(2, False, (board.Row("s-00000001", "10.1.0.8:0", 0, 1, 0),))), "record"),
-        (board.frame(board.Notice(2, False, (board.Row("s-00000001", "10.1.0.8:1", 3, 1, 0),))), "record"),
+        (
+            board.encode_update(
+                board.Update(2, False, (board.OfficeEntry("s-00000001", "10.1.0.8:0", 0, 1, 0),))
+            ),
+            "record",
+        ),
+        (
+            board.encode_update(
+                board.Update(2, False, (board.OfficeEntry("s-00000001", "10.1.0.8:1", 3, 1, 0),))
+            ),
+            "record",
+        ),
     ],
 )
 def test_invalid_frame_is_a_named_error(data: bytes, limit: str) -> None:
@@ -304,7 +314,7 @@
         "started_ms": 0,
     }
     value = {"rev": 4, "notices": [{"rev": 4, "pool": {"version": 7, "full": True, "servers": [server]}}]}
-    assert board.read_known(value, "file") == (4, [board.Notice(4, True, UPDATE_ROWS[:1])])
+    assert board.read_known_updates(value, "file") == (4, [board.Update(4, True, UPDATE_ROWS[:1])])
     server["cell"] = "two"
     with pytest.raises(Faults, match=r"file: notices\[0\].pool.servers\[0\].cell = 'two'"):
-        board.read_known(value, "file")
+        board.read_known_updates(value, "file")
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -1,7 +1,7 @@
 """Discovery that is slow, silent, unreachable or at a new address, and the order of its updates."""
 
 import pytest
-from platform_world import DISCOVERY, DRAINING, GONE, UNIX_START_US, World, row
+from platform_world import DISCOVERY, DRAINING, REMOVED, UNIX_START_US, World, row
 
 from wellhitch.interface import events as ev
 from wellhitch.platform.watch_policy import (
@@ -113,7 +113,7 @@
     world = World()
     caller = world.establish("000000000000000a")
     asked = len(world.discovery.asked)
-    world.discovery.tell(row(1, GONE, started_ms=UNIX_START_US // 1000 + 10_000))
+    world.discovery.tell(row(1, REMOVED, started_ms=UNIX_START_US // 1000 + 10_000))
     world.run(1)
     assert caller.byes("000000000000000a") and not world.core.calls
     assert len(world.discovery.asked) == asked
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -98,7 +98,7 @@
         configuration.opened.use_cases[0].agreed_time == 380_000
         and configuration.connect_timeout_us == 500_000
     )
-    assert configuration.revision == 1 and configuration.known_updates[0].rows[0].id == "s-00000000"
+    assert configuration.revision == 1 and configuration.known_updates[0].entries[0].id == "s-00000000"
 
 
 def _settings(**over: Any) -> dict[str, Any]:
--- a/wellhitch/board/codec.py
+++ b/wellhitch/board/codec.py
@@ -10,36 +10,36 @@
 RECORD = struct.Struct(">IIHBBBHIQ")  # id address port state zone kind cell weight started
 HEAD = struct.Struct(">IQB")  # length number kind
 MAX_RECORDS = 4096  # offices in one frame: hundreds of times any list of the platform
-MAX_LENGTH = 9 + RECORD.size * MAX_RECORDS
-READY, DRAINING, GONE = 0, 1, 2
-STATES = {"up": READY, "draining": DRAINING, "removed": GONE}
+MAX_FRAME_BYTES = 9 + RECORD.size * MAX_RECORDS
+READY, DRAINING, REMOVED = 0, 1, 2
+STATES = {"up": READY, "draining": DRAINING, "removed": REMOVED}
 
 
-class Row(msgspec.Struct, frozen=True):
+class OfficeEntry(msgspec.Struct, frozen=True):
     """One office: its id in text, host:port, state, exchange number, and Unix ms of a late start or 0."""
 
     id: str
     address: str
     state: int
-    cell: int
+    exchange: int
     started_ms: int
 
 
-class Notice(msgspec.Struct, frozen=True):
+class Update(msgspec.Struct, frozen=True):
     """One event: its number, whether it is the whole list, its rows. `empty`: it only says that the board lives."""
 
-    number: int
-    whole: bool
-    rows: tuple[Row, ...]
-    empty: bool = False
+    revision: int
+    full: bool
+    entries: tuple[OfficeEntry, ...]
+    heartbeat: bool = False
 
 
 class BadFrame(Exception):
     """Bytes that are no frame. `before` holds the notices that were good."""
 
-    def __init__(self, limit: str, before: list[Notice]) -> None:
-        super().__init__(limit)
-        self.limit, self.before = limit, before
+    def __init__(self, reason: str, before: list[Update]) -> None:
+        super().__init__(reason)
+        self.reason, self.before = reason, before
 
 
 class Decoder:
@@ -48,13 +48,13 @@
     def __init__(self) -> None:
         self._held = b""
 
-    def feed(self, data: bytes | memoryview) -> list[Notice]:
+    def feed(self, data: bytes | memoryview) -> list[Update]:
         """Whole notices. Raises BadFrame."""
-        buffer, out, at = self._held + data, list[Notice](), 0
+        buffer, out, at = self._held + data, list[Update](), 0
         while len(buffer) - at >= HEAD.size:
             length, number, kind = HEAD.unpack_from(buffer, at)
             size = length - 9
-            if not 9 <= length <= MAX_LENGTH:
+            if not 9 <= length <= MAX_FRAME_BYTES:
                 raise BadFrame("frame_length", out)
             if kind > 2 or size % RECORD.size or (kind == 0 and size):
                 raise BadFrame("frame_form", out)
@@ -63,25 +63,25 @@
             payload = buffer[at + HEAD.size : at + 4 + length]
             at += 4 + length
             rows = tuple(_row(one, out) for one in RECORD.iter_unpack(payload))
-            out.append(Notice(number, kind == 1, rows, kind == 0))
+            out.append(Update(number, kind == 1, rows, kind == 0))
         self._held = buffer[at:]
         return out
 
 
-def _row(record: tuple[int, ...], before: list[Notice]) -> Row:
+def _row(record: tuple[int, ...], before: list[Update]) -> OfficeEntry:
     office, address, port, state, _zone, _kind, cell, _weight, started = record
-    if state > GONE or port == 0:
+    if state > REMOVED or port == 0:
         raise BadFrame("record", before)
     host = ".".join(str(address >> shift & 255) for shift in (24, 16, 8, 0))
-    return Row(f"s-{office:08x}", f"{host}:{port}", state, cell, started)
+    return OfficeEntry(f"s-{office:08x}", f"{host}:{port}", state, cell, started)
 
 
-def ask(number: int) -> bytes:
+def encode_subscription(revision: int) -> bytes:
     """What is written first: the number of the last event held."""
-    return struct.pack(">Q", number)
+    return struct.pack(">Q", revision)
 
 
-def frame(notice: Notice) -> bytes:
+def encode_update(notice: Update) -> bytes:
     """A notice as the board writes it; for stand-ins."""
     payload = b"".join(
         RECORD.pack(
@@ -91,14 +91,14 @@
             row.state,
             0,
             0,
-            row.cell,
+            row.exchange,
             1000,
             row.started_ms,
         )
-        for row in notice.rows
+        for row in notice.entries
     )
-    kind = 0 if notice.empty else 1 if notice.whole else 2
-    return HEAD.pack(9 + len(payload), notice.number, kind) + payload
+    kind = 0 if notice.heartbeat else 1 if notice.full else 2
+    return HEAD.pack(9 + len(payload), notice.revision, kind) + payload
 
 
 def _packed(address: str) -> int:
@@ -132,26 +132,26 @@
     full: bool = False
 
 
-class _Notice(msgspec.Struct):
+class _KnownUpdate(msgspec.Struct):
     rev: int
     pool: _Pool
 
 
-class Known(msgspec.Struct):
+class KnownUpdates(msgspec.Struct):
     """The events up to the start."""
 
     rev: int
-    notices: list[_Notice]
+    notices: list[_KnownUpdate]
 
 
-def read_known(value: Any, where: str) -> tuple[int, list[Notice]]:
+def read_known_updates(value: Any, where: str) -> tuple[int, list[Update]]:
     """Last number and the events. Raises Faults naming field and value."""
-    known = read_open(value, Known, where)
+    known = read_open(value, KnownUpdates, where)
     out = []
     for notice in known.notices:
         rows = []
         for server in notice.pool.servers:
-            state = STATES.get(server.state, GONE)  # an unknown word is no leave to send there
-            rows.append(Row(server.id, server.addr, state, server.cell, server.started_ms))
-        out.append(Notice(notice.rev, notice.pool.full, tuple(rows)))
+            state = STATES.get(server.state, REMOVED)  # an unknown word is no leave to send there
+            rows.append(OfficeEntry(server.id, server.addr, state, server.cell, server.started_ms))
+        out.append(Update(notice.rev, notice.pool.full, tuple(rows)))
     return known.rev, out
--- a/wellhitch/lab/trials/discovery.py
+++ b/wellhitch/lab/trials/discovery.py
@@ -24,7 +24,7 @@
 
     UP = codec.READY
     DRAINING = codec.DRAINING
-    REMOVED = codec.GONE
+    REMOVED = codec.REMOVED
 
 
 STATE_WORDS = {EndpointState.UP: "up", EndpointState.DRAINING: "draining", EndpointState.REMOVED: "removed"}
@@ -205,12 +205,12 @@
 
     def _frame(self, revision: int, server: str) -> bytes:
         rows = tuple(
-            codec.Row(
+            codec.OfficeEntry(
                 listed.endpoint, listed.addresses[server], listed.state.value, listed.cell, listed.started_ms
             )
             for listed in self.events[revision - 1]
         )
-        return codec.frame(codec.Notice(revision, revision == 1, rows))
+        return codec.encode_update(codec.Update(revision, revision == 1, rows))
 
     def _beat(self) -> None:
         self._heartbeat = self.loop.call_later(HEARTBEAT_S, self._beat)
@@ -218,7 +218,7 @@
             return
         for connection in self.watches:
             if connection not in self.silent:
-                connection.write(codec.frame(codec.Notice(len(self.events), False, (), True)))
+                connection.write(codec.encode_update(codec.Update(len(self.events), False, (), True)))
 
     def _told_at(self, server: str) -> float:
         """When a change that is made now counts as told to a call server."""
--- a/wellhitch/lab/trials/endpoint.py
+++ b/wellhitch/lab/trials/endpoint.py
@@ -272,7 +272,7 @@
         if call.server in self.frozen:
             call.timer = self.loop.call_later(0.1, self._refuse, call)
             return
-        self._write(call.connection, lines.down(call.call, CAUSE_FULL))
+        self._write(call.connection, lines.release(call.call, CAUSE_FULL))
         self._drop(call, "full", CAUSE_FULL)
 
     def _answer(self, call: _Call) -> None:
@@ -303,7 +303,7 @@
         if call.server in self.frozen:
             self.loop.call_later(0.05, self._send_release, call)
             return
-        release = lines.down(call.call, CAUSE_OVER)
+        release = lines.release(call.call, CAUSE_OVER)
         self.unsent_releases[call.server][call.call] = release  # the next connection gets it too
         others = [peer.connection for peer in self.peers.values() if peer.server == call.server]
         for connection in (call.connection, *others):
--- a/wellhitch/office_lines/codec.py
+++ b/wellhitch/office_lines/codec.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-MAX_LINE = 16 * 1024  # bytes; the platform's own bound
+MAX_LINE_BYTES = 16 * 1024  # bytes; the platform's own bound
 
 
 class Line(msgspec.Struct):
@@ -16,11 +16,11 @@
 
 
 class BadLine(Exception):
-    """Bytes that are no line of an office. `limit` names what was passed; `before` holds the lines that were good."""
+    """Bytes that are no line of an office. `reason` names what was passed; `before` holds the lines that were good."""
 
-    def __init__(self, limit: str, before: list[Line]) -> None:
-        super().__init__(limit)
-        self.limit, self.before = limit, before
+    def __init__(self, reason: str, before: list[Line]) -> None:
+        super().__init__(reason)
+        self.reason, self.before = reason, before
 
 
 class Decoder:
@@ -45,7 +45,7 @@
         self._held = parts.pop()
         out: list[Line] = []
         for part in parts:
-            if len(part) >= MAX_LINE:
+            if len(part) >= MAX_LINE_BYTES:
                 raise BadLine("line_too_long", out)
             if not part.strip():
                 continue
@@ -54,7 +54,7 @@
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, ValueError):
                 raise BadLine("line_unreadable", out) from None
             out.append(line)
-        if len(self._held) >= MAX_LINE:
+        if len(self._held) >= MAX_LINE_BYTES:
             raise BadLine("line_too_long", out)
         return out
 
@@ -62,13 +62,13 @@
 _encode = msgspec.json.Encoder().encode
 
 
-def new(ref: str, use_case: str, key: str, left_ms: int, description: str) -> bytes:
+def set_up(ref: str, use_case: str, key: str, left_ms: int, description: str) -> bytes:
     """A set-up."""
     fields = {"class": use_case, "key": key, "left": str(left_ms)}
     return _encode({"t": "new", "ref": ref, "f": fields, "d": description}) + b"\n"
 
 
-def down(ref: str, cause: int) -> bytes:
+def release(ref: str, cause: int) -> bytes:
     """A set-up given up, or a release."""
     return _encode({"t": "down", "ref": ref, "f": {}, "c": cause}) + b"\n"
 
@@ -78,7 +78,7 @@
     return _encode({"t": "hb", "ref": ref, "f": {}, "c": 0}) + b"\n"
 
 
-def figures(load: object) -> dict[str, float]:
+def parse_load(load: object) -> dict[str, float]:
     """A load report, `name:figure` parted by semicolons; what is no figure is skipped."""
     out: dict[str, float] = {}
     if isinstance(load, str):
--- a/wellhitch/platform/callers.py
+++ b/wellhitch/platform/callers.py
@@ -115,7 +115,7 @@
                     if not (isinstance(message, sip.Request) and message.method == "INVITE")
                 ]
             )
-            self.owner.counts[f"door.{error.limit}"] += 1
+            self.owner.counts[f"door.{error.reason}"] += 1
             self._refuse_and_close(error)
             return
         self.message_count += len(messages)
@@ -165,9 +165,9 @@
     def _refuse_and_close(self, error: sip.BadSip) -> None:
         request = error.request
         if request is None or request.method != "ACK":  # an ACK is never answered
-            status = 413 if error.limit in ("too_large", "head_too_long", "too_many_headers") else 400
+            status = 413 if error.reason in ("too_large", "head_too_long", "too_many_headers") else 400
             self.write(sip.response(status, sip.echo(request) if request else ""))
-        self.close(error.limit)
+        self.close(error.reason)
 
     def write(self, data: bytes) -> bool:
         """Write; False where the connection is closed or closing."""
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -114,7 +114,7 @@
     addresses: Addresses
     opened: Opened
     revision: int
-    known_updates: tuple[board.Notice, ...]
+    known_updates: tuple[board.Update, ...]
     max_descriptors: int
     max_open: int
     connect_timeout_us: int
@@ -153,9 +153,9 @@
     opened = read_opened(seed, msgspec.to_builtins(settings))
     if not opened.use_cases:
         raise Faults(path, ["settings.classes = []: at least one traffic class is required"])
-    revision, known_updates = board.read_known(decoded.known, path)
+    revision, known_updates = board.read_known_updates(decoded.known, path)
     for update in known_updates:
-        for row in update.rows:
+        for row in update.entries:
             _check_address(path, f"known: address of {row.id}", row.address)
     connect_timeout_ns = settings.limits.connect_timeout_ns
     max_open = settings.limits.max_open
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 
 from wellhitch.adapter.codec import read_report
-from wellhitch.board.codec import DRAINING, GONE, Notice, Row
+from wellhitch.board.codec import DRAINING, REMOVED, OfficeEntry, Update
 from wellhitch.deciding.runner import Runner
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
@@ -80,7 +80,7 @@
         self._last_dialogue = 0
         self._traffic_classes = {traffic_class.name: traffic_class for traffic_class in opened.use_cases}
 
-    def start(self, known_updates: Iterable[Notice], now: int) -> None:
+    def start(self, known_updates: Iterable[Update], now: int) -> None:
         """Begin with the settings and the discovery updates known so far. Connections are opened after all updates are
         applied. Draining offices are connected too: they may hold calls from before a restart, and send the releases of
         these on the first connection."""
@@ -303,7 +303,9 @@
         """Send the one final answer of a set-up that is not established, and forget the set-up."""
         self.counts[f"answer.{answer}"] += 1
         self._forget(pending)
-        sent = self.io.send_to_caller(pending.connection, sip.response(status, pending.echo, more=headers))
+        sent = self.io.send_to_caller(
+            pending.connection, sip.response(status, pending.echo, extra_headers=headers)
+        )
         self.io.log(
             "set_up_refused",
             call=pending.call_id,
@@ -355,7 +357,7 @@
         dial.timer = self.io.start_timer(
             max(0, within), lambda fired_at: self._dial_timed_out(dial, fired_at)
         )
-        line = lines.new(
+        line = lines.set_up(
             pending.call_id,
             pending.traffic_class,
             pending.called_number,
@@ -380,7 +382,7 @@
         if self._forget_dial(dial) or connection is None:
             return
         dial.office.remember_ended(dial.call.call_id, now)
-        self.io.send_to_office(dial.office, lines.down(dial.call.call_id, CAUSE_NORMAL), connection)
+        self.io.send_to_office(dial.office, lines.release(dial.call.call_id, CAUSE_NORMAL), connection)
 
     def _forget_dial(self, dial: PendingDial) -> bool:
         """Mark a dial as ended; True where its set-up was never sent."""
@@ -402,7 +404,7 @@
         self._forget_dial(dial)
         if sent and dial.office.state is not ev.Standing.GONE:
             dial.office.remember_ended(dial.call.call_id, now)
-            self.io.send_to_office(dial.office, lines.down(dial.call.call_id, CAUSE_NORMAL), None)
+            self.io.send_to_office(dial.office, lines.release(dial.call.call_id, CAUSE_NORMAL), None)
         ending = ev.Ending.RESET if sent else ev.Ending.UNREACHABLE
         self._dial_ended(dial, ending, ev.Blame.NONE, ev.Report(), now)
 
@@ -470,12 +472,12 @@
             if line.ref in office.ended_here and line.ref not in office.calls:
                 # The dial was ended here while its answer was on the way: the call is released at the office.
                 self.counts["late_answers_released"] += 1
-                self.io.send_to_office(office, lines.down(line.ref, CAUSE_NORMAL), None)
+                self.io.send_to_office(office, lines.release(line.ref, CAUSE_NORMAL), None)
             else:
                 self.counts["strays.up"] += 1
             return
         body = None if line.d is None else line.d.encode("utf-8", "replace")
-        if body is None or len(body) + len(dial.call.echo) + 256 > sip.MAX_MESSAGE:
+        if body is None or len(body) + len(dial.call.echo) + 256 > sip.MAX_MESSAGE_BYTES:
             self.counts["answers_unreadable"] += 1
             self._abandon_dial(dial, ev.Ending.RESET, now)
             return
@@ -556,31 +558,31 @@
 
     # ---- discovery ----
 
-    def discovery_update(self, update: Notice, now: int) -> None:
+    def discovery_update(self, update: Update, now: int) -> None:
         """Apply an update from discovery."""
-        if update.empty:
+        if update.heartbeat:
             return
         self._apply_update(update, ev.Heard.WHOLE, now)
         for office in list(self.offices.values()):
             self._apply_state(office, now)
 
-    def _apply_update(self, update: Notice, whole: ev.Heard, now: int) -> None:
+    def _apply_update(self, update: Update, whole: ev.Heard, now: int) -> None:
         """Update the office records and tell the decision module. `whole` is what the module is told about the source
         of a complete list."""
-        for row in update.rows:
+        for row in update.entries:
             self._apply_row(row, now)
-        if update.whole:
-            listed = {row.id for row in update.rows}
+        if update.full:
+            listed = {row.id for row in update.entries}
             for office in self.offices.values():
                 if office.id not in listed:
                     office.state = ev.Standing.GONE
-        offices = [self.offices[row.id] for row in update.rows]
+        offices = [self.offices[row.id] for row in update.entries]
         entries = tuple(
             ev.Entry(office.id, office.number, office.state, office.started) for office in offices
         )
-        self.feed(ev.Listed(whole if update.whole else ev.Heard.CHANGES, entries), now)
+        self.feed(ev.Listed(whole if update.full else ev.Heard.CHANGES, entries), now)
 
-    def _apply_row(self, row: Row, now: int) -> None:
+    def _apply_row(self, row: OfficeEntry, now: int) -> None:
         state = OFFICE_STATES[row.state]
         # The offset is fixed at the start, so that the same start time always gives the same loop time.
         started = max(1, row.started_ms * 1000 - self.loop_epoch_us) if row.started_ms else None
@@ -589,18 +591,18 @@
             tests_allowed = self.opened.permissions.may_probe
             self.offices[row.id] = OfficeRecord(
                 row.id,
-                row.cell,
+                row.exchange,
                 row.address,
                 state,
                 started,
                 liveness=OfficeLiveness(tests_allowed, now),
             )
-            self.io.log("office", office=row.id, number=row.cell, standing=state.name, started=started)
+            self.io.log("office", office=row.id, number=row.exchange, standing=state.name, started=started)
             return
         if state is not office.state:
-            self.io.log("office", office=row.id, number=row.cell, standing=state.name, started=started)
+            self.io.log("office", office=row.id, number=row.exchange, standing=state.name, started=started)
         restarted = started is not None and started != office.started
-        office.state, office.started, office.number = state, started, row.cell
+        office.state, office.started, office.number = state, started, row.exchange
         if restarted:
             self.established.office_restarted(office, now)
         if office.address != row.address:
@@ -661,7 +663,7 @@
 
 
 KNOWN_METHODS = frozenset(("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "NOTIFY"))
-assert (DRAINING, GONE) == (1, 2)  # OFFICE_STATES is indexed by the states of discovery
+assert (DRAINING, REMOVED) == (1, 2)  # OFFICE_STATES is indexed by the states of discovery
 
 
 EMPTY_REPORT = ev.Report()
@@ -681,4 +683,4 @@
 @lru_cache(maxsize=1024)
 def _read_load(load: str) -> ev.Report:
     """The values of a load report. Cached, as offices send fourteen reports per dialogue with few different texts."""
-    return read_report(lines.figures(load))
+    return read_report(lines.parse_load(load))
--- a/wellhitch/platform/discovery.py
+++ b/wellhitch/platform/discovery.py
@@ -57,7 +57,7 @@
         network: Network,
         address: str,
         revision: int,
-        on_update: Callable[[codec.Notice], None],
+        on_update: Callable[[codec.Update], None],
         log: Callable[..., None],
         counts: Counter[str],
     ) -> None:
@@ -146,7 +146,7 @@
             self._watches.pop(0).end()
         self._watches.append(watch)
         assert watch.transport is not None
-        watch.transport.write(codec.ask(self.revision))
+        watch.transport.write(codec.encode_subscription(self.revision))
         self._restart_silence_timer()
 
     def lost(self, watch: _Watch) -> None:
@@ -216,17 +216,17 @@
                 self._retry_timer.cancel()
                 self._retry_timer = None
 
-    def _apply(self, update: codec.Notice) -> bool:
+    def _apply(self, update: codec.Update) -> bool:
         """Apply one update; False where the client reconnects instead to request missing ones."""
-        match self._revisions.order(update.number, update.whole, update.empty):
+        match self._revisions.order(update.revision, update.full, update.heartbeat):
             case Order.HELD_ALREADY:
-                self.counts["discovery.held_already"] += not update.empty
+                self.counts["discovery.held_already"] += not update.heartbeat
             case Order.AFTER_GAP:
                 self.counts["discovery.gap"] += 1
-                self.log("discovery_gap", revision=self.revision, came=update.number)
+                self.log("discovery_gap", revision=self.revision, came=update.revision)
                 self._reconnect()
                 return False
             case Order.NEXT:
-                self._revisions.accept(update.number)
+                self._revisions.accept(update.revision)
                 self.on_update(update)
         return True
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -147,7 +147,7 @@
         lost with an earlier connection, and the office would keep the calls."""
         for call_id, (cause, released_at) in office.released.items():
             if released_at >= office.liveness.current.confirmed_at:
-                self._io.send_to_office(office, lines.down(call_id, cause), connection)
+                self._io.send_to_office(office, lines.release(call_id, cause), connection)
         office.liveness.connection_opened(connection, now)
         if office.liveness.under_test(connection):
             self._send_test(office, connection)
@@ -182,7 +182,7 @@
         self._on_ended(call, ending, report, now)
 
     def _release_at_office(self, call: EstablishedCall, cause: int, now: int) -> None:
-        self._io.send_to_office(call.office, lines.down(call.call_id, cause), None)
+        self._io.send_to_office(call.office, lines.release(call.call_id, cause), None)
         call.office.remember_ended(call.call_id, now)
         call.office.remember_released(call.call_id, cause, now)
 
--- a/wellhitch/platform/offices.py
+++ b/wellhitch/platform/offices.py
@@ -86,7 +86,7 @@
             received = self.decoder.feed(pool.owner.buffer[:nbytes])
         except lines.BadLine as error:
             self._pass_on(error.before)
-            self.abort(error.limit)
+            self.abort(error.reason)
             return
         self._pass_on(received)
         if self.decoder.pending and self.transport is not None:
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Hashable
 from typing import Any, Protocol
 
-from wellhitch.board.codec import Notice
+from wellhitch.board.codec import Update
 from wellhitch.net.transport import Network, Sender, Timer, now_us
 from wellhitch.office_lines.codec import Line
 from wellhitch.platform.callers import CallerConnection, CallerConnections
@@ -355,7 +355,7 @@
         """See `OfficeEvents`."""
         self.core.office_connection_lost(office, connection)
 
-    def _discovery_update(self, update: Notice) -> None:
+    def _discovery_update(self, update: Update) -> None:
         self.core.discovery_update(update, self.now())
 
     def _sender_ready(self, sender: Sender) -> None:
--- a/wellhitch/sip/codec.py
+++ b/wellhitch/sip/codec.py
@@ -3,11 +3,11 @@
 import re
 from dataclasses import dataclass, field
 
-MAX_MESSAGE = 16 * 1024  # bytes; the platform's own bound
-MAX_HEAD = 8 * 1024  # bytes; half of a message: usual heads have three hundred
-MAX_START = 600  # bytes of a first line: far more than any address of the platform
+MAX_MESSAGE_BYTES = 16 * 1024  # bytes; the platform's own bound
+MAX_HEAD_BYTES = 8 * 1024  # bytes; half of a message: usual heads have three hundred
+MAX_START_LINE_BYTES = 600  # bytes of a first line: far extra_headers than any address of the platform
 MAX_HEADERS = 64  # usual messages have seven
-SINGLE = frozenset(("call-id", "cseq", "content-length", "x-tier", "x-deadline", "x-attrs"))
+SINGLE_VALUE_HEADERS = frozenset(("call-id", "cseq", "content-length", "x-tier", "x-deadline", "x-attrs"))
 """Headers that may stand once: with two, either reading could be the wrong one."""
 
 _REQUEST = re.compile(r"([A-Z]{1,16}) (sips?:[!-~]{1,300}) SIP/2\.0")
@@ -39,18 +39,18 @@
 
 
 class BadSip(Exception):
-    """Bytes that are no SIP of this platform. `limit` names the bound or the rule that was passed; `before` holds the
+    """Bytes that are no SIP of this platform. `reason` names the bound or the rule that was passed; `before` holds the
     messages that were good; `request` the one at fault as far as it could be read, to answer it by."""
 
-    def __init__(self, limit: str, before: list[Message], request: Request | None = None) -> None:
-        super().__init__(limit)
-        self.limit, self.before, self.request = limit, before, request
+    def __init__(self, reason: str, before: list[Message], request: Request | None = None) -> None:
+        super().__init__(reason)
+        self.reason, self.before, self.request = reason, before, request
 
 
 class _Fault(Exception):
-    def __init__(self, limit: str, request: Request | None = None) -> None:
-        super().__init__(limit)
-        self.limit, self.request = limit, request
+    def __init__(self, reason: str, request: Request | None = None) -> None:
+        super().__init__(reason)
+        self.reason, self.request = reason, request
 
 
 class Decoder:
@@ -78,7 +78,7 @@
                 if self._message is None:
                     while buffer.startswith(b"\r\n", at):  # keep-alive between messages
                         at += 2
-                    end = buffer.find(b"\r\n\r\n", at, at + MAX_HEAD)
+                    end = buffer.find(b"\r\n\r\n", at, at + MAX_HEAD_BYTES)
                     if end < 0:
                         _unfinished(buffer, at)
                         break
@@ -92,19 +92,19 @@
                 self._message = None
         except _Fault as fault:
             self._held, self._message = b"", None
-            raise BadSip(fault.limit, out, fault.request) from None
+            raise BadSip(fault.reason, out, fault.request) from None
         self._held = buffer[at:] if at else buffer
         return out
 
 
 def _unfinished(buffer: bytes, at: int) -> None:
     """What a head that is not whole must keep to already, so that noise is found when it comes, not at its end."""
-    if len(buffer) - at >= MAX_HEAD:
+    if len(buffer) - at >= MAX_HEAD_BYTES:
         raise _Fault("head_too_long")
-    line = buffer.find(b"\r\n", at, at + MAX_START)
+    line = buffer.find(b"\r\n", at, at + MAX_START_LINE_BYTES)
     if line >= 0:
         _start(buffer[at:line])
-    elif len(buffer) - at >= MAX_START:
+    elif len(buffer) - at >= MAX_START_LINE_BYTES:
         raise _Fault("start_line")
 
 
@@ -141,7 +141,7 @@
             fault = fault or "header"
         elif name not in headers:
             headers[name] = value.strip(" \t")
-        elif name in SINGLE:
+        elif name in SINGLE_VALUE_HEADERS:
             fault = fault or "header_twice"
         else:
             headers[name] += ", " + value.strip(" \t")
@@ -152,7 +152,7 @@
         raise _Fault("no_length", request)
     if not (told.isascii() and told.isdigit()):
         raise _Fault("length", request)
-    if len(told) > 9 or len(head) + 4 + int(told) > MAX_MESSAGE:
+    if len(told) > 9 or len(head) + 4 + int(told) > MAX_MESSAGE_BYTES:
         raise _Fault("too_large", request)
     return message, int(told)
 
@@ -187,15 +187,15 @@
     return "".join(lines)
 
 
-def response(status: int, echoed: str, body: bytes = b"", more: str = "") -> bytes:
-    """A response; `more` holds whole header lines."""
-    head = f"SIP/2.0 {status} {REASONS.get(status, '')}\r\n{echoed}{more}Content-Length: {len(body)}\r\n\r\n"
+def response(status: int, echoed: str, body: bytes = b"", extra_headers: str = "") -> bytes:
+    """A response; `extra_headers` holds whole header lines."""
+    head = f"SIP/2.0 {status} {REASONS.get(status, '')}\r\n{echoed}{extra_headers}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
-def request(method: str, call_id: str, cseq: int, more: str = "") -> bytes:
-    """A request without a body, from the call server to a caller; `more` holds whole header lines."""
+def request(method: str, call_id: str, cseq: int, extra_headers: str = "") -> bytes:
+    """A request without a body, from the call server to a caller; `extra_headers` holds whole header lines."""
     return (
         f"{method} sip:caller@net SIP/2.0\r\nVia: SIP/2.0/TCP exchange\r\nCall-ID: {call_id}\r\n"
-        f"CSeq: {cseq} {method}\r\n{more}Content-Length: 0\r\n\r\n"
+        f"CSeq: {cseq} {method}\r\n{extra_headers}Content-Length: 0\r\n\r\n"
     ).encode()
--- a/wellhitch/stand_ins/platform.py
+++ b/wellhitch/stand_ins/platform.py
@@ -205,7 +205,7 @@
     loop: asyncio.AbstractEventLoop
     network: Network
     address: str
-    events: list[board_codec.Notice] = field(default_factory=list)
+    events: list[board_codec.Update] = field(default_factory=list)
     asked: list[tuple[int, int]] = field(default_factory=list)  # when, and after which number
     silent: bool = False
     listener: Listener | None = None
@@ -228,13 +228,13 @@
             self.ends.append(end)
             if not self.silent:
                 for event in self.events:
-                    if event.number > number:
-                        end.write(board_codec.frame(event))
+                    if event.revision > number:
+                        end.write(board_codec.encode_update(event))
 
     def _beat(self) -> None:
         self.loop.call_later(1, self._beat)
-        last = max((event.number for event in self.events), default=1)
-        self.raw(board_codec.frame(board_codec.Notice(last, False, (), True)))
+        last = max((event.revision for event in self.events), default=1)
+        self.raw(board_codec.encode_update(board_codec.Update(last, False, (), True)))
 
     def raw(self, data: bytes) -> None:
         """Write bytes to all that follow."""
@@ -242,13 +242,15 @@
             for end in self.ends:
                 end.write(data)
 
-    def tell(self, *rows: board_codec.Row, whole: bool = False, loud: bool = True) -> board_codec.Notice:
+    def tell(
+        self, *rows: board_codec.OfficeEntry, whole: bool = False, loud: bool = True
+    ) -> board_codec.Update:
         """A new event; not written to anybody where it is not `loud`."""
-        last = max((event.number for event in self.events), default=1)
-        notice = board_codec.Notice(last + 1, whole, rows)
+        last = max((event.revision for event in self.events), default=1)
+        notice = board_codec.Update(last + 1, whole, rows)
         self.events.append(notice)
         if loud:
-            self.raw(board_codec.frame(notice))
+            self.raw(board_codec.encode_update(notice))
         return notice
 
     def cut(self) -> None:
