--- a/tests/test_bad_day.py
+++ b/tests/test_bad_day.py
@@ -6,19 +6,19 @@
 
 from wellhitch.cli.check import read_day
 from wellhitch.lab.play import play_sockets
-from wellhitch.settings.day import Day, TroubleLine
-from wellhitch.settings.sheet import span
+from wellhitch.settings.day import Day, FaultSettings
+from wellhitch.settings.server import duration_us
 
 BAD_DAY = Path(__file__).parents[1] / "days" / "bad.jsonnet"
 SHARE = 0.4
 
 
 def shorter(text: str) -> str:
-    return f"{round(span(text) * SHARE)}us"
+    return f"{round(duration_us(text) * SHARE)}us"
 
 
 def in_short(day: Day) -> Day:
-    troubles: list[TroubleLine] = [
+    troubles: list[FaultSettings] = [
         msgspec.structs.replace(trouble, at=shorter(trouble.at), length=shorter(trouble.length))
         for trouble in day.troubles
     ]
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -9,7 +9,7 @@
 
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
-from wellhitch.settings.day import KINDS, Day
+from wellhitch.settings.day import FAULT_KINDS, Day
 from wellhitch.stand_ins.town import Town
 from wellhitch.stand_ins.troubles import TABLE
 from wellhitch.trunk import frames
@@ -171,10 +171,10 @@
 
 
 def test_every_kind_of_trouble_has_its_play_and_its_proof() -> None:
-    assert set(TABLE) == set(KINDS) == set(MORE)
+    assert set(TABLE) == set(FAULT_KINDS) == set(MORE)
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", FAULT_KINDS)
 def test_a_trouble_bites_and_the_rules_hold(kind: str) -> None:
     line, bite, over = MORE[kind]
     over = dict(over)
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -9,7 +9,7 @@
 from wellhitch.board import codec as board
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.set_up_request import MAX_DESCRIPTION_BYTES, SetUp, read_set_up
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.sip import codec as sip
 from wellhitch.stand_ins.platform import invite, plain
 
@@ -316,5 +316,5 @@
     value = {"rev": 4, "notices": [{"rev": 4, "pool": {"version": 7, "full": True, "servers": [server]}}]}
     assert board.read_known_updates(value, "file") == (4, [board.Update(4, True, UPDATE_ROWS[:1])])
     server["cell"] = "two"
-    with pytest.raises(Faults, match=r"file: notices\[0\].pool.servers\[0\].cell = 'two'"):
+    with pytest.raises(InvalidSettings, match=r"file: notices\[0\].pool.servers\[0\].cell = 'two'"):
         board.read_known_updates(value, "file")
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -17,7 +17,7 @@
 from wellhitch.lab.loopback import own_address
 from wellhitch.net.transport import split
 from wellhitch.platform.configuration import read_configuration
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.sip import codec as sip
 from wellhitch.stand_ins.platform import invite, plain
 
@@ -131,7 +131,7 @@
 def test_configuration_error_is_one_line_with_file_field_and_value(
     tmp_path: Path, value: Any, message: str
 ) -> None:
-    with pytest.raises(Faults, match=message) as caught:
+    with pytest.raises(InvalidSettings, match=message) as caught:
         read_configuration(write_configuration(tmp_path, value))
     assert len(caught.value.lines) == 1 and str(tmp_path) in str(caught.value)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,8 +12,8 @@
 from wellhitch.cli.main import main
 from wellhitch.lab.fleet import HostAddresses, sheet_of
 from wellhitch.lab.from_bench import convert
-from wellhitch.settings import checked, sheet
-from wellhitch.settings.checked import Faults
+from wellhitch.settings import checked, server
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.settings.day import Day, check
 
 DOORS = {"callers": "127.0.0.1:0", "register": "127.0.0.1:7000"}
@@ -28,14 +28,14 @@
 
 
 def test_a_sheet_is_read_with_times_in_whole_microseconds() -> None:
-    made = sheet.opened(checked.read(SHEET, sheet.Sheet, "x"))
+    made = server.opening_event(checked.read(SHEET, server.ServerSettings, "x"))
     assert made.use_cases[0].agreed_time == 1_500_000 and made.release.release_wait == 200_000
     assert made.place.number == 3 and not made.place.advised
 
 
 @pytest.mark.parametrize(("text", "us"), [("1.5s", 1_500_000), ("250ms", 250_000), ("7us", 7), ("0s", 0)])
 def test_spans(text: str, us: int) -> None:
-    assert sheet.span(text) == us
+    assert server.duration_us(text) == us
 
 
 def test_all_faults_are_listed_at_once() -> None:
@@ -45,8 +45,8 @@
     bad["use_cases"][0]["payoff"] = "much"
     bad["use_cases"][1]["agreed_time"] = "2 hours"
     del bad["rules"]["release_wait"]
-    with pytest.raises(Faults) as faults:
-        checked.read(bad, sheet.Sheet, "x.jsonnet")
+    with pytest.raises(InvalidSettings) as faults:
+        checked.read(bad, server.ServerSettings, "x.jsonnet")
     lines = faults.value.lines
     assert len(lines) == 5
     for start in (
@@ -73,8 +73,8 @@
     ],
 )
 def test_what_holds_between_fields_is_checked(change: dict[str, Any], said_so: str) -> None:
-    with pytest.raises(Faults, match=said_so.replace("[", r"\[").replace("]", r"\]")):
-        sheet.check(checked.read({**SHEET, **change}, sheet.Sheet, "x"), "x")
+    with pytest.raises(InvalidSettings, match=said_so.replace("[", r"\[").replace("]", r"\]")):
+        server.check(checked.read({**SHEET, **change}, server.ServerSettings, "x"), "x")
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
     ],
 )
 def test_days_are_checked_too(change: dict[str, Any], said_so: str) -> None:
-    with pytest.raises(Faults, match=said_so):
+    with pytest.raises(InvalidSettings, match=said_so):
         day(**change)
 
 
@@ -239,13 +239,13 @@
 )
 def test_figures_beyond_all_sense_are_told_with_their_field(change: dict[str, Any], said_so: str) -> None:
     """A span of 400 digits was a traceback; one of 10^18 us an answer that cannot be sent."""
-    with pytest.raises(Faults, match=said_so):
-        sheet.check(checked.read({**SHEET, **change}, sheet.Sheet, "x"), "x")
+    with pytest.raises(InvalidSettings, match=said_so):
+        server.check(checked.read({**SHEET, **change}, server.ServerSettings, "x"), "x")
 
 
 @pytest.mark.parametrize("number", ["\u00b2", "9" * 5000, "-1", ""])
 def test_a_days_calls_go_to_numbers_of_its_own(number: str) -> None:
     plain = msgspec.to_builtins(day())
     plain["exchanges"][0]["calls"] = {number: 1.0}
-    with pytest.raises(Faults, match="no such exchange"):
+    with pytest.raises(InvalidSettings, match="no such exchange"):
         check(checked.read(plain, Day, "x"), "x")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -18,7 +18,7 @@
 from wellhitch.hooks.state_file import decode_state
 from wellhitch.lab.fleet import LoopbackAddresses, sheet_of
 from wellhitch.lab.play import play_sockets
-from wellhitch.settings.sheet import LedgerLine
+from wellhitch.settings.server import LedgerSettings
 
 PATIENCE_S = 60.0  # a test that has waited so long has failed
 
@@ -169,7 +169,7 @@
     """The one word that all is on disk was said to nobody: each stop took 10 s and ended in a traceback."""
     addresses = LoopbackAddresses()
     made = sheet_of(small(), 0, addresses)
-    made = msgspec.structs.replace(made, ledger=LedgerLine("kept", [0]))
+    made = msgspec.structs.replace(made, ledger=LedgerSettings("kept", [0]))
     (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(made))
     log = tmp_path / "log"
     with log.open("wb") as out:
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -16,7 +16,7 @@
 from wellhitch.lab.play import Played
 from wellhitch.server.dials import DialOut, Step
 from wellhitch.server.switch import Switch
-from wellhitch.settings.day import Day, TroubleLine
+from wellhitch.settings.day import Day, FaultSettings
 from wellhitch.stand_ins.town import Town
 from wellhitch.stand_ins.troubles import TABLE
 from wellhitch.trunk import frames
@@ -143,7 +143,7 @@
         self.town.loop.call_later(seconds, work, *args)
 
     def trouble(self, kind: str, seconds: float, on: int, how: str = "") -> None:
-        line = TroubleLine(kind, "0s", f"{round(seconds * 1000)}ms", [on], 1.0, how=how)
+        line = FaultSettings(kind, "0s", f"{round(seconds * 1000)}ms", [on], 1.0, how=how)
         undo = TABLE[kind](self.town, line)
         if undo:
             self.later(seconds, undo)
--- a/wellhitch/board/codec.py
+++ b/wellhitch/board/codec.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from wellhitch.settings.checked import read_open
+from wellhitch.settings.checked import read_lenient
 
 RECORD = struct.Struct(">IIHBBBHIQ")  # id address port state zone kind cell weight started
 HEAD = struct.Struct(">IQB")  # length number kind
@@ -145,8 +145,8 @@
 
 
 def read_known_updates(value: Any, where: str) -> tuple[int, list[Update]]:
-    """Last number and the events. Raises Faults naming field and value."""
-    known = read_open(value, KnownUpdates, where)
+    """Last number and the events. Raises InvalidSettings naming field and value."""
+    known = read_lenient(value, KnownUpdates, where)
     out = []
     for notice in known.notices:
         rows = []
--- a/wellhitch/cli/day.py
+++ b/wellhitch/cli/day.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from wellhitch.cli.check import read_day
-from wellhitch.cli.errors import told_plainly
+from wellhitch.cli.errors import exit_on_invalid_settings
 from wellhitch.judge.page import service_page, verdict_page
 from wellhitch.lab.from_bench import convert
 from wellhitch.lab.play import Played, play_sockets, play_virtual
 from wellhitch.settings import checked
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.settings.day import Day
 from wellhitch.settings.day import check as check_day
 from wellhitch.stand_ins.troubles import CannotPlay
@@ -43,7 +43,7 @@
         raise click.UsageError("--speed needs --virtual: real sockets keep real time")
     if virtual and processes:
         raise click.UsageError("--virtual runs in one process; leave out --processes")
-    with told_plainly():
+    with exit_on_invalid_settings():
         made = read_day(file)
 
     def progress(done: float, held: int) -> None:
@@ -84,13 +84,13 @@
     \b
     Example: wellhitch day from-bench drawn.json -o drawn.jsonnet
     """
-    with told_plainly():
+    with exit_on_invalid_settings():
         try:
             value = msgspec.json.decode(read_file(file))
         except OSError as fault:
-            raise Faults(str(file), [fault.strerror or "cannot be read"]) from None
+            raise InvalidSettings(str(file), [fault.strerror or "cannot be read"]) from None
         except msgspec.DecodeError as fault:
-            raise Faults(str(file), [str(fault)]) from None
+            raise InvalidSettings(str(file), [str(fault)]) from None
         made, notes = convert(value, file.stem, seed)
         check_day(checked.read(made, Day, str(file)), str(file))
     for note in notes:
--- a/wellhitch/cli/errors.py
+++ b/wellhitch/cli/errors.py
@@ -6,14 +6,14 @@
 
 import click
 
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 
 
 @contextmanager
-def told_plainly() -> Iterator[None]:
+def exit_on_invalid_settings() -> Iterator[None]:
     """Turn faults of settings into lines on standard error and exit code 2."""
     try:
         yield
-    except Faults as faults:
+    except InvalidSettings as faults:
         click.echo(str(faults), err=True)
         sys.exit(2)
--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from wellhitch.cli.check import read_day
-from wellhitch.cli.errors import told_plainly
+from wellhitch.cli.errors import exit_on_invalid_settings
 from wellhitch.hooks.check import check as check_file
 from wellhitch.hooks.emit import compile_file
 from wellhitch.hooks.formatter import format_source
@@ -28,7 +28,7 @@
 from wellhitch.judge.page import service_page, verdict_page
 from wellhitch.lab.hook_runs import differences, facts_of, page, run, shown
 from wellhitch.lab.play import play_virtual
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.store.files import read_file
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import BadCapture, Capture, read_folder
@@ -49,21 +49,21 @@
 
 
 def texts_of(folder: Path) -> dict[str, str]:
-    """All hook files of a folder. Raises Faults."""
+    """All hook files of a folder. Raises InvalidSettings."""
     if not folder.is_dir():
-        raise Faults(str(folder), ["no such folder"])
+        raise InvalidSettings(str(folder), ["no such folder"])
     files = sorted(folder.glob("*.hook"))
     if not files:
-        raise Faults(str(folder), ["no files *.hook in it"])
+        raise InvalidSettings(str(folder), ["no files *.hook in it"])
     try:
         return {file.name: read_file(file, 4 * MAX_SOURCE_CHARS).decode() for file in files}
     except (OSError, UnicodeDecodeError) as fault:
-        raise Faults(str(folder), [str(fault)]) from None
+        raise InvalidSettings(str(folder), [str(fault)]) from None
 
 
 def loaded(folder: Path) -> Version:
     """A folder's version; what is wrong is told and ends the command with 1."""
-    with told_plainly():
+    with exit_on_invalid_settings():
         texts = texts_of(folder)
     try:
         return load_version(texts, Parser())
@@ -80,7 +80,7 @@
     \b
     Example: wellhitch hooks check hooks/
     """
-    with told_plainly():
+    with exit_on_invalid_settings():
         texts = texts_of(folder)
     parser, wrong = Parser(), 0
     for name, text in texts.items():
@@ -104,7 +104,7 @@
     \b
     Example: wellhitch hooks test hooks/
     """
-    with told_plainly():
+    with exit_on_invalid_settings():
         texts = texts_of(folder)
     parser, passed, failed = Parser(), 0, 0
     for name, text in texts.items():
@@ -138,7 +138,7 @@
     \b
     Example: wellhitch hooks format hooks/
     """
-    with told_plainly():
+    with exit_on_invalid_settings():
         texts = texts_of(folder)
     changed = [name for name, text in texts.items() if format_source(text) != text]
     for name in changed:
@@ -223,7 +223,7 @@
         click.echo(page(run(version, _captures(capture))))
         return
     assert day_file is not None
-    with told_plainly():
+    with exit_on_invalid_settings():
         made = read_day(day_file)
         texts = texts_of(folder)
     without = play_virtual(msgspec.structs.replace(made, hooks={}))
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -14,8 +14,8 @@
 import click
 import msgspec
 
-from wellhitch.cli.check import read_sheet
-from wellhitch.cli.errors import told_plainly
+from wellhitch.cli.check import read_server_settings
+from wellhitch.cli.errors import exit_on_invalid_settings
 from wellhitch.cli.serve import read_export_key, read_number_keys
 from wellhitch.lab import ledger_day
 from wellhitch.lab.ledger_page import page
@@ -24,9 +24,9 @@
 from wellhitch.ledger.outbox import quarantine, write_atomically
 from wellhitch.ledger.rating import Tariff, invoice, tariff_errors, to_cents
 from wellhitch.net.transport import split
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.settings.checked import read as read_settings
-from wellhitch.settings.sheet import Sheet
+from wellhitch.settings.server import ServerSettings
 from wellhitch.settings.template import evaluate
 from wellhitch.stand_ins.accounting import Accounting, Ills
 from wellhitch.store.engine import Engine, StoreError
@@ -52,14 +52,14 @@
     """
 
 
-def _read(sheet: Path) -> tuple[Sheet, reader.LedgerContents]:
-    made = read_sheet(sheet)
+def _read(sheet: Path) -> tuple[ServerSettings, reader.LedgerContents]:
+    made = read_server_settings(sheet)
     if made.ledger is None:
-        raise Faults(str(sheet), ["ledger: this call server keeps none"])
+        raise InvalidSettings(str(sheet), ["ledger: this call server keeps none"])
     try:
         return made, reader.read(sheet.parent / made.ledger.folder)
     except StoreError as fault:
-        raise Faults(str(sheet), [f"ledger.folder: {fault}"]) from None
+        raise InvalidSettings(str(sheet), [f"ledger.folder: {fault}"]) from None
 
 
 def _shown(rows: list[dict[str, Any]], form: str) -> str:
@@ -87,13 +87,13 @@
 
 
 def _as_of(text: str) -> int | None:
-    """The end of a day, as a wall time. Raises Faults."""
+    """The end of a day, as a wall time. Raises InvalidSettings."""
     if not text:
         return None
     try:
         after = date.fromisoformat(text) + timedelta(days=1)
     except ValueError:
-        raise Faults("--as-of", [f"{text!r}: a day such as 2026-12-31"]) from None
+        raise InvalidSettings("--as-of", [f"{text!r}: a day such as 2026-12-31"]) from None
     return int(datetime(after.year, after.month, after.day, tzinfo=UTC).timestamp()) * 1_000_000
 
 
@@ -106,14 +106,14 @@
 @click.option("--disputes", is_flag=True, help="only those of which the ends saw different things")
 def show(sheet: Path, period: str, form: str, as_of: str, called: str, disputes: bool) -> None:
     """Settled dialogues of this call server, with what is lacking and the state of each period."""
-    with told_plainly():
+    with exit_on_invalid_settings():
         made, found = _read(sheet)
         until = _as_of(as_of)
         keys = read_number_keys(made, sheet)
         try:
             settled = found.settled(period, until)
         except ValueError as fault:
-            raise Faults("--period", [str(fault)]) from None
+            raise InvalidSettings("--period", [str(fault)]) from None
     if called:
         names = {
             (entry.origin, entry.dialogue)
@@ -152,7 +152,7 @@
 @SHEET
 def verify(sheet: Path) -> None:
     """Read every record and hold each chain together; exit 1 and each fault named where it is not whole."""
-    with told_plainly():
+    with exit_on_invalid_settings():
         _, found = _read(sheet)
     for wrong in found.faults:
         click.echo(wrong)
@@ -164,7 +164,7 @@
 def _tariff(path: Path) -> Tariff:
     tariff = read_settings(evaluate(path), Tariff, str(path))
     if faults := tariff_errors(tariff):
-        raise Faults(str(path), faults)
+        raise InvalidSettings(str(path), faults)
     return tariff
 
 
@@ -181,13 +181,13 @@
 @click.option("--out", type=click.Path(path_type=Path), help="also write a page with charts")
 def rate(sheet: Path, tariff: Path, period: str, form: str, as_of: str, out: Path | None) -> None:
     """What each tenant owes by a TARIFF: lines that add up to the cent. Exit 1 where a dialogue has no price."""
-    with told_plainly():
+    with exit_on_invalid_settings():
         _, found = _read(sheet)
         prices = _tariff(tariff)
         try:
             settled = found.settled(period, _as_of(as_of))
         except ValueError as fault:
-            raise Faults("--period", [str(fault)]) from None
+            raise InvalidSettings("--period", [str(fault)]) from None
     lines, unrated = invoice(prices, settled)
     cents = to_cents({f"{one.tenant}\0{one.traffic_class}": one.micros for one in lines})
     rows = [
@@ -214,17 +214,17 @@
 
 
 def _ask(sheet: Path, what: str) -> str:
-    """Ask the daemon at its operators' door. Raises Faults."""
-    made = read_sheet(sheet)
+    """Ask the daemon at its operators' door. Raises InvalidSettings."""
+    made = read_server_settings(sheet)
     if not made.doors.operators:
-        raise Faults(str(sheet), ["doors.operators = '': the daemon is asked there"])
+        raise InvalidSettings(str(sheet), ["doors.operators = '': the daemon is asked there"])
     host, port = split(made.doors.operators)
     try:
         with socket.create_connection((host, port), timeout=5) as line:
             line.sendall(f"ledger {what}\n".encode())
             return b"".join(iter(lambda: line.recv(65536), b"")).decode().rstrip()
     except OSError as fault:
-        raise Faults(str(sheet), [f"doors.operators = {made.doors.operators!r}: {fault}"]) from None
+        raise InvalidSettings(str(sheet), [f"doors.operators = {made.doors.operators!r}: {fault}"]) from None
 
 
 def _told(said: str) -> None:
@@ -237,7 +237,7 @@
 @click.argument("period")
 def close(sheet: Path, period: str) -> None:
     """State a period early: the running daemon adds no more to it."""
-    with told_plainly():
+    with exit_on_invalid_settings():
         said = _ask(sheet, f"close {period}")
     _told(said)
 
@@ -254,7 +254,7 @@
 @click.option("--why", required=True)
 def correct(sheet: Path, dialogue: str, change: int, who: str, why: str) -> None:
     """Correct what is billed of a DIALOGUE (ORIGIN/NUMBER) by CHANGE us; a credit is under nought."""
-    with told_plainly():
+    with exit_on_invalid_settings():
         said = _ask(sheet, f"correct {dialogue} {change} {_quoted(who)} {_quoted(why)}")
     _told(said)
 
@@ -274,7 +274,7 @@
 
 
 def _status(sheet: Path, names: tuple[str, ...]) -> None:
-    with told_plainly():
+    with exit_on_invalid_settings():
         said = _ask(sheet, "")
     try:
         plain = msgspec.json.decode(said.encode())
@@ -291,11 +291,11 @@
 def audit(folder: Path) -> None:
     """Hold the ledgers of a day against its captures: FOLDER is that of `day play --processes --capture FOLDER`, of a
     day with `ledger: true`. Exit 1 where a dialogue is billed otherwise than it stood."""
-    with told_plainly():
+    with exit_on_invalid_settings():
         try:
             found = ledger_day.audit(folder)
         except (BadCapture, StoreError) as fault:
-            raise Faults(str(folder), [str(fault)]) from None
+            raise InvalidSettings(str(folder), [str(fault)]) from None
     for word in [*found.faults, *found.wrong, *found.lost][:MOST_UNRATED]:
         click.echo(word)
     click.echo(
@@ -315,13 +315,13 @@
 @click.option("--halves", default=0.0, help="share of files of which half is taken")
 def accounting(folder: Path, key: Path, once: bool, loses: float, halves: float) -> None:
     """Play the accounting side on the export FOLDER: book each file once, in FOLDER/books. For trials."""
-    with told_plainly():
+    with exit_on_invalid_settings():
         both = read_export_key(key)
         try:
             folder.mkdir(parents=True, exist_ok=True)
             engine = Engine(str(folder / "books"))
         except (StoreError, OSError) as fault:
-            raise Faults(str(folder), [str(fault)]) from None
+            raise InvalidSettings(str(folder), [str(fault)]) from None
     (folder / "back").mkdir(exist_ok=True)
     side = Accounting(engine, {}, Ills(loses, 0.0, 0.0, halves), random.Random(1))
     count = 0
--- a/wellhitch/cli/platform.py
+++ b/wellhitch/cli/platform.py
@@ -9,13 +9,13 @@
 
 import click
 
-from wellhitch.cli.errors import told_plainly
+from wellhitch.cli.errors import exit_on_invalid_settings
 from wellhitch.net.collector import freeze_startup_objects
 from wellhitch.net.transport import LoopNetwork, only_numeric
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.platform.event_log import EventLog
 from wellhitch.platform.service import ACCEPT_BACKLOG, Service, descriptor_shares
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 
 STDERR = 2
 # However long the settings let a connection take: one that is lost is tried again, and what discovery has when it can
@@ -36,7 +36,7 @@
     if not path:
         click.echo("LB_CONFIG = '': no file is named", err=True)
         sys.exit(2)
-    with told_plainly():
+    with exit_on_invalid_settings():
         configuration = read_configuration(path)
     loop = asyncio.new_event_loop()
     log = EventLog(STDERR)
@@ -58,7 +58,7 @@
     def hangup() -> None:
         try:
             service.reconfigure(read_configuration(path))
-        except Faults as faults:  # the one in force stays
+        except InvalidSettings as faults:  # the one in force stays
             log("configuration_refused", why=str(faults))
 
     loop.add_signal_handler(signal.SIGTERM, service.stop)
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -13,8 +13,8 @@
 import click
 import msgspec
 
-from wellhitch.cli.check import read_sheet
-from wellhitch.cli.errors import told_plainly
+from wellhitch.cli.check import read_server_settings
+from wellhitch.cli.errors import exit_on_invalid_settings
 from wellhitch.cli.logs import set_up
 from wellhitch.hooks.state_file import MAX_STATE_BYTES
 from wellhitch.ledger.entries import NumberKeys
@@ -24,8 +24,8 @@
 from wellhitch.net.transport import LoopbackNetwork, now_us
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
 from wellhitch.server.hook_runner import WallClock
-from wellhitch.settings.checked import Faults
-from wellhitch.settings.sheet import Sheet, opened
+from wellhitch.settings.checked import InvalidSettings
+from wellhitch.settings.server import ServerSettings, opening_event
 from wellhitch.store.files import read_file
 from wellhitch.store.system import SystemDisk
 
@@ -48,14 +48,14 @@
     \b
     Example: wellhitch serve fleet/exchange-3.jsonnet
     """
-    with told_plainly():
-        sheet = read_sheet(file)
+    with exit_on_invalid_settings():
+        sheet = read_server_settings(file)
         keys, accounting = read_number_keys(sheet, file), read_accounting_channel(sheet, file)
     sys.exit(asyncio.run(_serve(sheet, file, log_level, keys, accounting)))
 
 
-def read_number_keys(sheet: Sheet, file: Path) -> NumberKeys:
-    """The keys for called numbers that a sheet names. Raises Faults."""
+def read_number_keys(sheet: ServerSettings, file: Path) -> NumberKeys:
+    """The keys for called numbers that a sheet names. Raises InvalidSettings."""
     if not sheet.ledger or not sheet.ledger.number_keys:
         return NumberKeys({})
     path = file.parent / sheet.ledger.number_keys
@@ -63,22 +63,22 @@
         plain = msgspec.json.decode(read_file(path, MOST_KEYS), type=dict[str, str])
         return NumberKeys({int(number): bytes.fromhex(key) for number, key in plain.items()})
     except (OSError, msgspec.MsgspecError, ValueError) as fault:
-        raise Faults(str(path), [f"ledger.number_keys: {fault}"]) from None
+        raise InvalidSettings(str(path), [f"ledger.number_keys: {fault}"]) from None
 
 
 def read_export_key(path: Path) -> bytes:
-    """The key of the two sides of the export. Raises Faults."""
+    """The key of the two sides of the export. Raises InvalidSettings."""
     try:
         key = bytes.fromhex(read_file(path, MOST_KEYS).decode().strip())
     except (OSError, ValueError) as fault:
-        raise Faults(str(path), [f"ledger.export_key: {fault}"]) from None
+        raise InvalidSettings(str(path), [f"ledger.export_key: {fault}"]) from None
     if len(key) != 32:
-        raise Faults(str(path), [f"ledger.export_key: {len(key)} bytes, not 32"])
+        raise InvalidSettings(str(path), [f"ledger.export_key: {len(key)} bytes, not 32"])
     return key
 
 
-def read_accounting_channel(sheet: Sheet, file: Path) -> AccountingChannel | None:
-    """The way to the accounting side that a sheet names. Raises Faults."""
+def read_accounting_channel(sheet: ServerSettings, file: Path) -> AccountingChannel | None:
+    """The way to the accounting side that a sheet names. Raises InvalidSettings."""
     if not sheet.ledger or not sheet.ledger.export:
         return None
     key = read_export_key(file.parent / sheet.ledger.export_key)
@@ -86,7 +86,11 @@
 
 
 def _ledger(
-    sheet: Sheet, disk: SystemDisk, keys: NumberKeys, epoch: float, accounting: AccountingChannel | None
+    sheet: ServerSettings,
+    disk: SystemDisk,
+    keys: NumberKeys,
+    epoch: float,
+    accounting: AccountingChannel | None,
 ) -> MakeDesk:
     """The desk of a sheet's ledger. `epoch`: the wall clock's seconds when the loop's were nought."""
     line = sheet.ledger
@@ -150,7 +154,7 @@
 
 
 async def _serve(
-    sheet: Sheet, file: Path, log_level: str, keys: NumberKeys, accounting: AccountingChannel | None
+    sheet: ServerSettings, file: Path, log_level: str, keys: NumberKeys, accounting: AccountingChannel | None
 ) -> int:
     loop = asyncio.get_running_loop()
     logger = set_up(log_level)
@@ -175,14 +179,14 @@
     daemon = Daemon(
         loop,
         LoopbackNetwork(loop),
-        opened(sheet),
+        opening_event(sheet),
         doors,
         sheet.limits.max_open,
         boot,
         log,
         hooks=sheet.hooks,
         clock=wall_clock(time.time(), now_us(loop)),
-        reread=lambda: read_sheet(file).hooks,
+        reread=lambda: read_server_settings(file).hooks,
         ledger=make_desk,
     )
     loop.set_exception_handler(trouble)
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -26,7 +26,14 @@
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
 from wellhitch.server.switch import Outlet, Switch
 from wellhitch.settings.day import Day
-from wellhitch.settings.sheet import DoorLine, LedgerLine, Sheet, UseCaseLine, opened, span
+from wellhitch.settings.server import (
+    LedgerSettings,
+    ListenerSettings,
+    ServerSettings,
+    TrafficClassSettings,
+    duration_us,
+    opening_event,
+)
 from wellhitch.stand_ins.troubles import CannotPlay
 
 
@@ -55,14 +62,14 @@
         return known
 
 
-def sheet_of(day: Day, number: int, addresses: HostAddresses | LoopbackAddresses) -> Sheet:
+def sheet_of(day: Day, number: int, addresses: HostAddresses | LoopbackAddresses) -> ServerSettings:
     """The sheet of one call server of a day."""
     host = f"server-{number}"
     cases = [
-        UseCaseLine(**{name: getattr(case, name) for name in UseCaseLine.__struct_fields__})
+        TrafficClassSettings(**{name: getattr(case, name) for name in TrafficClassSettings.__struct_fields__})
         for case in day.use_cases
     ]
-    return Sheet(
+    return ServerSettings(
         number=number,
         seed=day.seed * 1000 + number,
         peers=len(day.exchanges) - 1,
@@ -70,8 +77,10 @@
         rules=day.rules,
         limits=day.limits,
         hooks=day.hooks,
-        ledger=LedgerLine(f"ledger-{number}", [one.number for one in day.exchanges]) if day.ledger else None,
-        doors=DoorLine(
+        ledger=LedgerSettings(f"ledger-{number}", [one.number for one in day.exchanges])
+        if day.ledger
+        else None,
+        doors=ListenerSettings(
             callers=addresses.of(host, "callers"),
             register=addresses.of("register", "list"),
             peers=addresses.of(host, "peers"),
@@ -81,7 +90,7 @@
     )
 
 
-def doors_of(sheet: Sheet) -> Doors:
+def doors_of(sheet: ServerSettings) -> Doors:
     """The doors of a sheet, as the daemon takes them."""
     d = sheet.doors
     return Doors(d.callers, d.peers, d.operators, d.register, d.centre)
@@ -89,7 +98,7 @@
 
 def zone_delay(day: Day) -> Callable[[str, str], int]:
     """One-way times between the hosts of a day."""
-    here, same, cross = span(day.net.here), span(day.net.same), span(day.net.cross)
+    here, same, cross = duration_us(day.net.here), duration_us(day.net.same), duration_us(day.net.cross)
     zones = {one.number: one.zone for one in day.exchanges}
     known: dict[tuple[str, str], int] = {}
 
@@ -148,7 +157,7 @@
         daemon = self.daemons[number] = Daemon(
             loop,
             network,
-            opened(sheet),
+            opening_event(sheet),
             doors_of(sheet),
             sheet.limits.max_open,
             boot,
--- a/wellhitch/lab/from_bench.py
+++ b/wellhitch/lab/from_bench.py
@@ -7,7 +7,7 @@
 from collections import defaultdict
 from typing import Any
 
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 
 Plain = dict[str, Any]
 
@@ -164,15 +164,17 @@
 
 
 def convert(bench: Any, name: str, seed: int) -> tuple[Plain, list[str]]:
-    """Our day and the lines that tell what was not carried over. Raises Faults where the day cannot be ours."""
+    """Our day and the lines that tell what was not carried over. Raises InvalidSettings where it cannot be ours."""
     if not isinstance(bench, dict) or not isinstance(bench.get("fam"), dict):
-        raise Faults(name, ["not a day file of the bench: no object with `fam`"])
+        raise InvalidSettings(name, ["not a day file of the bench: no object with `fam`"])
     missing = sorted(READ - set(bench)) + sorted(f"fam.{key}" for key in FAM_READ - set(bench["fam"]))
     if missing:
-        raise Faults(name, [f"{key}: missing" for key in missing])
+        raise InvalidSettings(name, [f"{key}: missing" for key in missing])
     fam = bench["fam"]
     if fam["pools"]:
-        raise Faults(name, ["fam.pools = true: pools of agents are not played, only meshes of exchanges"])
+        raise InvalidSettings(
+            name, ["fam.pools = true: pools of agents are not played, only meshes of exchanges"]
+        )
     notes = [f"{key}: not carried over: {NOT_CARRIED[key]}" for key in bench if key in NOT_CARRIED]
     notes += [
         f"{key}: not known, not carried over" for key in bench if key not in NOT_CARRIED and key not in READ
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -20,7 +20,7 @@
 from wellhitch.ledger.service import STORE, AccountingChannel
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
-from wellhitch.settings.sheet import span
+from wellhitch.settings.server import duration_us
 from wellhitch.stand_ins.accounting import Accounting, Booked, Ills
 from wellhitch.stand_ins.town import Town
 from wellhitch.stand_ins.troubles import schedule
@@ -106,12 +106,12 @@
         town.begin()
         schedule(town)
         second = day.exchanges[1].number
-        loop.advance(span(day.length) / 2e6)
+        loop.advance(duration_us(day.length) / 2e6)
         old = fleet.disks[second].after_kill()
-        loop.advance(span(day.length) / 2e6)
+        loop.advance(duration_us(day.length) / 2e6)
         town.finish()
         spent = 0.0
-        while town.open and spent < span(day.tail) / 1e6:
+        while town.open and spent < duration_us(day.tail) / 1e6:
             loop.advance(0.5)
             spent += 0.5
         for callers in town.callers.values():
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -16,7 +16,7 @@
 from wellhitch.net.transport import LoopbackNetwork
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
-from wellhitch.settings.sheet import span
+from wellhitch.settings.server import duration_us
 from wellhitch.stand_ins.town import Town
 from wellhitch.stand_ins.troubles import schedule
 from wellhitch.trunk.capture import Capture, read_capture, read_folder
@@ -50,7 +50,7 @@
 
 
 class VirtualWire:
-    """Faults of links on the emulated network."""
+    """InvalidSettings of links on the emulated network."""
 
     def __init__(self, net: EmulatedNetwork) -> None:
         self.net = net
@@ -134,7 +134,7 @@
     advance(COME_UP_S)
     town.begin()
     schedule(town)
-    whole = span(day.length) / 1e6
+    whole = duration_us(day.length) / 1e6
     done = 0.0
     while done < whole:
         step = min(1.0, whole - done)
@@ -143,7 +143,7 @@
         if progress:
             progress(done, town.open)
     town.finish()
-    tail = span(day.tail) / 1e6
+    tail = duration_us(day.tail) / 1e6
     spent = 0.0
     while town.open and spent < tail:
         advance(0.5)
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -9,7 +9,7 @@
 from wellhitch.board import codec as board
 from wellhitch.interface.events import Opened
 from wellhitch.net.transport import only_numeric, split
-from wellhitch.settings.checked import Faults, read_open, shown
+from wellhitch.settings.checked import InvalidSettings, read_lenient, shown
 
 # A file with hundreds of updates under `known` has some tens of thousands of bytes.
 MAX_FILE_BYTES = 4 * 1024 * 1024
@@ -121,19 +121,19 @@
 
 
 def read_configuration(path: str) -> Configuration:
-    """Read and validate the file. Raises Faults naming the file, the field and its value."""
+    """Read and validate the file. Raises InvalidSettings naming the file, the field and its value."""
     try:
         with open(path, "rb") as file:
             raw = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise Faults(path, [f"cannot be read: {error.strerror}"]) from None
+        raise InvalidSettings(path, [f"cannot be read: {error.strerror}"]) from None
     if len(raw) > MAX_FILE_BYTES:
-        raise Faults(path, [f"larger than {MAX_FILE_BYTES} bytes"])
+        raise InvalidSettings(path, [f"larger than {MAX_FILE_BYTES} bytes"])
     try:
         value = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Faults(path, [f"not JSON: {error}"]) from None
-    decoded = read_open(value, _ConfigurationFile, path)
+        raise InvalidSettings(path, [f"not JSON: {error}"]) from None
+    decoded = read_lenient(value, _ConfigurationFile, path)
     for field, address in (
         ("listen", decoded.listen),
         ("board", decoded.board),
@@ -146,13 +146,15 @@
     try:
         seed = int(decoded.seed, 16)
     except ValueError:
-        raise Faults(path, [f"seed = {shown(decoded.seed)}: not hexadecimal"]) from None
+        raise InvalidSettings(path, [f"seed = {shown(decoded.seed)}: not hexadecimal"]) from None
     if decoded.limits.sockets < MIN_DESCRIPTORS:
-        raise Faults(path, [f"limits.sockets = {decoded.limits.sockets}: less than {MIN_DESCRIPTORS}"])
-    settings = read_open({"settings": decoded.settings}, _SettingsWrapper, path).settings
+        raise InvalidSettings(
+            path, [f"limits.sockets = {decoded.limits.sockets}: less than {MIN_DESCRIPTORS}"]
+        )
+    settings = read_lenient({"settings": decoded.settings}, _SettingsWrapper, path).settings
     opened = read_opened(seed, msgspec.to_builtins(settings))
     if not opened.use_cases:
-        raise Faults(path, ["settings.classes = []: at least one traffic class is required"])
+        raise InvalidSettings(path, ["settings.classes = []: at least one traffic class is required"])
     revision, known_updates = board.read_known_updates(decoded.known, path)
     for update in known_updates:
         for row in update.entries:
@@ -187,4 +189,4 @@
     try:
         only_numeric(split(address)[0])
     except ValueError as error:
-        raise Faults(path, [f"{field} = {shown(address)}: {error}"]) from None
+        raise InvalidSettings(path, [f"{field} = {shown(address)}: {error}"]) from None
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -19,7 +19,7 @@
 from wellhitch.server.hook_runner import NO_CLOCK, Hooked, WallClock
 from wellhitch.server.metrics import exposition
 from wellhitch.server.switch import Outlet, Switch
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel, PersistentChannel
 
@@ -325,7 +325,7 @@
         if word in ("reload", "shadow"):
             try:
                 version = load_version(self.reread(), self.parser) if self.reread else hooks.version
-            except (InvalidHooks, Faults) as bad:
+            except (InvalidHooks, InvalidSettings) as bad:
                 return f"not taken, {hooks.version.digest} runs on\n{bad}"
             if version.digest == hooks.version.digest:
                 return f"{version.digest} runs already"
--- a/wellhitch/settings/checked.py
+++ b/wellhitch/settings/checked.py
@@ -9,7 +9,7 @@
 T = TypeVar("T")
 
 
-class Faults(Exception):
+class InvalidSettings(Exception):
     """What is wrong with settings, one line each."""
 
     def __init__(self, where: str, lines: list[str]) -> None:
@@ -23,20 +23,20 @@
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def faults_of(value: Any, wanted: Any, path: str) -> list[str]:
+def find_errors(value: Any, wanted: Any, path: str) -> list[str]:
     """Every fault of a value beside a type: records and lists are gone through, the rest is msgspec's."""
     origin, args = typing.get_origin(wanted), typing.get_args(wanted)
     if origin in (typing.Union, types.UnionType) and type(None) in args and len(args) == 2:
         inner = args[0] if args[1] is type(None) else args[1]
-        return [] if value is None else faults_of(value, inner, path)
+        return [] if value is None else find_errors(value, inner, path)
     if isinstance(wanted, type) and issubclass(wanted, msgspec.Struct):
         if not isinstance(value, dict):
             return [f"{path or 'the file'} = {shown(value)}: not an object"]
-        return _record_faults(value, wanted, path)
+        return _record_errors(value, wanted, path)
     if origin is list and args:
         if not isinstance(value, list):
             return [f"{path} = {shown(value)}: not a list"]
-        return [line for at, one in enumerate(value) for line in faults_of(one, args[0], f"{path}[{at}]")]
+        return [line for at, one in enumerate(value) for line in find_errors(one, args[0], f"{path}[{at}]")]
     try:
         msgspec.convert(value, wanted, strict=True)
     except msgspec.ValidationError as fault:
@@ -44,7 +44,7 @@
     return []
 
 
-def _record_faults(value: dict[str, Any], wanted: type[msgspec.Struct], path: str) -> list[str]:
+def _record_errors(value: dict[str, Any], wanted: type[msgspec.Struct], path: str) -> list[str]:
     hints = typing.get_type_hints(wanted, include_extras=True)
     known = {one.name: one for one in msgspec.structs.fields(wanted)}
     prefix = f"{path}." if path else ""
@@ -55,29 +55,29 @@
     ]
     for name, one in known.items():
         if name in value:
-            lines += faults_of(value[name], hints[name], prefix + name)
+            lines += find_errors(value[name], hints[name], prefix + name)
         elif one.required:
             lines.append(f"{prefix}{name}: missing")
     return lines
 
 
 def read(value: Any, wanted: type[T], where: str) -> T:
-    """The typed record. Raises Faults with all that is wrong."""
-    lines = faults_of(value, wanted, "")
+    """The typed record. Raises InvalidSettings with all that is wrong."""
+    lines = find_errors(value, wanted, "")
     if lines:
-        raise Faults(where, lines)
+        raise InvalidSettings(where, lines)
     return msgspec.convert(value, wanted)
 
 
-def read_open(value: Any, wanted: type[T], where: str) -> T:
+def read_lenient(value: Any, wanted: type[T], where: str) -> T:
     """The typed record out of what another program wrote: fields it has more are skipped, figures may be text.
-    Raises Faults with the first thing that is wrong, its field and its value."""
+    Raises InvalidSettings with the first thing that is wrong, its field and its value."""
     try:
         return msgspec.convert(value, wanted, strict=False)
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).partition(" - at `$")
         path = path.rstrip("`").lstrip(".")
-        raise Faults(where, [f"{path or 'the file'} = {shown(_at(value, path))}: {text}"]) from None
+        raise InvalidSettings(where, [f"{path or 'the file'} = {shown(_at(value, path))}: {text}"]) from None
 
 
 def _at(value: Any, path: str) -> Any:
--- a/wellhitch/settings/sheet.py
+++ b/wellhitch/settings/server.py
@@ -8,11 +8,11 @@
 
 from wellhitch.interface import events, facts
 from wellhitch.net.transport import is_loopback, split
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.trunk.frames import MAX_EXCHANGES, MAX_WIDTH
 
 # Up to eleven days, whatever the unit: longer ones mean nothing here, and what they add up to must fit a frame.
-Span = Annotated[
+Duration = Annotated[
     str,
     msgspec.Meta(
         pattern=r"^([0-9]{1,12}(\.[0-9]{1,18})?us|[0-9]{1,9}(\.[0-9]{1,18})?ms|[0-9]{1,6}(\.[0-9]{1,18})?s)$",
@@ -26,7 +26,7 @@
 _UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000}
 
 
-def span(text: str) -> int:
+def duration_us(text: str) -> int:
     """Whole microseconds of a span such as `1.5s`. Raises ValueError."""
     match = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)(us|ms|s)", text)
     if not match:
@@ -34,44 +34,44 @@
     return round(float(match[1]) * _UNITS[match[2]])
 
 
-class UseCaseLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class TrafficClassSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One use case, as `interface.facts.UseCase` words it."""
 
     name: Annotated[str, msgspec.Meta(max_length=64)]
     payoff: Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-    agreed_time: Span
-    outer_limit: Span
+    agreed_time: Duration
+    outer_limit: Duration
     late_share: Share = 0.0
     width: Annotated[int, msgspec.Meta(ge=1, le=MAX_WIDTH)] = 1
-    hold: Span = "10s"
+    hold: Duration = "10s"
     repeatable: bool = True
-    repeat_within: Span = "0s"
+    repeat_within: Duration = "0s"
 
 
-class LimitLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What this deployment lets a call server do."""
 
     most_dials: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 5
     may_cancel: bool = True
     may_probe: bool = False
     may_tell_peers: bool = False
-    longest_retry_after: Span = "0s"
+    longest_retry_after: Duration = "0s"
     marks_redials: bool = False
     max_open: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 20_000
 
 
-class RuleLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RuleSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The figures of the five rules."""
 
-    release_wait: Span
-    drain_grace: Span
+    release_wait: Duration
+    drain_grace: Duration
     cold_share: Annotated[float, msgspec.Meta(gt=0, le=1)]
-    cold_for: Span
+    cold_for: Duration
     cold_multiple: Annotated[float, msgspec.Meta(gt=0, le=1000)]
-    cold_window: Span
+    cold_window: Duration
 
 
-class DoorLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ListenerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Where to listen and whom to follow, host:port on loopback; port 0 takes a free one."""
 
     callers: Address
@@ -81,7 +81,7 @@
     centre: Address = ""
 
 
-class LedgerLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LedgerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The ledger. `folder`: where it is kept, relative to the sheet's. `roster`: the numbers of all call servers that
     keep one, which close its periods together. `number_keys`: a file of keys for called numbers,
     `{"1": "64 hex digits"}`, the highest in use; empty: no called number is kept. `export`: the folder that the
@@ -95,25 +95,25 @@
     export_key: str = ""
 
 
-class Sheet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All of one call server. `hooks`: files of the hooks' language by name, their order by name the standing.
     `hooks_state`: a file for what they remember, relative to the sheet's; empty: it is lost with the process."""
 
     number: Annotated[int, msgspec.Meta(ge=0, lt=MAX_EXCHANGES)]
     seed: Count
     peers: Count
-    use_cases: list[UseCaseLine]
-    rules: RuleLine
-    doors: DoorLine
-    limits: LimitLine = LimitLine()
+    use_cases: list[TrafficClassSettings]
+    rules: RuleSettings
+    doors: ListenerSettings
+    limits: LimitSettings = LimitSettings()
     hooks: dict[str, str] = {}
     hooks_state: str = ""
-    ledger: LedgerLine | None = None
+    ledger: LedgerSettings | None = None
 
 
-def check(sheet: Sheet, where: str) -> None:
-    """What holds between fields. Raises Faults."""
-    lines = use_case_faults(sheet.use_cases)
+def check(sheet: ServerSettings, where: str) -> None:
+    """What holds between fields. Raises InvalidSettings."""
+    lines = traffic_class_errors(sheet.use_cases)
     if sheet.ledger:
         roster = sheet.ledger.roster
         lines += [f"ledger.roster = {n}: named twice" for n in sorted(set(roster)) if roster.count(n) > 1]
@@ -139,26 +139,26 @@
         if not is_loopback(host):
             lines.append(f"doors.{name} = {address!r}: a loopback address, such as 127.0.0.1:7000")
     if lines:
-        raise Faults(where, lines)
+        raise InvalidSettings(where, lines)
 
 
-def use_case_faults(uses: Sequence[UseCaseLine]) -> list[str]:
+def traffic_class_errors(uses: Sequence[TrafficClassSettings]) -> list[str]:
     """What is wrong with a list of use cases, beyond each field alone."""
     lines = [] if uses else ["use_cases = []: one at least"]
     names = [use.name for use in uses]
     lines += [f"use_cases = {name!r}: named twice" for name in sorted(set(names)) if names.count(name) > 1]
     for at, use in enumerate(uses):
-        if span(use.agreed_time) < 1000:
+        if duration_us(use.agreed_time) < 1000:
             # The decisions take a quarter of the shortest one as the bound of a delay, and divide by it.
             lines.append(f"use_cases[{at}].agreed_time = {use.agreed_time!r}: 1ms at least")
-        if span(use.agreed_time) > span(use.outer_limit):
+        if duration_us(use.agreed_time) > duration_us(use.outer_limit):
             lines.append(
                 f"use_cases[{at}].agreed_time = {use.agreed_time!r}: over the outer limit {use.outer_limit!r}"
             )
     return lines
 
 
-def opened(sheet: Sheet) -> events.Opened:
+def opening_event(sheet: ServerSettings) -> events.Opened:
     """The start facts that the decisions are told."""
     limits, rules = sheet.limits, sheet.rules
     return events.Opened(
@@ -168,13 +168,13 @@
                 name=use.name,
                 payoff=use.payoff,
                 late_share=use.late_share,
-                agreed_time=span(use.agreed_time),
-                outer_limit=span(use.outer_limit),
+                agreed_time=duration_us(use.agreed_time),
+                outer_limit=duration_us(use.outer_limit),
                 width=use.width,
-                hold=span(use.hold),
+                hold=duration_us(use.hold),
                 pools=(),
                 repeatable=use.repeatable,
-                repeat_within=span(use.repeat_within),
+                repeat_within=duration_us(use.repeat_within),
             )
             for use in sheet.use_cases
         ),
@@ -184,11 +184,11 @@
             limits.may_cancel,
             limits.may_probe,
             limits.may_tell_peers,
-            span(limits.longest_retry_after),
+            duration_us(limits.longest_retry_after),
             limits.marks_redials,
         ),
-        release=facts.ReleaseRule(span(rules.release_wait), span(rules.drain_grace)),
+        release=facts.ReleaseRule(duration_us(rules.release_wait), duration_us(rules.drain_grace)),
         cold=facts.ColdRule(
-            rules.cold_share, span(rules.cold_for), rules.cold_multiple, span(rules.cold_window)
+            rules.cold_share, duration_us(rules.cold_for), rules.cold_multiple, duration_us(rules.cold_window)
         ),
     )
--- a/wellhitch/stand_ins/town.py
+++ b/wellhitch/stand_ins/town.py
@@ -10,8 +10,8 @@
 
 from wellhitch.interface.facts import UseCase
 from wellhitch.net.transport import Network, now_us
-from wellhitch.settings.day import Day, ExchangeLine
-from wellhitch.settings.sheet import span
+from wellhitch.settings.day import Day, ExchangeSettings
+from wellhitch.settings.server import duration_us
 from wellhitch.stand_ins.callers import Callers, Demand, Habits
 from wellhitch.stand_ins.office import Office, Trunks
 from wellhitch.stand_ins.processor import ColdStart, Work
@@ -77,10 +77,10 @@
         self.world = self.recorder(
             "world",
             "world",
-            drain_grace=span(day.rules.drain_grace),
-            release_wait=span(day.rules.release_wait),
+            drain_grace=duration_us(day.rules.drain_grace),
+            release_wait=duration_us(day.rules.release_wait),
             cold_multiple=day.rules.cold_multiple,
-            cold_window=span(day.rules.cold_window),
+            cold_window=duration_us(day.rules.cold_window),
             way=self.ways()[0],
             spread=self.ways()[1],
             day=day.name,
@@ -89,7 +89,7 @@
                 {
                     "name": u.name,
                     "payoff": u.payoff,
-                    "agreed_time": span(u.agreed_time),
+                    "agreed_time": duration_us(u.agreed_time),
                     "late_share": u.late_share,
                 }
                 for u in day.use_cases
@@ -106,7 +106,11 @@
             self.trunks[a].groups[b] = TrunkGroup(group.size)
             self.trunks[b].groups[a] = TrunkGroup(group.size)
         late = day.register
-        waits = {"ready": span(late.add), "draining": span(late.notice), "gone": span(late.silent_notice)}
+        waits = {
+            "ready": duration_us(late.add),
+            "draining": duration_us(late.notice),
+            "gone": duration_us(late.silent_notice),
+        }
         self.register = Register(
             loop=self.loop,
             network=self.network("register"),
@@ -114,7 +118,7 @@
             recorder=self.recorder("register", "register"),
             chance=self.chance("register"),
             late=lambda standing: waits[standing],
-            spread=span(late.spread),
+            spread=duration_us(late.spread),
             boot=1,
         )
         for one in day.exchanges:
@@ -128,8 +132,8 @@
                 self.recorder("centre", "centre"),
                 self.free,
                 sorted(self.trunks),
-                span(day.centre.period),
-                span(day.centre.late),
+                duration_us(day.centre.period),
+                duration_us(day.centre.late),
                 1,
             )
 
@@ -139,9 +143,9 @@
         states it there."""
         net = self.day.net
         zones = {one.zone for one in self.day.exchanges}
-        ways = [span(net.same), *([span(net.cross)] if len(zones) > 1 else [])]
+        ways = [duration_us(net.same), *([duration_us(net.cross)] if len(zones) > 1 else [])]
         longest = int(max(ways) * (1 + net.jitter)) + 1
-        return max(longest, span(net.here)), longest - min(ways)
+        return max(longest, duration_us(net.here)), longest - min(ways)
 
     def now(self) -> int:
         """Time in us."""
@@ -170,9 +174,9 @@
         name = f"office-{number}" if not again else f"office-{number}.{again}"
         cold = ColdStart(
             day.offices.cold_share,
-            span(day.offices.cold_for),
+            duration_us(day.offices.cold_for),
             day.rules.cold_multiple,
-            span(day.rules.cold_window),
+            duration_us(day.rules.cold_window),
         )
         recorder = self.recorder(
             "office",
@@ -181,7 +185,7 @@
             started=started,
             warm_after=cold.warm_after,
             cold_share=cold.share,
-            setup_us=span(line.setup),
+            setup_us=duration_us(line.setup),
         )
         office = Office(
             self.loop,
@@ -191,8 +195,8 @@
             recorder,
             self.chance(name),
             address=self.addresses.of(name, "trunk"),
-            setup_us=span(line.setup),
-            queue_us=span(day.offices.queue),
+            setup_us=duration_us(line.setup),
+            queue_us=duration_us(day.offices.queue),
             work=Work(day.offices.look, day.offices.reject, day.offices.follow, day.offices.word),
             cold=cold,
             started=started,
@@ -228,12 +232,12 @@
             callers = self.callers[line.number] = self._callers(line)
             callers.start()
 
-    def _callers(self, line: ExchangeLine) -> Callers:
+    def _callers(self, line: ExchangeSettings) -> Callers:
         day, name = self.day, f"callers-{line.number}"
         habits = Habits(
             day.callers.retries,
             day.callers.patience,
-            span(day.callers.pause),
+            duration_us(day.callers.pause),
             day.callers.doubles,
             day.callers.heeds,
             day.limits.marks_redials,
@@ -251,8 +255,8 @@
                 {int(to): rate for to, rate in line.calls.items() if rate > 0},
                 self.use_cases(),
                 shape=sorted(day.shape),
-                drift=(span(day.drift.every), day.drift.cv) if day.drift else None,
-                bursts=(span(day.bursts.every), day.bursts.cv) if day.bursts else None,
+                drift=(duration_us(day.drift.every), day.drift.cv) if day.drift else None,
+                bursts=(duration_us(day.bursts.every), day.bursts.cv) if day.bursts else None,
             ),
             habits,
             1,
@@ -266,13 +270,13 @@
                     u.name,
                     u.payoff,
                     u.late_share,
-                    span(u.agreed_time),
-                    span(u.outer_limit),
+                    duration_us(u.agreed_time),
+                    duration_us(u.outer_limit),
                     u.width,
-                    span(u.hold),
+                    duration_us(u.hold),
                     (),
                     u.repeatable,
-                    span(u.repeat_within),
+                    duration_us(u.repeat_within),
                 ),
                 u.share,
             )
--- a/wellhitch/stand_ins/troubles.py
+++ b/wellhitch/stand_ins/troubles.py
@@ -1,18 +1,18 @@
 """What goes wrong on a day: each kind as a pair of what begins and what ends it, on the stand-ins alone.
 
-`TABLE` has every kind of `settings.day.KINDS`; a test holds the two together.
+`TABLE` has every kind of `settings.day.FAULT_KINDS`; a test holds the two together.
 """
 
 import math
 import random
 from collections.abc import Callable
 
-from wellhitch.settings.day import TroubleLine
-from wellhitch.settings.sheet import span
+from wellhitch.settings.day import FaultSettings
+from wellhitch.settings.server import duration_us
 from wellhitch.stand_ins.town import Town
 
 Undo = Callable[[], None]
-Begin = Callable[[Town, TroubleLine], Undo | None]
+Begin = Callable[[Town, FaultSettings], Undo | None]
 
 
 class CannotPlay(Exception):
@@ -24,22 +24,22 @@
     for trouble in town.day.troubles:
         if trouble.kind in _NEED_WIRE and town.wire is None:
             raise CannotPlay(f"trouble {trouble.kind!r} needs the emulated network (--virtual)")
-        town.loop.call_later(span(trouble.at) / 1e6, _begin, town, trouble)
+        town.loop.call_later(duration_us(trouble.at) / 1e6, _begin, town, trouble)
 
 
-def _begin(town: Town, trouble: TroubleLine) -> None:
+def _begin(town: Town, trouble: FaultSettings) -> None:
     town.world.note("trouble", kind=trouble.kind, on=trouble.on, size=trouble.size)
     undo = TABLE[trouble.kind](town, trouble)
     if undo is not None:
-        town.loop.call_later(span(trouble.length) / 1e6, _end, town, trouble, undo)
+        town.loop.call_later(duration_us(trouble.length) / 1e6, _end, town, trouble, undo)
 
 
-def _end(town: Town, trouble: TroubleLine, undo: Undo) -> None:
+def _end(town: Town, trouble: FaultSettings, undo: Undo) -> None:
     town.world.note("trouble_over", kind=trouble.kind)
     undo()
 
 
-def _on(town: Town, trouble: TroubleLine) -> list[int]:
+def _on(town: Town, trouble: FaultSettings) -> list[int]:
     return trouble.on or sorted(town.offices)
 
 
@@ -62,12 +62,12 @@
     return undo
 
 
-def slow(town: Town, t: TroubleLine) -> Undo:
+def slow(town: Town, t: FaultSettings) -> Undo:
     """`size` times slower."""
     return _slower(town, _on(town, t), max(t.size, 0.01))
 
 
-def hang(town: Town, t: TroubleLine) -> Undo:
+def hang(town: Town, t: FaultSettings) -> Undo:
     """Work is taken and nothing comes of it."""
     struck = [town.offices[number].processor for number in _on(town, t)]
     for processor in struck:
@@ -80,7 +80,7 @@
     return undo
 
 
-def neighbour(town: Town, t: TroubleLine) -> Undo:
+def neighbour(town: Town, t: FaultSettings) -> Undo:
     """Other work takes `size` of the processor, on and off every `extra` seconds."""
     over = [False]
 
@@ -97,12 +97,12 @@
     return lambda: over.__setitem__(0, True)
 
 
-def ageing(town: Town, t: TroubleLine) -> Undo:
+def ageing(town: Town, t: FaultSettings) -> Undo:
     """Slower and slower, up to `size` times; dead at the end, and back `extra` seconds later, cold."""
     numbers, steps = _on(town, t), 20
     step = max(1.0, t.size) ** (1 / steps)
     for at in range(steps):
-        _later(town, span(t.length) / 1e6 * at / steps, _slower, town, numbers, step)
+        _later(town, duration_us(t.length) / 1e6 * at / steps, _slower, town, numbers, step)
 
     def undo() -> None:
         for number in numbers:
@@ -118,24 +118,24 @@
     _later(town, back_after, lambda: town.new_office(number, town.now()))
 
 
-def crash(town: Town, t: TroubleLine) -> None:
+def crash(town: Town, t: FaultSettings) -> None:
     """The processor dies and comes back after `length`, cold."""
     for number in _on(town, t):
-        _crash(town, number, span(t.length) / 1e6)
+        _crash(town, number, duration_us(t.length) / 1e6)
 
 
-def mass_restart(town: Town, t: TroubleLine) -> None:
+def mass_restart(town: Town, t: FaultSettings) -> None:
     """Many die at once and are back after `length`, cold, all together."""
     crash(town, t)
 
 
-def deploy(town: Town, t: TroubleLine) -> None:
+def deploy(town: Town, t: FaultSettings) -> None:
     """New processors take the place of the old, `size` of all at a time; each drains for `extra` seconds."""
     numbers = _on(town, t)
     batch = max(1, round(t.size * len(town.offices)))
     batches = [numbers[at : at + batch] for at in range(0, len(numbers), batch)]
     for at, lot in enumerate(batches):
-        _later(town, span(t.length) / 1e6 * at / len(batches), _replace, town, lot, t.extra)
+        _later(town, duration_us(t.length) / 1e6 * at / len(batches), _replace, town, lot, t.extra)
 
 
 def _replace(town: Town, numbers: list[int], drain: float) -> None:
@@ -155,37 +155,37 @@
             town.tell(office, "gone")
 
 
-def errors(town: Town, t: TroubleLine) -> Undo:
+def errors(town: Town, t: FaultSettings) -> Undo:
     """`size` of all set-ups fail at once."""
     return _ill(town, t, "error_rate", t.size, town.day.offices.error_rate)
 
 
-def answer_lost(town: Town, t: TroubleLine) -> Undo:
+def answer_lost(town: Town, t: FaultSettings) -> Undo:
     """`size` of the answers do not come: silence, or where `how` says so a reset."""
     return _ill(town, t, "reset_answers" if t.how == "reset" else "lost_answers", t.size, 0.0)
 
 
-def answer_twice(town: Town, t: TroubleLine) -> Undo:
+def answer_twice(town: Town, t: FaultSettings) -> Undo:
     """`size` of the answers come twice."""
     return _ill(town, t, "twice", t.size, 0.0)
 
 
-def answer_after_release(town: Town, t: TroubleLine) -> Undo:
+def answer_after_release(town: Town, t: FaultSettings) -> Undo:
     """An answer comes once more when the dial is released or cancelled."""
     return _ill(town, t, "after_release", True, False)
 
 
-def garbage(town: Town, t: TroubleLine) -> Undo:
+def garbage(town: Town, t: FaultSettings) -> Undo:
     """The next answer of each office is a frame of garbage."""
     return _ill(town, t, "garbage", True, False)
 
 
-def report_late(town: Town, t: TroubleLine) -> Undo:
+def report_late(town: Town, t: FaultSettings) -> Undo:
     """Load reports are `size` seconds older."""
     return _ill(town, t, "reports_late", int(t.size * 1e6), 0)
 
 
-def _ill(town: Town, t: TroubleLine, name: str, during: object, after: object) -> Undo:
+def _ill(town: Town, t: FaultSettings, name: str, during: object, after: object) -> Undo:
     struck = [town.offices[number].ills for number in _on(town, t)]
     for ills in struck:
         setattr(ills, name, during)
@@ -200,7 +200,7 @@
 # ---- callers ----
 
 
-def burst(town: Town, t: TroubleLine) -> Undo:
+def burst(town: Town, t: FaultSettings) -> Undo:
     """All callers call `size` times as often."""
     return _demand(town, _on(town, t), t.size)
 
@@ -217,7 +217,7 @@
     return undo
 
 
-def hot_caller(town: Town, t: TroubleLine) -> Undo:
+def hot_caller(town: Town, t: FaultSettings) -> Undo:
     """A few exchanges get `size` of all dialogues on top of their own."""
     numbers = _on(town, t)
     total = sum(sum(c.demand.to.values()) for c in town.callers.values())
@@ -225,7 +225,7 @@
     return _demand(town, numbers, 1 + t.size * total / mine)
 
 
-def hot_number(town: Town, t: TroubleLine) -> Undo:
+def hot_number(town: Town, t: FaultSettings) -> Undo:
     """`size` of all dialogues call one number of the first exchange named."""
     struck = [callers.demand for callers in town.callers.values()]
     for demand in struck:
@@ -238,7 +238,7 @@
     return undo
 
 
-def give_up(town: Town, t: TroubleLine) -> Undo:
+def give_up(town: Town, t: FaultSettings) -> Undo:
     """`size` of the callers wait for but `extra` of their usual patience, and do not try again."""
     short = (min(1.0, t.size), t.extra or 0.5)
     for callers in town.callers.values():
@@ -254,7 +254,7 @@
 # ---- groups ----
 
 
-def origin_slow(town: Town, t: TroubleLine) -> Undo:
+def origin_slow(town: Town, t: FaultSettings) -> Undo:
     """Groups between the zone of the first exchange named and the others keep 1 / root(`size`) of their
     circuits; calls on the lost ones are cut."""
     zone = town.zones[_on(town, t)[0]]
@@ -293,7 +293,7 @@
 # ---- links, lists, call servers ----
 
 
-def _pairs(town: Town, t: TroubleLine) -> list[tuple[str, str]]:
+def _pairs(town: Town, t: FaultSettings) -> list[tuple[str, str]]:
     return [
         (f"server-{server}", town.host_of(number))
         for number in _on(town, t)
@@ -302,7 +302,7 @@
     ]
 
 
-def link_cut(town: Town, t: TroubleLine) -> None:
+def link_cut(town: Town, t: FaultSettings) -> None:
     """Every link to these offices is reset, `size` times with `extra` seconds between."""
     assert town.wire is not None
     for at in range(max(1, int(t.size))):
@@ -312,10 +312,10 @@
 
 def _spoil(
     what: str,
-    pairs_of: Callable[[Town, TroubleLine], list[tuple[str, str]]] = _pairs,
-    how: Callable[[TroubleLine], bool | int] = lambda t: True,
+    pairs_of: Callable[[Town, FaultSettings], list[tuple[str, str]]] = _pairs,
+    how: Callable[[FaultSettings], bool | int] = lambda t: True,
 ) -> Begin:
-    def begin(town: Town, t: TroubleLine) -> Undo:
+    def begin(town: Town, t: FaultSettings) -> Undo:
         wire = town.wire
         assert wire is not None
         pairs = pairs_of(town, t)
@@ -335,7 +335,7 @@
     return begin
 
 
-def _between_servers(town: Town, t: TroubleLine) -> list[tuple[str, str]]:
+def _between_servers(town: Town, t: FaultSettings) -> list[tuple[str, str]]:
     """Links over which the call servers of these exchanges tell each other words."""
     return [
         (f"server-{here}", f"server-{there}")
@@ -345,12 +345,12 @@
     ]
 
 
-def answer_reordered(town: Town, t: TroubleLine) -> Undo:
+def answer_reordered(town: Town, t: FaultSettings) -> Undo:
     """`size` of the answers come after others that were said later."""
     return _ill(town, t, "reordered", t.size, 0.0)
 
 
-def reads_nothing(town: Town, t: TroubleLine) -> Undo:
+def reads_nothing(town: Town, t: FaultSettings) -> Undo:
     """These offices stop reading."""
     struck = [town.offices[number] for number in _on(town, t)]
     for office in struck:
@@ -363,7 +363,7 @@
     return undo
 
 
-def mid_frame_reset(town: Town, t: TroubleLine) -> None:
+def mid_frame_reset(town: Town, t: FaultSettings) -> None:
     """Each link of these offices ends in the middle of a frame."""
     for number in _on(town, t):
         for port in list(town.offices[number].ports):
@@ -372,18 +372,18 @@
                 port.transport.abort()
 
 
-def list_goes_back(town: Town, t: TroubleLine) -> Undo:
+def list_goes_back(town: Town, t: FaultSettings) -> Undo:
     """The register tells an old list after each new one."""
     town.register.goes_back = True
     return lambda: setattr(town.register, "goes_back", False)
 
 
-def register_restart(town: Town, t: TroubleLine) -> None:
+def register_restart(town: Town, t: FaultSettings) -> None:
     """The register restarts with a list `size` revisions old."""
     town.register.restart(int(t.size))
 
 
-def server_killed(town: Town, t: TroubleLine) -> Undo:
+def server_killed(town: Town, t: FaultSettings) -> Undo:
     """The call servers are ended outright, and started again after `length`."""
     numbers = [number for number in _on(town, t) if number not in town.down]
     town.down.update(numbers)
@@ -400,7 +400,7 @@
     return undo
 
 
-def server_paused(town: Town, t: TroubleLine) -> Undo:
+def server_paused(town: Town, t: FaultSettings) -> Undo:
     """The call servers' processes stand still for `length`."""
     numbers = [number for number in _on(town, t) if number not in town.down]
     town.down.update(numbers)
@@ -417,7 +417,7 @@
     return undo
 
 
-def server_stalls(town: Town, t: TroubleLine) -> Undo:
+def server_stalls(town: Town, t: FaultSettings) -> Undo:
     """The call servers' loops stand still for `size` ms, again `extra` seconds later, each at times of its own. The
     judge is not told: a call server does what it owes in spite of it."""
     over = [False]
