--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,13 +29,13 @@
     world = World()
     caller = world.establish(A)
     [new] = world.offices[1].said("new")
-    assert (new.ref, new.f["class"], new.f["key"], new.d) == (
+    assert (new.call_id, new.fields["class"], new.fields["key"], new.description) == (
         A,
         "cheap",
         "7f3a9c21e0b4d655",
         "caller's own\r\n",
     )
-    assert 900 <= int(str(new.f["left"])) < 1000
+    assert 900 <= int(str(new.fields["left"])) < 1000
     [answer] = [one for _, one in caller.heard]
     assert answer.body == b"office's own\r\n" and answer.headers["cseq"] == "1 INVITE"
     world.offices[1].down(A, 16)
@@ -51,7 +51,9 @@
     first, other = world.establish(A), world.caller()
     other.say(plain("BYE", A))
     world.run(0.1)
-    assert other.statuses(A, "BYE") == [200] and [line.c for line in world.offices[1].said("down")] == [16]
+    assert other.statuses(A, "BYE") == [200] and [line.cause for line in world.offices[1].said("down")] == [
+        16
+    ]
     assert not first.byes(A) and not other.byes(A) and not world.core.exchange.dialogues
 
 
@@ -206,7 +208,7 @@
     world.offices[1].raw(A, f'{{"t":"up","ref":"{A}","f":{{}}}}\n'.encode())
     world.run(0.02)
     assert world.counts["ending.reset"] == 1 and caller.statuses(A) == []
-    assert [line.c for line in world.offices[1].said("down")] == [16]
+    assert [line.cause for line in world.offices[1].said("down")] == [16]
 
 
 # ---- cancellation ----
@@ -221,7 +223,7 @@
     caller.say(plain("CANCEL", A))
     world.run(0.1)
     assert caller.statuses(A, "CANCEL") == [200] and caller.statuses(A) == [487]
-    assert [line.c for line in world.offices[1].said("down")] == [16]
+    assert [line.cause for line in world.offices[1].said("down")] == [16]
     world.offices[1].up(A)
     world.run(3)
     assert caller.statuses(A) == [487] and not caller.byes(A) and not world.core.pending_calls
@@ -232,7 +234,7 @@
     caller = world.establish(A)
     caller.say(plain("CANCEL", A))
     world.run(0.1)
-    assert len(caller.byes(A)) == 1 and [line.c for line in world.offices[1].said("down")] == [16]
+    assert len(caller.byes(A)) == 1 and [line.cause for line in world.offices[1].said("down")] == [16]
     assert not world.core.calls
 
 
@@ -282,7 +284,7 @@
     assert world.run_until(1, lambda: call_id(2) in world.offices[1].by_ref)
     caller.close()
     world.run(0.1)
-    assert [line.ref for line in world.offices[1].said("down")] == [call_id(2)] and A in world.core.calls
+    assert [line.call_id for line in world.offices[1].said("down")] == [call_id(2)] and A in world.core.calls
 
 
 def test_simultaneous_releases_from_both_ends_end_the_call_once() -> None:
@@ -543,7 +545,7 @@
     caller.say(invite(call_id(2), 2, more=";transit:1"))
     world.run(0.1)
     assert caller.statuses(A) == [503] and caller.statuses(call_id(2)) == [200]
-    assert not [line for line in world.offices[2].said("new") if line.ref == A]
+    assert not [line for line in world.offices[2].said("new") if line.call_id == A]
 
 
 # ---- discovery ----
@@ -836,7 +838,7 @@
     assert late_caller.statuses(call_id(3)) == [200]
     world.run(3)
     assert world.stopped and len(caller.statuses(call_id(2))) == 1
-    assert not caller.byes(A) and not [line for line in world.offices[1].said("down") if line.ref == A]
+    assert not caller.byes(A) and not [line for line in world.offices[1].said("down") if line.call_id == A]
 
 
 def test_shutdown_ends_before_the_kill() -> None:
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -196,8 +196,8 @@
 @given(st.lists(st.integers(0, 400), max_size=12))
 def test_line_decoding_does_not_depend_on_chunk_boundaries(at: list[int]) -> None:
     got, limit = decode_lines(split_at(OFFICE_LINES, at))
-    assert not limit and [one.t for one in got] == ["gauge", "up", "down"]
-    assert got[2].c == 34 and got[1].d == "9d\r\n"  # numbers may come as strings
+    assert not limit and [one.type for one in got] == ["gauge", "up", "down"]
+    assert got[2].cause == 34 and got[1].description == "9d\r\n"  # numbers may come as strings
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(0, 400), max_size=5))
--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -291,7 +291,7 @@
     assert caller.byes(A)
     heal(world)
     world.run(1)
-    assert [line.ref for line in world.offices[1].said("down")] == [A]
+    assert [line.call_id for line in world.offices[1].said("down")] == [A]
 
 
 def test_machine_restarted_at_its_address_has_lost_its_calls() -> None:
@@ -392,11 +392,11 @@
     conditions.silent = conditions.swallowed = False
     world.net.cut(SERVER, OFFICE_HOST)  # what was written while it was silent never arrives
     world.run(1)
-    assert [line.ref for line in world.offices[1].said("down")] == [A]
+    assert [line.call_id for line in world.offices[1].said("down")] == [A]
     world.run(3)
     world.net.cut(SERVER, OFFICE_HOST)
     world.run(1)
-    assert [line.ref for line in world.offices[1].said("down")] == [
+    assert [line.call_id for line in world.offices[1].said("down")] == [
         A
     ]  # not again, as bytes were received since
 
@@ -449,9 +449,9 @@
         assert end.transport is not None
         end.transport.abort()
     world.run(0.5)
-    came = [line.t for line in office.said("new") + office.said("down") if line.ref == A]
+    came = [line.type for line in office.said("new") + office.said("down") if line.call_id == A]
     assert came == ["new", "new", "down"]
-    kinds = [line.t for _, line in office.took if line.ref == A]
+    kinds = [line.type for _, line in office.took if line.call_id == A]
     assert kinds == ["new", "down", "new"]
     office.up(A)
     world.run(0.1)
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -116,7 +116,7 @@
     world.run(3.4005)  # closing has begun; the caller has not read it yet
     caller.say(plain("BYE", A))
     world.run(0.1)
-    assert [line.ref for line in world.offices[1].said("down")] == [A]
+    assert [line.call_id for line in world.offices[1].said("down")] == [A]
 
 
 def test_caller_that_never_closes_its_side_does_not_delay_the_shutdown() -> None:
@@ -179,7 +179,7 @@
     world.run(0.05)
     caller.say(b"\x00 noise\r\n\r\n")
     world.run(0.02)
-    assert not world.core.owed and [line.ref for line in world.offices[1].said("down")] == [A]
+    assert not world.core.owed and [line.call_id for line in world.offices[1].said("down")] == [A]
     assert not world.core.exchange.dialogues
     world.run(0.1)
     assert caller.statuses(A) == [500] and caller.closed
--- a/wellhitch/lab/trials/endpoint.py
+++ b/wellhitch/lab/trials/endpoint.py
@@ -240,27 +240,27 @@
     def _read(self, peer: _Peer, data: bytes) -> None:
         peer.last_read = self.loop.time()
         for line in peer.decoder.feed(data):
-            if line.t == "new":
+            if line.type == "new":
                 self._set_up(peer, line)
-            elif line.t == "down":
+            elif line.type == "down":
                 self._released(peer, line)
-            elif line.t == "hb":
+            elif line.type == "hb":
                 load = self._load().decode()
                 self._write(
                     peer.connection,
-                    f'{{"t":"hb_ok","ref":"{line.ref}","f":{{"load":"{load}"}},"c":1}}\n'.encode(),
+                    f'{{"t":"hb_ok","ref":"{line.call_id}","f":{{"load":"{load}"}},"c":1}}\n'.encode(),
                 )
 
     def _set_up(self, peer: _Peer, line: lines.Line) -> None:
         detail = READ_LATE if self._reads_late(peer) else ""
-        self._note(Seen.SETUP_RECEIVED, line.ref, peer.server, detail=detail)
-        up = self.calls.get(line.ref)
+        self._note(Seen.SETUP_RECEIVED, line.call_id, peer.server, detail=detail)
+        up = self.calls.get(line.call_id)
         if (
             up is not None and up.answered
         ):  # its answer was lost on the way, and it is set up again under its id
-            self._write(peer.connection, self._answer_line(line.ref))
+            self._write(peer.connection, self._answer_line(line.call_id))
             return
-        call = self.calls[line.ref] = _Call(line.ref, peer.server, peer.connection)
+        call = self.calls[line.call_id] = _Call(line.call_id, peer.server, peer.connection)
         draw = self.chance.random()
         if draw < self.traits.silent_share:
             return
@@ -311,8 +311,8 @@
                 return
 
     def _released(self, peer: _Peer, line: lines.Line) -> None:
-        call = self.calls.get(line.ref)
-        self._note(Seen.RELEASED_BY_SERVER, line.ref, peer.server, line.c or 0)
+        call = self.calls.get(line.call_id)
+        self._note(Seen.RELEASED_BY_SERVER, line.call_id, peer.server, line.cause or 0)
         if call is not None:
             self._drop(call, READ_LATE if self._reads_late(peer) else "released by the call server")
 
--- a/wellhitch/office_lines/__init__.py
+++ b/wellhitch/office_lines/__init__.py
@@ -1,1 +1,1 @@
-"""The JSON lines that offices on the operators' platform speak: bytes to messages and back, sans-I/O."""
+"""The JSON lines protocol of the offices on the operators' platform, without I/O."""
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -446,7 +446,7 @@
         self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
     ) -> None:
         """Handle a complete line from an office."""
-        match line.t:
+        match line.type:
             case "up":
                 self._office_answered(office, connection, line, now)
             case "down":
@@ -463,16 +463,16 @@
     def _office_answered(
         self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
     ) -> None:
-        dial = office.dials.get(line.ref)
+        dial = office.dials.get(line.call_id)
         if dial is None or dial.connection is None:
-            if line.ref in office.ended_here and line.ref not in office.calls:
+            if line.call_id in office.ended_here and line.call_id not in office.calls:
                 # The dial was ended here while its answer was on the way: the call is released at the office.
                 self.counts["late_answers_released"] += 1
-                self.io.send_to_office(office, lines.release(line.ref, CAUSE_NORMAL), None)
+                self.io.send_to_office(office, lines.release(line.call_id, CAUSE_NORMAL), None)
             else:
                 self.counts["strays.up"] += 1
             return
-        body = None if line.d is None else line.d.encode("utf-8", "replace")
+        body = None if line.description is None else line.description.encode("utf-8", "replace")
         if body is None or len(body) + len(dial.call.echo) + 256 > sip.MAX_MESSAGE_BYTES:
             self.counts["answers_unreadable"] += 1
             self._abandon_dial(dial, ev.Ending.RESET, now)
@@ -502,8 +502,8 @@
     def _office_released(
         self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
     ) -> None:
-        dial, call = office.dials.get(line.ref), office.calls.get(line.ref)
-        cause = CAUSE_CUT if line.c is None else line.c
+        dial, call = office.dials.get(line.call_id), office.calls.get(line.call_id)
+        cause = CAUSE_CUT if line.cause is None else line.cause
         if dial is not None and dial.connection is not None and cause == CAUSE_NORMAL:
             # The call was established and has ended normally, but its answer was lost, so the dialogue is over.
             # Dialling again would establish a second call with the same Call-ID while the caller is owed a release of
@@ -525,12 +525,12 @@
         elif dial is not None and dial.connection is not None:
             self._forget_dial(dial)
             ending = ENDINGS.get(cause, ev.Ending.RESET)
-            blame = BLAMES.get(str(line.f.get("note", "")), ev.Blame.NONE)
+            blame = BLAMES.get(str(line.fields.get("note", "")), ev.Blame.NONE)
             self._dial_ended(dial, ending, blame, _report(line), now)
         elif call is not None:
             self.established.released_by_office(call, connection, cause, _report(line), now)
-        elif line.ref not in office.ended_here:
-            self.established.unknown_released(line.ref, cause, now)
+        elif line.call_id not in office.ended_here:
+            self.established.unknown_released(line.call_id, cause, now)
 
     def office_refused_connection(self, office: OfficeRecord) -> None:
         """An office without a connection refused a new one."""
@@ -666,7 +666,7 @@
 
 
 def _report(line: lines.Line) -> ev.Report:
-    load = line.f.get("load")
+    load = line.fields.get("load")
     if load is None:
         return EMPTY_REPORT
     return (
--- a/wellhitch/stand_ins/platform.py
+++ b/wellhitch/stand_ins/platform.py
@@ -165,14 +165,14 @@
     def _came(self, end: _End, data: bytes) -> None:
         for line in self._decoders[end].feed(data):
             self.took.append((now_us(self.loop), line))
-            if line.t == "new":
-                self.by_ref[line.ref] = end
+            if line.type == "new":
+                self.by_ref[line.call_id] = end
                 if self.answers:
-                    self.up(line.ref)
+                    self.up(line.call_id)
 
     def said(self, kind: str) -> list[lines.Line]:
         """The lines of one type that came."""
-        return [line for _, line in self.took if line.t == kind]
+        return [line for _, line in self.took if line.type == kind]
 
     def raw(self, ref: str, data: bytes) -> None:
         """Send bytes on the link of a set-up."""
