--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -20,7 +20,7 @@
 
 
 def drained(world: World) -> bool:
-    return world.core.offices["s-00000001"].state is ev.Standing.DRAINING
+    return world.core.offices["s-00000001"].state is ev.OfficeState.DRAINING
 
 
 # ---- watch policy and revisions ----
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -15,8 +15,8 @@
 
 def world_with_deadline(longest_s: float = 3.0) -> World:
     """A call server whose longest deadline is `longest_s`."""
-    uses = tuple(replace(use, outer_limit=int(longest_s * SECOND)) for use in TRAFFIC_CLASSES)
-    return World(opened=replace(configuration().opened, use_cases=uses))
+    uses = tuple(replace(use, deadline=int(longest_s * SECOND)) for use in TRAFFIC_CLASSES)
+    return World(opened=replace(configuration().opened, traffic_classes=uses))
 
 
 @pytest.mark.parametrize("longest", [0, 100_000, 300_000, SECOND, 3 * SECOND, 9 * SECOND])
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -7,7 +7,7 @@
 
 from wellhitch.adapter.codec import read_opened
 from wellhitch.board import codec as board
-from wellhitch.interface.events import Opened
+from wellhitch.interface.events import ServerStarted
 from wellhitch.net.transport import only_numeric, split
 from wellhitch.settings.checked import InvalidSettings, read_lenient, shown
 
@@ -112,7 +112,7 @@
     the discovery updates up to `revision`."""
 
     addresses: Addresses
-    opened: Opened
+    opened: ServerStarted
     revision: int
     known_updates: tuple[board.Update, ...]
     max_descriptors: int
@@ -153,7 +153,7 @@
         )
     settings = read_lenient({"settings": decoded.settings}, _SettingsWrapper, path).settings
     opened = read_opened(seed, msgspec.to_builtins(settings))
-    if not opened.use_cases:
+    if not opened.traffic_classes:
         raise InvalidSettings(path, ["settings.classes = []: at least one traffic class is required"])
     revision, known_updates = board.read_known_updates(decoded.known, path)
     for update in known_updates:
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Callable, Hashable
 
-from wellhitch.interface.events import Ending, Report, Standing
+from wellhitch.interface.events import DialResult, OfficeReport, OfficeState
 from wellhitch.net.transport import Timer
 from wellhitch.office_lines import codec as lines
 from wellhitch.platform.liveness import CallsLost, LivenessTest
@@ -37,7 +37,7 @@
         io: ServerIO,
         offices: dict[str, OfficeRecord],
         counts: Counter[str],
-        on_ended: Callable[[EstablishedCall, Ending, Report, int], None],
+        on_ended: Callable[[EstablishedCall, DialResult, OfficeReport, int], None],
         on_unused: Callable[[OfficeRecord], None],
     ) -> None:
         """`on_ended` is called once for each call that ends, `on_unused` for an office that may have no calls left."""
@@ -87,7 +87,7 @@
         call = EstablishedCall(call_id, office, connection, None, 0, ESTABLISHED_BEFORE_START)
         self._register(call)
         office.liveness.call_reported(call, now)
-        if office.state is Standing.GONE:
+        if office.state is OfficeState.GONE:
             self.office_gone(office)
         else:
             self._io.keep_connected(office)
@@ -97,16 +97,16 @@
     def released_by_caller(self, call: EstablishedCall, now: int) -> None:
         """End a call that its caller released, and tell its office."""
         self._release_at_office(call, CAUSE_NORMAL, now)
-        self._end(call, Ending.CANCELLED, Report(), now, "released by its caller")
+        self._end(call, DialResult.CANCELLED, OfficeReport(), now, "released by its caller")
 
     def released_by_office(
-        self, call: EstablishedCall, connection: Hashable, cause: int, report: Report, now: int
+        self, call: EstablishedCall, connection: Hashable, cause: int, report: OfficeReport, now: int
     ) -> None:
         """End a call that its office released, and tell its caller."""
         call.office.liveness.call_mentioned(call, connection, now)
         normal = cause == CAUSE_NORMAL
         self.release_to_caller(call.call_id, CAUSE_NORMAL if normal else CAUSE_CUT, call.connection, now)
-        ending = Ending.ENDED_WELL if normal else Ending.RESET
+        ending = DialResult.ENDED_WELL if normal else DialResult.RESET
         self._end(call, ending, report, now, f"released by its endpoint, cause {cause}")
 
     def unknown_released(self, call_id: str, cause: int, now: int) -> None:
@@ -151,7 +151,7 @@
         office.liveness.connection_opened(connection, now)
         if office.liveness.under_test(connection):
             self._send_test(office, connection)
-        if office.cut_timer is not None and office.state is not Standing.GONE:
+        if office.cut_timer is not None and office.state is not OfficeState.GONE:
             office.cut_timer.cancel()
             office.cut_timer = None
 
@@ -170,7 +170,9 @@
         self._by_connection[call.connection] += 1
         self._schedule_liveness_check()
 
-    def _end(self, call: EstablishedCall, ending: Ending, report: Report, now: int, why: str) -> None:
+    def _end(
+        self, call: EstablishedCall, ending: DialResult, report: OfficeReport, now: int, why: str
+    ) -> None:
         if self.calls.pop(call.call_id, None) is None:
             return  # ended already; each end is reported once
         call.office.calls.pop(call.call_id, None)
@@ -202,7 +204,7 @@
         self._io.log("calls_cut", endpoint=office.id, calls=len(calls), why=why)
         for call in calls:
             self.release_to_caller(call.call_id, CAUSE_CUT, call.connection, now)
-            self._end(call, Ending.RESET, Report(), now, why)
+            self._end(call, DialResult.RESET, OfficeReport(), now, why)
 
     # ---- liveness of offices with calls ----
 
--- a/wellhitch/settings/server.py
+++ b/wellhitch/settings/server.py
@@ -158,18 +158,18 @@
     return lines
 
 
-def opening_event(sheet: ServerSettings) -> events.Opened:
+def opening_event(sheet: ServerSettings) -> events.ServerStarted:
     """The start facts that the decisions are told."""
     limits, rules = sheet.limits, sheet.rules
-    return events.Opened(
+    return events.ServerStarted(
         seed=sheet.seed,
-        use_cases=tuple(
-            facts.UseCase(
+        traffic_classes=tuple(
+            facts.TrafficClass(
                 name=use.name,
-                payoff=use.payoff,
+                value=use.payoff,
                 late_share=use.late_share,
-                agreed_time=duration_us(use.agreed_time),
-                outer_limit=duration_us(use.outer_limit),
+                target_latency=duration_us(use.agreed_time),
+                deadline=duration_us(use.outer_limit),
                 width=use.width,
                 hold=duration_us(use.hold),
                 pools=(),
@@ -178,7 +178,7 @@
             )
             for use in sheet.use_cases
         ),
-        place=facts.Place(sheet.number, sheet.peers, False, 0, bool(sheet.doors.centre)),
+        topology=facts.ServerTopology(sheet.number, sheet.peers, False, 0, bool(sheet.doors.centre)),
         permissions=facts.Permissions(
             limits.most_dials,
             limits.may_cancel,
@@ -188,7 +188,7 @@
             limits.marks_redials,
         ),
         release=facts.ReleaseRule(duration_us(rules.release_wait), duration_us(rules.drain_grace)),
-        cold=facts.ColdRule(
+        cold_start=facts.ColdStartRule(
             rules.cold_share, duration_us(rules.cold_for), rules.cold_multiple, duration_us(rules.cold_window)
         ),
     )
