--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from wellhitch.board.codec import DRAINING, READY, REMOVED, OfficeEntry, Update
+from wellhitch.board.codec import DRAINING, READY, REMOVED, DiscoveryEntry, Update
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
@@ -27,10 +27,10 @@
 
 def row(
     number: int, state: int = READY, office: int | None = None, started_ms: int = 0, host: str = ""
-) -> OfficeEntry:
+) -> DiscoveryEntry:
     """An office of exchange `number` in a discovery update. Its id is `office`, by default the exchange number."""
     office_number = number if office is None else office
-    return OfficeEntry(
+    return DiscoveryEntry(
         f"s-{office_number:08x}", f"{host or f'10.1.0.{office_number}'}:2905", state, number, started_ms
     )
 
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -17,7 +17,7 @@
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.service import SettlementService
 from wellhitch.server.daemon import Daemon, Doors
-from wellhitch.settings.server import opening_event
+from wellhitch.settings.server import start_event
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel
 from wellhitch.trunk.connection import ALLOWED_FRAMES
@@ -53,7 +53,7 @@
         self.loop.set_exception_handler(lambda loop, context: self.faults.append(str(context)))
         self.net = EmulatedNetwork(self.loop, 1)
         self.said: list[str] = []
-        facts = opening_event(sheet_of(day(**over), 0, HostAddresses()))
+        facts = start_event(sheet_of(day(**over), 0, HostAddresses()))
         doors = Doors("s:1", "s:2", "s:3", "register:1", "")
         hooks = {"a": "on arrive { return none }"}
         self.daemon = Daemon(
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -10,7 +10,7 @@
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.lab.fleet import HostAddresses, sheet_of
 from wellhitch.server.daemon import MOST_LINKS, Daemon, Doors
-from wellhitch.settings.server import opening_event
+from wellhitch.settings.server import start_event
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import MAX_FRAMES_PER_S, MAX_UNSENT_FRAMES, Channel
 from wellhitch.trunk.codec import encode
@@ -182,7 +182,7 @@
     daemon = Daemon(
         loop,
         net.at("s"),
-        opening_event(sheet_of(day(), 0, HostAddresses())),
+        start_event(sheet_of(day(), 0, HostAddresses())),
         doors,
         10,
         1,
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -248,8 +248,8 @@
 # ---- discovery ----
 
 UPDATE_ROWS = (
-    board.OfficeEntry("s-00c41f7a", "10.1.0.9:2905", board.READY, 2, 0),
-    board.OfficeEntry("s-00000001", "10.1.0.8:2905", board.REMOVED, 1, 5),
+    board.DiscoveryEntry("s-00c41f7a", "10.1.0.9:2905", board.READY, 2, 0),
+    board.DiscoveryEntry("s-00000001", "10.1.0.8:2905", board.REMOVED, 1, 5),
 )
 UPDATES = [
     board.Update(2, True, UPDATE_ROWS),
@@ -288,13 +288,13 @@
         (b"\0\0\0\x09" + b"\0" * 8 + b"\x07", "frame_form"),
         (
             board.encode_update(
-                board.Update(2, False, (board.OfficeEntry("s-00000001", "10.1.0.8:0", 0, 1, 0),))
+                board.Update(2, False, (board.DiscoveryEntry("s-00000001", "10.1.0.8:0", 0, 1, 0),))
             ),
             "record",
         ),
         (
             board.encode_update(
-                board.Update(2, False, (board.OfficeEntry("s-00000001", "10.1.0.8:1", 3, 1, 0),))
+                board.Update(2, False, (board.DiscoveryEntry("s-00000001", "10.1.0.8:1", 3, 1, 0),))
             ),
             "record",
         ),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -28,7 +28,7 @@
 
 
 def test_a_sheet_is_read_with_times_in_whole_microseconds() -> None:
-    made = server.opening_event(checked.read(SHEET, server.ServerSettings, "x"))
+    made = server.start_event(checked.read(SHEET, server.ServerSettings, "x"))
     assert made.traffic_classes[0].target_latency == 1_500_000 and made.release.release_wait == 200_000
     assert made.topology.own_number == 3 and not made.topology.has_centre
 
--- a/wellhitch/board/codec.py
+++ b/wellhitch/board/codec.py
@@ -15,7 +15,7 @@
 STATES = {"up": READY, "draining": DRAINING, "removed": REMOVED}
 
 
-class OfficeEntry(msgspec.Struct, frozen=True):
+class DiscoveryEntry(msgspec.Struct, frozen=True):
     """One office: its id in text, host:port, state, exchange number, and Unix ms of a late start or 0."""
 
     id: str
@@ -30,7 +30,7 @@
 
     revision: int
     full: bool
-    entries: tuple[OfficeEntry, ...]
+    entries: tuple[DiscoveryEntry, ...]
     heartbeat: bool = False
 
 
@@ -68,12 +68,12 @@
         return out
 
 
-def _row(record: tuple[int, ...], before: list[Update]) -> OfficeEntry:
+def _row(record: tuple[int, ...], before: list[Update]) -> DiscoveryEntry:
     office, address, port, state, _zone, _kind, cell, _weight, started = record
     if state > REMOVED or port == 0:
         raise BadFrame("record", before)
     host = ".".join(str(address >> shift & 255) for shift in (24, 16, 8, 0))
-    return OfficeEntry(f"s-{office:08x}", f"{host}:{port}", state, cell, started)
+    return DiscoveryEntry(f"s-{office:08x}", f"{host}:{port}", state, cell, started)
 
 
 def encode_subscription(revision: int) -> bytes:
@@ -152,6 +152,6 @@
         rows = []
         for server in notice.pool.servers:
             state = STATES.get(server.state, REMOVED)  # an unknown word is no leave to send there
-            rows.append(OfficeEntry(server.id, server.addr, state, server.cell, server.started_ms))
+            rows.append(DiscoveryEntry(server.id, server.addr, state, server.cell, server.started_ms))
         out.append(Update(notice.rev, notice.pool.full, tuple(rows)))
     return known.rev, out
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -25,7 +25,7 @@
 from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
 from wellhitch.server.hook_runner import WallClock
 from wellhitch.settings.checked import InvalidSettings
-from wellhitch.settings.server import ServerSettings, opening_event
+from wellhitch.settings.server import ServerSettings, start_event
 from wellhitch.store.files import read_file
 from wellhitch.store.system import SystemDisk
 
@@ -179,7 +179,7 @@
     daemon = Daemon(
         loop,
         LoopbackNetwork(loop),
-        opening_event(sheet),
+        start_event(sheet),
         doors,
         sheet.limits.max_open,
         boot,
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -32,7 +32,7 @@
     ServerSettings,
     TrafficClassSettings,
     duration_us,
-    opening_event,
+    start_event,
 )
 from wellhitch.stand_ins.troubles import CannotPlay
 
@@ -157,7 +157,7 @@
         daemon = self.daemons[number] = Daemon(
             loop,
             network,
-            opening_event(sheet),
+            start_event(sheet),
             doors_of(sheet),
             sheet.limits.max_open,
             boot,
--- a/wellhitch/lab/trials/discovery.py
+++ b/wellhitch/lab/trials/discovery.py
@@ -205,7 +205,7 @@
 
     def _frame(self, revision: int, server: str) -> bytes:
         rows = tuple(
-            codec.OfficeEntry(
+            codec.DiscoveryEntry(
                 listed.endpoint, listed.addresses[server], listed.state.value, listed.cell, listed.started_ms
             )
             for listed in self.events[revision - 1]
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 
 from wellhitch.adapter.codec import read_report
-from wellhitch.board.codec import DRAINING, REMOVED, OfficeEntry, Update
+from wellhitch.board.codec import DRAINING, REMOVED, DiscoveryEntry, Update
 from wellhitch.deciding.runner import Runner
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
@@ -600,7 +600,7 @@
         )
         self.feed(ev.OfficeListReceived(whole if update.full else ev.ListKind.CHANGES, entries), now)
 
-    def _apply_row(self, row: OfficeEntry, now: int) -> None:
+    def _apply_row(self, row: DiscoveryEntry, now: int) -> None:
         state = OFFICE_STATES[row.state]
         # The offset is fixed at the start, so that the same start time always gives the same loop time.
         started = max(1, row.started_ms * 1000 - self.loop_epoch_us) if row.started_ms else None
--- a/wellhitch/settings/server.py
+++ b/wellhitch/settings/server.py
@@ -158,7 +158,7 @@
     return lines
 
 
-def opening_event(sheet: ServerSettings) -> events.ServerStarted:
+def start_event(sheet: ServerSettings) -> events.ServerStarted:
     """The start facts that the decisions are told."""
     limits, rules = sheet.limits, sheet.rules
     return events.ServerStarted(
--- a/wellhitch/stand_ins/platform.py
+++ b/wellhitch/stand_ins/platform.py
@@ -243,7 +243,7 @@
                 end.write(data)
 
     def tell(
-        self, *rows: board_codec.OfficeEntry, whole: bool = False, loud: bool = True
+        self, *rows: board_codec.DiscoveryEntry, whole: bool = False, loud: bool = True
     ) -> board_codec.Update:
         """A new event; not written to anybody where it is not `loud`."""
         last = max((event.revision for event in self.events), default=1)
