--- a/wellhitch/board/__init__.py
+++ b/wellhitch/board/__init__.py
@@ -1,1 +1,1 @@
-"""The notice board of the operators' platform: the list of offices as frames and as JSON, sans-I/O."""
+"""The discovery protocol of the operators' platform: the list of offices as binary frames and as JSON, without I/O."""
--- a/wellhitch/board/codec.py
+++ b/wellhitch/board/codec.py
@@ -1,4 +1,7 @@
-"""Bytes <-> frames, and the same events as JSON. Any bytes, however cut, give frames or one `BadFrame`."""
+"""Decoder and encoder of discovery updates: binary frames on a connection, and JSON in the configuration file.
+
+Bytes in any chunks decode to updates or to one `BadFrame`. The length of a frame is bounded.
+"""
 
 import struct
 from typing import Any
@@ -7,16 +10,17 @@
 
 from wellhitch.settings.checked import read_lenient
 
-RECORD = struct.Struct(">IIHBBBHIQ")  # id address port state zone kind cell weight started
-HEAD = struct.Struct(">IQB")  # length number kind
-MAX_RECORDS = 4096  # offices in one frame: hundreds of times any list of the platform
-MAX_FRAME_BYTES = 9 + RECORD.size * MAX_RECORDS
+RECORD = struct.Struct(">IIHBBBHIQ")  # id, address, port, state, zone, kind, cell, weight, start time
+HEAD = struct.Struct(">IQB")  # length of the rest of the frame, revision, kind
+MAX_RECORDS = 4096  # offices in one frame, hundreds of times as many as in any list of the platform
+MAX_FRAME_BYTES = 9 + RECORD.size * MAX_RECORDS  # without the four bytes of the length itself
 READY, DRAINING, REMOVED = 0, 1, 2
 STATES = {"up": READY, "draining": DRAINING, "removed": REMOVED}
 
 
 class DiscoveryEntry(msgspec.Struct, frozen=True):
-    """One office: its id in text, host:port, state, exchange number, and Unix ms of a late start or 0."""
+    """One office: its id as text, its address as host:port, its state, the number of its exchange, and the Unix time in
+    milliseconds at which it started late, or 0."""
 
     id: str
     address: str
@@ -26,7 +30,8 @@
 
 
 class Update(msgspec.Struct, frozen=True):
-    """One event: its number, whether it is the whole list, its rows. `empty`: it only says that the board lives."""
+    """One update: its revision, whether it is the full list, and its entries. A `heartbeat` has no entries and only
+    shows that the discovery service is alive."""
 
     revision: int
     full: bool
@@ -35,7 +40,8 @@
 
 
 class BadFrame(Exception):
-    """Bytes that are no frame. `before` holds the notices that were good."""
+    """Bytes that are not a valid frame. `reason` names the violated rule; `before` holds the valid updates that were
+    decoded from the same chunk."""
 
     def __init__(self, reason: str, before: list[Update]) -> None:
         super().__init__(reason)
@@ -43,65 +49,65 @@
 
 
 class Decoder:
-    """One connection to the board."""
+    """Decodes what one connection to the discovery service receives."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._buffered = b""
 
     def feed(self, data: bytes | memoryview) -> list[Update]:
-        """Whole notices. Raises BadFrame."""
-        buffer, out, at = self._held + data, list[Update](), 0
-        while len(buffer) - at >= HEAD.size:
-            length, number, kind = HEAD.unpack_from(buffer, at)
-            size = length - 9
+        """Return the updates that `data` completes. Raises BadFrame."""
+        buffer, updates, position = self._buffered + data, list[Update](), 0
+        while len(buffer) - position >= HEAD.size:
+            length, revision, kind = HEAD.unpack_from(buffer, position)
+            payload_size = length - 9
             if not 9 <= length <= MAX_FRAME_BYTES:
-                raise BadFrame("frame_length", out)
-            if kind > 2 or size % RECORD.size or (kind == 0 and size):
-                raise BadFrame("frame_form", out)
-            if len(buffer) - at < 4 + length:
+                raise BadFrame("frame_length", updates)
+            if kind > 2 or payload_size % RECORD.size or (kind == 0 and payload_size):
+                raise BadFrame("frame_form", updates)
+            if len(buffer) - position < 4 + length:
                 break
-            payload = buffer[at + HEAD.size : at + 4 + length]
-            at += 4 + length
-            rows = tuple(_row(one, out) for one in RECORD.iter_unpack(payload))
-            out.append(Update(number, kind == 1, rows, kind == 0))
-        self._held = buffer[at:]
-        return out
+            payload = buffer[position + HEAD.size : position + 4 + length]
+            position += 4 + length
+            entries = tuple(_entry(record, updates) for record in RECORD.iter_unpack(payload))
+            updates.append(Update(revision, kind == 1, entries, kind == 0))
+        self._buffered = buffer[position:]
+        return updates
 
 
-def _row(record: tuple[int, ...], before: list[Update]) -> DiscoveryEntry:
-    office, address, port, state, _zone, _kind, cell, _weight, started = record
+def _entry(record: tuple[int, ...], before: list[Update]) -> DiscoveryEntry:
+    office, address, port, state, _zone, _kind, exchange, _weight, started_ms = record
     if state > REMOVED or port == 0:
         raise BadFrame("record", before)
     host = ".".join(str(address >> shift & 255) for shift in (24, 16, 8, 0))
-    return DiscoveryEntry(f"s-{office:08x}", f"{host}:{port}", state, cell, started)
+    return DiscoveryEntry(f"s-{office:08x}", f"{host}:{port}", state, exchange, started_ms)
 
 
 def encode_subscription(revision: int) -> bytes:
-    """What is written first: the number of the last event held."""
+    """Encode the request that opens a connection: send the updates after `revision`."""
     return struct.pack(">Q", revision)
 
 
-def encode_update(notice: Update) -> bytes:
-    """A notice as the board writes it; for stand-ins."""
+def encode_update(update: Update) -> bytes:
+    """Encode an update as the discovery service does; used by simulated ones."""
     payload = b"".join(
         RECORD.pack(
-            int(row.id[2:], 16),
-            _packed(row.address),
-            _port(row.address),
-            row.state,
+            int(entry.id[2:], 16),
+            _packed_host(entry.address),
+            _port(entry.address),
+            entry.state,
             0,
             0,
-            row.exchange,
+            entry.exchange,
             1000,
-            row.started_ms,
+            entry.started_ms,
         )
-        for row in notice.entries
+        for entry in update.entries
     )
-    kind = 0 if notice.heartbeat else 1 if notice.full else 2
-    return HEAD.pack(9 + len(payload), notice.revision, kind) + payload
+    kind = 0 if update.heartbeat else 1 if update.full else 2
+    return HEAD.pack(9 + len(payload), update.revision, kind) + payload
 
 
-def _packed(address: str) -> int:
+def _packed_host(address: str) -> int:
     packed = 0
     for part in address.rpartition(":")[0].split("."):
         packed = packed << 8 | int(part)
@@ -112,7 +118,7 @@
     return int(address.rpartition(":")[2])
 
 
-# ---- the same events as JSON ----
+# ---- the same updates as JSON ----
 
 
 class _Server(msgspec.Struct):
@@ -133,25 +139,25 @@
 
 
 class _KnownUpdate(msgspec.Struct):
-    rev: int
+    revision: int = msgspec.field(name="rev")
     pool: _Pool
 
 
 class KnownUpdates(msgspec.Struct):
-    """The events up to the start."""
+    """The updates up to the start of the process, with the last revision."""
 
-    rev: int
-    notices: list[_KnownUpdate]
+    revision: int = msgspec.field(name="rev")
+    updates: list[_KnownUpdate] = msgspec.field(name="notices")
 
 
 def read_known_updates(value: Any, where: str) -> tuple[int, list[Update]]:
-    """Last number and the events. Raises InvalidSettings naming field and value."""
+    """Return the last revision and the updates. Raises InvalidSettings, which names field and value."""
     known = read_lenient(value, KnownUpdates, where)
-    out = []
-    for notice in known.notices:
-        rows = []
-        for server in notice.pool.servers:
-            state = STATES.get(server.state, REMOVED)  # an unknown word is no leave to send there
-            rows.append(DiscoveryEntry(server.id, server.addr, state, server.cell, server.started_ms))
-        out.append(Update(notice.rev, notice.pool.full, tuple(rows)))
-    return known.rev, out
+    updates = []
+    for known_update in known.updates:
+        entries = []
+        for server in known_update.pool.servers:
+            state = STATES.get(server.state, REMOVED)  # with an unknown state, no call may be sent there
+            entries.append(DiscoveryEntry(server.id, server.addr, state, server.cell, server.started_ms))
+        updates.append(Update(known_update.revision, known_update.pool.full, tuple(entries)))
+    return known.revision, updates
--- a/wellhitch/sip/__init__.py
+++ b/wellhitch/sip/__init__.py
@@ -1,1 +1,1 @@
-"""SIP over TCP as callers on the operators' platform speak it: bytes to messages and back, sans-I/O."""
+"""The part of SIP over TCP that callers on the operators' platform use, without I/O."""
