--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -17,7 +17,7 @@
 from wellhitch.lab.loopback import own_address
 from wellhitch.net.transport import split_address
 from wellhitch.platform.configuration import read_configuration
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.sip import codec as sip
 from wellhitch.stand_ins.platform import invite, plain
 
@@ -98,7 +98,7 @@
         configuration.opened.traffic_classes[0].target_latency == 380_000
         and configuration.connect_timeout_us == 500_000
     )
-    assert configuration.revision == 1 and configuration.known_updates[0].rows[0].id == "s-00000000"
+    assert configuration.revision == 1 and configuration.known_updates[0].entries[0].id == "s-00000000"
 
 
 def _settings(**over: Any) -> dict[str, Any]:
@@ -131,7 +131,7 @@
 def test_configuration_error_is_one_line_with_file_field_and_value(
     tmp_path: Path, value: Any, message: str
 ) -> None:
-    with pytest.raises(Faults, match=message) as caught:
+    with pytest.raises(InvalidSettings, match=message) as caught:
         read_configuration(write_configuration(tmp_path, value))
     assert len(caught.value.lines) == 1 and str(tmp_path) in str(caught.value)
 
