--- a/wellhitch/net/__init__.py
+++ b/wellhitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""The seam to the network and the clock: asyncio's loop and the emulator both serve it."""
+"""The interface to the network and the clock, implemented on asyncio's event loop and by the emulator."""
--- a/wellhitch/net/collector.py
+++ b/wellhitch/net/collector.py
@@ -1,7 +1,7 @@
-"""Keeps the garbage collector from holding the loop up.
+"""Keeps the garbage collector from blocking the event loop.
 
-A full collection looks at every object that is alive. Most of a process's objects are its code, made at the start and
-there for good; over those alone it takes tens of milliseconds, in which nobody is answered.
+A full collection visits every live object. Most objects of a process are its code, created at the start and never
+freed; visiting those alone takes tens of milliseconds, in which no call is answered.
 """
 
 import gc
@@ -10,7 +10,7 @@
 
 
 def freeze_startup_objects() -> int:
-    """Take all objects that are alive now out of later collections; returns how many these are."""
+    """Exclude all live objects from later collections; returns their number."""
     gc.collect()
     gc.freeze()
     return gc.get_freeze_count()
@@ -18,7 +18,7 @@
 
 @contextmanager
 def startup_objects_frozen() -> Iterator[None]:
-    """As `freeze_startup_objects`, until the block ends."""
+    """Exclude all live objects from collections until the block ends."""
     freeze_startup_objects()
     try:
         yield
--- a/wellhitch/net/transport.py
+++ b/wellhitch/net/transport.py
@@ -1,4 +1,4 @@
-"""Transports are opened through `Network` and nothing else; time is the running loop's, in whole microseconds."""
+"""The only way to open transports, `Network`; and the time of the event loop, in whole microseconds."""
 
 import asyncio
 import contextlib
@@ -10,72 +10,72 @@
 
 ProtocolFactory = Callable[[], asyncio.BufferedProtocol]
 DatagramHandler = Callable[[bytes, str], None]
-"""Takes a datagram and the address it came from."""
+"""Receives a datagram and the address of its sender."""
 
 
-ACCEPT_RETRY_S = 1.0  # after accepting a connection failed for want of descriptors or memory
+ACCEPT_RETRY_S = 1.0  # after a connection could not be accepted for lack of descriptors or memory
 
 
 def now_us(loop: asyncio.AbstractEventLoop) -> int:
-    """The loop's clock in whole microseconds: the one place where it is turned."""
+    """The event loop's time in whole microseconds; converted only here."""
     return round(loop.time() * 1_000_000)
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectFailure:
-    """Why a connection did not come up. `refused`: the machine is there, and nobody listens."""
+    """Why a connection could not be opened. `refused`: the host is up, but nothing listens at the port."""
 
     detail: str
     refused: bool = False
 
 
 class Timer(Protocol):
-    """A timer that can be taken back."""
+    """A timer that can be cancelled."""
 
     def cancel(self) -> None:
-        """It will not ring."""
+        """Do not call the callback."""
 
 
 class Listener(Protocol):
-    """Something that takes links at an address until it is closed."""
+    """Accepts connections at an address until it is closed."""
 
     address: str
 
     def pause(self) -> None:
-        """Let new links wait, with what is sent on them, until `resume`."""
+        """Leave new connections, and data sent on them, waiting until `resume`."""
 
     def resume(self) -> None:
-        """Take links again."""
+        """Accept connections again."""
 
     def close(self) -> None:
-        """Take no more links."""
+        """Accept no more connections."""
 
 
 class DatagramSender(Protocol):
-    """Somewhere to send datagrams from."""
+    """Sends datagrams from one address."""
 
     def send(self, data: bytes, address: str) -> None:
-        """Send one; it comes late or not at all."""
+        """Send one datagram; it may be late or lost."""
 
     def close(self) -> None:
-        """Send and take no more."""
+        """Send and receive no more."""
 
 
 class Network(Protocol):
     """Opens transports. Addresses are host:port."""
 
     def listen(self, address: str, factory: ProtocolFactory, on_ready: Callable[[Listener], None]) -> None:
-        """Take links at `address` (port 0: any free one), a protocol of `factory` for each."""
+        """Accept connections at `address` (port 0: any free one), each with a new protocol of `factory`."""
 
     def open_datagrams(
         self, address: str, on_datagram: DatagramHandler, on_ready: Callable[[DatagramSender], None]
     ) -> None:
-        """Send and take datagrams at `address`."""
+        """Send and receive datagrams at `address`."""
 
     def connect(
         self, address: str, factory: ProtocolFactory, on_failure: Callable[[ConnectFailure], None]
     ) -> None:
-        """Open a link; `factory`'s protocol hears connection_made, or `failed` is called with why."""
+        """Open a connection; either its protocol's `connection_made` is called, or `on_failure` with the reason."""
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -87,8 +87,8 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Whether a host is this machine and nothing else. Guards against names: one that begins with `127.` is looked up,
-    and may be anywhere."""
+    """Whether a host is certainly this machine. Guards against names: one that begins with `127.` is looked up, and may
+    be anywhere."""
     if host == "localhost":
         return True
     try:
@@ -98,7 +98,7 @@
 
 
 class _SocketListener:
-    """Accepts connections a few a turn of the loop, and hands each to a protocol of its own."""
+    """Accepts a limited number of connections in each iteration of the event loop, and passes each to a callback."""
 
     def __init__(
         self,
@@ -136,20 +136,21 @@
 
     def _accept_ready(self) -> None:
         for _ in range(self._accepts_per_turn):
-            if self._paused:  # by what came of the one before
+            if self._paused:  # while the previous connection was handled
                 return
             try:
                 connection, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as fault:
-                self._out_of_resources(fault)
+            except OSError as error:
+                self._out_of_resources(error)
                 return
             connection.setblocking(False)
             self._on_accept(connection)
 
     def _out_of_resources(self, error: OSError) -> None:
-        """No descriptor or no memory is left: the connection would be ready to be accepted at once again."""
+        """No descriptor or memory is left. Without a pause the event loop would retry at once, as the connection stays
+        pending."""
         self._loop.call_exception_handler({"message": "cannot accept a connection", "exception": error})
         self.pause()
         self._loop.call_later(ACCEPT_RETRY_S, self.resume)
@@ -161,14 +162,14 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not asserted: asyncio's own class for it is no asyncio.DatagramTransport in Python 3.11.
+        # Not asserted: asyncio's own implementation is not an asyncio.DatagramTransport in Python 3.11.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self._on_datagram(data, f"{addr[0]}:{addr[1]}")
 
     def error_received(self, exc: Exception) -> None:
-        """A datagram may be lost: nobody waits for it."""
+        """Ignored: a datagram may be lost."""
 
     def send(self, data: bytes, address: str) -> None:
         if self._transport is not None and not self._transport.is_closing():
@@ -180,8 +181,8 @@
 
 
 class LoopNetwork:
-    """The real thing, on the running asyncio loop. `allowed` raises ValueError for a host that is none of its own;
-    `connect_within` is in seconds, `waiting` how many new links may wait to be taken."""
+    """A network on an asyncio event loop. `check_host` raises ValueError for a host that may not be used; `backlog` is
+    the number of new connections that may wait to be accepted."""
 
     def __init__(
         self,
@@ -191,7 +192,7 @@
         backlog: int = 100,  # asyncio's own default
         accepts_per_turn: int = 100,
     ) -> None:
-        """`at_once`: how many of those are taken in one turn of the loop."""
+        """`accepts_per_turn`: how many of those are accepted in one iteration of the event loop."""
         self._loop, self._check_host = loop, check_host
         self._connect_timeout_s, self._backlog, self._accepts_per_turn = (
             connect_timeout_s,
@@ -216,22 +217,26 @@
         )
 
     def listen(self, address: str, factory: ProtocolFactory, on_ready: Callable[[Listener], None]) -> None:
-        """As `Network.listen`; where it cannot listen the loop's exception handler is told, with the `address`."""
+        """See `Network`. If it cannot listen, it calls the event loop's exception handler, with the `address`."""
         host, port = self._split(address)
 
         async def serve(connection: socket.socket) -> None:
-            with contextlib.suppress(OSError):  # it was reset while it waited
+            with contextlib.suppress(OSError):  # it was reset while it waited to be accepted
                 await self._loop.connect_accepted_socket(factory, connection)
 
         def listen() -> None:
             try:
                 sock = _listening_socket(host, port, self._backlog)
-            except OSError as fault:
-                self._report_listen_error(address, fault)
+            except OSError as error:
+                self._report_listen_error(address, error)
                 return
             on_ready(
                 _SocketListener(
-                    self._loop, sock, host, self._accepts_per_turn, lambda made: self._spawn(serve(made))
+                    self._loop,
+                    sock,
+                    host,
+                    self._accepts_per_turn,
+                    lambda connection: self._spawn(serve(connection)),
                 )
             )
 
@@ -240,55 +245,55 @@
     def open_datagrams(
         self, address: str, on_datagram: DatagramHandler, on_ready: Callable[[DatagramSender], None]
     ) -> None:
-        """As `Network.datagrams`; where it cannot, as `listen`."""
+        """See `Network`. Errors are handled as by `listen`."""
         local = self._split(address)
 
-        async def work() -> None:
+        async def open_endpoint() -> None:
             try:
-                _, made = await self._loop.create_datagram_endpoint(
+                _, sender = await self._loop.create_datagram_endpoint(
                     lambda: _DatagramProtocol(on_datagram), local_addr=local
                 )
-            except OSError as fault:
-                self._report_listen_error(address, fault)
+            except OSError as error:
+                self._report_listen_error(address, error)
                 return
-            on_ready(made)
+            on_ready(sender)
 
-        self._spawn(work())
+        self._spawn(open_endpoint())
 
     def connect(
         self, address: str, factory: ProtocolFactory, on_failure: Callable[[ConnectFailure], None]
     ) -> None:
-        """As `Network.connect`."""
+        """See `Network`."""
         try:
             host, port = self._split(address)
-        except ValueError as fault:
-            self._loop.call_soon(on_failure, ConnectFailure(str(fault)))
+        except ValueError as error:
+            self._loop.call_soon(on_failure, ConnectFailure(str(error)))
             return
 
-        async def work() -> None:
+        async def open_connection() -> None:
             try:
                 async with asyncio.timeout(self._connect_timeout_s):
                     await self._loop.create_connection(factory, host, port)
-            except (OSError, TimeoutError, ValueError) as fault:
-                # ValueError: a name that cannot be looked up at all; without a word nobody would try again.
-                refused = isinstance(fault, ConnectionRefusedError)
-                on_failure(ConnectFailure(str(fault) or "timed out", refused))
+            except (OSError, TimeoutError, ValueError) as error:
+                # ValueError: a name that cannot be looked up at all. Unless it is reported, the caller never retries.
+                refused = isinstance(error, ConnectionRefusedError)
+                on_failure(ConnectFailure(str(error) or "timed out", refused))
 
-        self._spawn(work())
+        self._spawn(open_connection())
 
 
 class LoopbackNetwork(LoopNetwork):
-    """On the running loop; refuses any address that is not loopback."""
+    """A network that refuses every address but loopback."""
 
-    CONNECT_TIMEOUT_S = 3.0  # loopback answers at once; a full backlog is the only wait
+    CONNECT_TIMEOUT_S = 3.0  # loopback connects at once unless the backlog is full
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop, _require_loopback, self.CONNECT_TIMEOUT_S)
 
 
 def _listening_socket(host: str, port: int, backlog: int) -> socket.socket:
-    """A non-blocking socket that listens. Its protocol is named: asyncio turns Nagle's algorithm off only on sockets of
-    the protocol TCP, and accepted ones have that of their listener."""
+    """A non-blocking listening socket. Its protocol is given explicitly: asyncio disables Nagle's algorithm only on
+    sockets whose protocol is TCP, and accepted sockets inherit the protocol of their listener."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
@@ -310,7 +315,8 @@
 
 
 def require_ip_address(host: str) -> None:
-    """Raises ValueError for a host that is a name: the platform has no DNS, and nothing is to be looked up."""
+    """Raise ValueError for a host that is not an IP address: the platform has no DNS, and names must not be looked
+    up."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
--- a/wellhitch/trunk/frames.py
+++ b/wellhitch/trunk/frames.py
@@ -1,22 +1,25 @@
-"""Every frame of the trunk protocol, as types. Times are whole microseconds. docs/trunk-protocol.md explains
-each; a field is only ever added at the end, with a default, so that an older end still reads the frame.
+"""All frames of the trunk protocol, as types; docs/trunk-protocol.md explains each. Times are whole microseconds.
 
-`ref` names a dial on one link: the end that sent the Setup chose it, and never uses it again on that link.
+A field is only ever added at the end, with a default, so that an older version can still read the frame. Where a class
+has a `tag`, that is its name on the wire; the field names of Call are also those that hooks and their tools use.
+
+`dial_ref` identifies a dial on one connection: the sender of the Setup chooses it, and never uses it again on that
+connection.
 """
 
 import msgspec
 
-MAX_EXCHANGES = 1 << 16  # exchanges are numbered below it, as sheets say
-MAX_WIDTH = 64  # circuits of one dialogue, as sheets say
+MAX_EXCHANGES = 1 << 16  # exchange numbers are below it; the settings check the same limit
+MAX_WIDTH = 64  # circuits of one dialogue; the settings check the same limit
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all frames: a msgpack array, its type's name first."""
+    """Base of all frames: a msgpack array that begins with the tag of the type."""
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
-    """Figures of a processor, as far as it tells them: share busy, wait in us, set-ups a second that it can
-    take from all, share of set-ups that it asks each sender to hold back."""
+    """Load of a processor; None for each value that it does not report: share of time busy, queue wait in us, set-ups a
+    second that it can accept from all senders, share of set-ups that it asks each sender to hold back."""
 
     utilisation: float | None = None
     wait: int | None = None
@@ -25,7 +28,7 @@
 
 
 class Hello(Frame, frozen=True):
-    """First frame of either end: what it is, its exchange's number, and a mark that is new with each start."""
+    """First frame of either end: its role, the number of its exchange, and an id that is new with each start."""
 
     role: str
     number: int
@@ -33,31 +36,31 @@
 
 
 class Heartbeat(Frame, frozen=True):
-    """Sent when nothing else was; `held` counts the circuits that the sender holds for dials of this link."""
+    """Sent at regular intervals; `held` counts the circuits that the sender holds for dials on this connection."""
 
     held: int = 0
 
 
 class Mark(Frame, frozen=True):
-    """Either end: say Marked(n) once you have read this far. All that was sent before it has been read then."""
+    """Asks the other end to reply with Marked once it has read this frame, and so all that was sent before it."""
 
     sequence: int
 
 
 class Marked(Frame, frozen=True):
-    """The answer to Mark(n)."""
+    """The reply to the Mark with the same number."""
 
     sequence: int
 
 
 class Fault(Frame, frozen=True):
-    """The one error before the sender closes the link."""
+    """The error for which the sender closes the connection; its last frame."""
 
     text: str
 
 
 class Call(Frame, frozen=True):
-    """Caller to call server: a dialogue. Its answer is awaited for `left`."""
+    """Caller to call server: request a dialogue. The caller waits for the answer for the time `left`."""
 
     id: int
     use_case: str
@@ -70,8 +73,8 @@
 
 
 class Final(Frame, frozen=True):
-    """Call server to caller: the one final answer, `stands`, `pushed_back` or `forfeited`; `by` names the version of
-    the hooks that had a say."""
+    """Call server to caller: the final answer to a Call, `stands` (established), `pushed_back` (rejected) or
+    `forfeited` (failed), and the version of the hooks that were consulted."""
 
     id: int
     answer: str
@@ -80,19 +83,19 @@
 
 
 class HangUp(Frame, frozen=True, tag="Leave"):
-    """Caller to call server: hung up, before the answer or after."""
+    """Caller to call server: the caller hung up, before the answer or after."""
 
     id: int
 
 
 class Ended(Frame, frozen=True):
-    """Call server to caller: a dialogue that stood was cut."""
+    """Call server to caller: an established dialogue was cut."""
 
     id: int
 
 
 class Setup(Frame, frozen=True):
-    """Set a dialogue up: by a call server to an office, or by an office to its own call server (in transit)."""
+    """Set up a dialogue: from a call server to an office, or in transit from an office to its own call server."""
 
     dial_ref: int
     origin: int
@@ -106,15 +109,15 @@
 
 
 class ProcessStep(Frame, frozen=True, tag="Pass"):
-    """Call server to its own office: one step of a dial passes the processor. `what`: `setup`, `answer` or
-    `release`."""
+    """Call server to its own office: have the processor process one step of a dial, `setup`, `answer` or `release`, or
+    work that belongs to no dial, with a reference of 0."""
 
     dial_ref: int
     step: str
 
 
 class StepProcessed(Frame, frozen=True, tag="Passed"):
-    """The own processor is done with a step; `taken` False: its queue was full."""
+    """The own processor has processed a step; not `accepted`: its queue was full."""
 
     dial_ref: int
     step: str
@@ -122,20 +125,20 @@
 
 
 class DropStep(Frame, frozen=True, tag="Drop"):
-    """Call server to its own office: the step of this ref is not needed any more."""
+    """Call server to its own office: the step with this reference is not needed any more."""
 
     dial_ref: int
 
 
 class Answer(Frame, frozen=True):
-    """The set-up was answered; the dialogue stands."""
+    """The set-up was answered; the dialogue is established."""
 
     dial_ref: int
     load: Load | None = None
 
 
 class Reject(Frame, frozen=True, tag="PushBack"):
-    """The set-up was not taken. `reason` as `REASONS`; `wait` is named by some full processors, else 0."""
+    """The set-up was rejected. `reason` is one of REJECT_REASONS; `wait` is set by some full processors, else 0."""
 
     dial_ref: int
     reason: str
@@ -144,33 +147,33 @@
 
 
 class Cancel(Frame, frozen=True):
-    """The sender of the Setup gives it up; confirmed by Released."""
+    """The sender of the Setup cancels it; confirmed by Released."""
 
     dial_ref: int
 
 
 class Release(Frame, frozen=True):
-    """The sender of the Setup ends a dialogue that stood; confirmed by Released."""
+    """The sender of the Setup ends an established dialogue; confirmed by Released."""
 
     dial_ref: int
 
 
 class Released(Frame, frozen=True):
-    """All that the dial held at this end is free."""
+    """All circuits that the dial held at the sender of this frame are free."""
 
     dial_ref: int
     load: Load | None = None
 
 
 class Cut(Frame, frozen=True):
-    """The taker of the Setup lost the dial, answered or not."""
+    """The receiver of the Setup lost the dial, answered or not."""
 
     dial_ref: int
 
 
 class GroupState(Frame, frozen=True):
-    """Between a call server and its own office: circuits of the group to `number` that the sender's side
-    holds; `size` is told by the office, -1 where the sender does not know it."""
+    """Between a call server and its own office: circuits of the trunk group to exchange `number` that the dials of the
+    sender's side hold. The office also reports the `size`; -1 if the sender does not know it."""
 
     number: int
     held: int
@@ -178,19 +181,19 @@
 
 
 class Probe(Frame, frozen=True):
-    """Ask for a load report."""
+    """Request a load report."""
 
 
 class LoadReport(Frame, frozen=True):
-    """A processor's figures, asked or not."""
+    """The load of a processor, requested (`asked`) or not."""
 
     load: Load
     asked: bool = True
 
 
 class CarriedDialogue(Frame, frozen=True, tag="Carried"):
-    """Office to its own call server, for the ledger: a dialogue that stood in this exchange is over, `released` or
-    `cut`, after `stood`; `dial` as its Setup said."""
+    """Office to its own call server, for the ledger: an established dialogue whose destination is this exchange ended,
+    `released` or `cut`, after `duration`; `dial` is the number in its Setup."""
 
     origin: int
     dialogue: int
@@ -203,20 +206,20 @@
 
 
 class LedgerMessage(Frame, frozen=True, tag="Ledger"):
-    """Between call servers: a message of their ledgers, which alone read it. It may be lost."""
+    """Between call servers: a message from one ledger to another, opaque to the trunk protocol. It may be lost."""
 
     payload: bytes
 
 
 class PeerMessage(Frame, frozen=True, tag="Word"):
-    """Between call servers: a short message of the decisions."""
+    """Between call servers: a short message of the decision function."""
 
     payload: bytes
 
 
 class OfficeListEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One office: `standing` is `ready`, `draining` or `gone`; `started` in us of the register's clock as an
-    age when the frame was sent, None for long ago; addresses as host:port."""
+    """One office: `state` is `ready`, `draining` or `gone`; `age` is the time since its start when the frame was sent,
+    None if it started long ago; addresses as host:port."""
 
     office: str
     number: int
@@ -227,7 +230,7 @@
 
 
 class OfficeList(Frame, frozen=True, tag="List"):
-    """Register to call server: `changes` to the list, or the `whole` of it. Revisions never go back."""
+    """Register to call server: `changes` to the office list, or the `whole` list. Revisions never decrease."""
 
     kind: str
     revision: int
@@ -235,7 +238,7 @@
 
 
 class Advice(Frame, frozen=True):
-    """Centre to call server: for each destination the tandem that had most room; -1 for none."""
+    """Centre to call server: for each destination the tandem with the most free circuits; -1 for none."""
 
     tandems: list[int]
 
@@ -255,5 +258,5 @@
     "fault",
     "unreachable",
 )
-"""Reasons of a PushBack: no circuit left at the far end (glare); the tandem turned it back; the processor beyond
-the tandem was full; this processor is full; all lines of the number are busy; it failed; no such office."""
+"""Reasons of a Reject, in this order: no circuit left at the far end (glare); rejected by the tandem; the processor
+beyond the tandem is full; this processor is full; all lines of the number are busy; it failed; no such office."""
