--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from world import RULES, USE_CASES, day, played, rules, trouble
+from world import RULES, USE_CASES, broken_rules, day, fault_line, play_day
 
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
@@ -158,14 +158,18 @@
     "words_lost": ({"length": "6s"}, words_missed, TOLD),
     "words_late": ({"size": 30, "length": "8s"}, words_missed, TOLD),
     "answer_after_release": ({}, told_twice, {}),
-    "list_goes_back": ({}, old_lists, {"with": [trouble("deploy", at="3s", on=[0, 1], size=0.34, extra=1)]}),
+    "list_goes_back": (
+        {},
+        old_lists,
+        {"with": [fault_line("deploy", at="3s", on=[0, 1], size=0.34, extra=1)]},
+    ),
     "register_restart": ({"size": 2}, lambda done: len(notes_of(done, "down", "register")), {}),
     "server_paused": ({"on": [1], "length": "2s"}, longest_pause, {}),
     "server_killed": ({"on": [1], "length": "1s"}, cut, {}),
     "server_stalls": (
         {"size": 40, "extra": 0.05, "length": "8s"},
         latest_answer,
-        {"with": [trouble("hang", on=[1])], "rate": 20.0},
+        {"with": [fault_line("hang", on=[1])], "rate": 20.0},
     ),
 }
 
@@ -184,8 +188,8 @@
             {"number": n, "zone": "ab"[n % 2], "setup": "10ms", "calls": {str((n + 1) % 3): 8}}
             for n in range(3)
         ]
-    quiet = played(day(**over, troubles=always))
-    ill = played(day(**over, troubles=[*always, trouble(kind, **line)]))
+    quiet = play_day(day(**over, troubles=always))
+    ill = play_day(day(**over, troubles=[*always, fault_line(kind, **line)]))
     assert quiet.verdict.breaks == [] and ill.verdict.breaks == []
     assert bite(ill) > bite(quiet), f"{bite(ill)} with {kind}, {bite(quiet)} without"
     assert not ill.left_open and not ill.lost_circuits
@@ -200,20 +204,20 @@
 
 def mixed() -> Day:
     kinds = [
-        trouble("answer_lost", at="1s", size=0.3),
-        trouble("deploy", at="2s", on=[0, 1], size=0.34, extra=1),
-        trouble("server_paused", at="4s", length="1s", on=[2]),
-        trouble("link_cut", at="5s", on=[1]),
-        trouble("server_killed", at="6s", length="1s", on=[0]),
+        fault_line("answer_lost", at="1s", size=0.3),
+        fault_line("deploy", at="2s", on=[0, 1], size=0.34, extra=1),
+        fault_line("server_paused", at="4s", length="1s", on=[2]),
+        fault_line("link_cut", at="5s", on=[1]),
+        fault_line("server_killed", at="6s", length="1s", on=[0]),
     ]
     return day(net={"same": "2ms", "cross": "2ms", "jitter": 0.3}, troubles=kinds)
 
 
 def test_the_same_seed_gives_the_same_captures_and_another_does_not() -> None:
-    one, two = played(mixed()), played(mixed())
+    one, two = play_day(mixed()), play_day(mixed())
     assert digest(one) == digest(two) and one.verdict.breaks == []
-    other = played(day(seed=8))
-    assert digest(other) != digest(played(day()))
+    other = play_day(day(seed=8))
+    assert digest(other) != digest(play_day(day()))
 
 
 # ---- hard cases ----
@@ -224,11 +228,11 @@
     made = day(
         rate=20,
         troubles=[
-            trouble("reads_nothing", at="3s", length="4s", on=[1]),
-            trouble("deploy", at="3500ms", on=[1], size=0.34, extra=6),
+            fault_line("reads_nothing", at="3s", length="4s", on=[1]),
+            fault_line("deploy", at="3500ms", on=[1], size=0.34, extra=6),
         ],
     )
-    done = played(made)
+    done = play_day(made)
     assert done.verdict.breaks == []
     assert tell("resets_of_drained")(done) > 0
 
@@ -236,14 +240,14 @@
 def test_a_tandems_process_is_killed_with_dialogues_in_transit() -> None:
     groups = [{"ends": [0, 2], "size": 100}, {"ends": [1, 2], "size": 100}]
     told = {"may_tell_peers": True}
-    killed = [trouble("server_killed", length="2s", on=[2])]
-    done = played(day(groups=groups, limits=told, rate=12, troubles=killed))
+    killed = [fault_line("server_killed", length="2s", on=[2])]
+    done = play_day(day(groups=groups, limits=told, rate=12, troubles=killed))
     assert done.verdict.breaks == [] and done.verdict.seen["transits"] > 50
     assert cut(done) > 5 and not done.lost_circuits and not done.left_open
 
 
 def test_a_restarted_call_server_names_no_dialogue_as_the_one_before_did() -> None:
-    done = played(day(rate=15, troubles=[trouble("server_killed", length="1s", on=[0])]))
+    done = play_day(day(rate=15, troubles=[fault_line("server_killed", length="1s", on=[0])]))
     lives = {
         line.frame.dialogue >> 32
         for line in frames_of(done, frames.Setup, "office", "in")
@@ -253,7 +257,7 @@
 
 
 def test_a_link_flaps_faster_than_the_release_wait() -> None:
-    done = played(day(rate=15, troubles=[trouble("link_cut", size=30, extra=0.12, on=[1])]))
+    done = play_day(day(rate=15, troubles=[fault_line("link_cut", size=30, extra=0.12, on=[1])]))
     assert done.verdict.breaks == [] and not done.lost_circuits
     assert downs(done) >= 40
 
@@ -263,30 +267,30 @@
     made = day(
         rate=12,
         troubles=[
-            trouble("deploy", at="2s", on=[1], size=0.34, extra=6),
-            trouble("register_restart", at="4s", size=3),
+            fault_line("deploy", at="2s", on=[1], size=0.34, extra=6),
+            fault_line("register_restart", at="4s", size=3),
         ],
     )
-    done = played(made)
+    done = play_day(made)
     assert done.verdict.breaks == [] and tell("lists_skipped")(done) >= 3
 
 
 def test_all_offices_come_up_at_once_and_cold() -> None:
-    done = played(day(n=4, rate=20, setup="20ms", troubles=[trouble("mass_restart", length="500ms")]))
+    done = play_day(day(n=4, rate=20, setup="20ms", troubles=[fault_line("mass_restart", length="500ms")]))
     assert done.verdict.breaks == [] and done.verdict.seen["cold_setups"] > 20
     assert not count("fell_over")(done)
 
 
 def test_call_servers_with_clocks_an_hour_apart() -> None:
     made = mixed()
-    apart = played(made, clocks={0: 3600.0, 1: 0.0, 2: -0.5 + 7200.0})
+    apart = play_day(made, clocks={0: 3600.0, 1: 0.0, 2: -0.5 + 7200.0})
     assert apart.verdict.breaks == []
-    assert abs(served(apart) - served(played(made))) < 0.05
+    assert abs(served(apart) - served(play_day(made))) < 0.05
 
 
 def test_a_call_server_that_stands_still_answers_what_it_owes_once_it_goes_on() -> None:
-    made = day(rate=20, setup="4ms", troubles=[trouble("server_paused", length="2s", on=[0, 1])])
-    done = played(made)
+    made = day(rate=20, setup="4ms", troubles=[fault_line("server_paused", length="2s", on=[0, 1])])
+    done = play_day(made)
     assert done.verdict.breaks == [] and not done.left_open
     assert longest_pause(done) >= 2_000_000
 
@@ -311,8 +315,8 @@
     ids=str,
 )
 def test_settings_that_are_legal_but_extreme(over: dict[str, Any]) -> None:
-    lost = [trouble("answer_lost", size=0.5)] if over.get("n", 3) > 1 else []
-    done = played(day(**{"troubles": lost, "length": "6s", **over}) if over.get("n") != 1 else alone())
+    lost = [fault_line("answer_lost", size=0.5)] if over.get("n", 3) > 1 else []
+    done = play_day(day(**{"troubles": lost, "length": "6s", **over}) if over.get("n") != 1 else alone())
     assert done.verdict.breaks == [] and not done.left_open and not done.lost_circuits
     assert all(not status["counts"].get("decision_faults") for status in done.servers.values())
 
@@ -334,8 +338,8 @@
         return real(x, event, now)
 
     monkeypatch.setattr(runner_module, "decide", faulty)
-    done = played(day(rate=12))
-    assert rules(done) == [] and tell("decision_faults")(done) > 20 and not done.left_open
+    done = play_day(day(rate=12))
+    assert broken_rules(done) == [] and tell("decision_faults")(done) > 20 and not done.left_open
 
 
 def test_what_the_operators_see_is_there() -> None:
@@ -344,7 +348,7 @@
     def look(town: Town, fleet: InProcess) -> None:
         town.loop.call_later(6, lambda: seen.update(fleet.daemons[0].status()))
 
-    played(day(), meddle=look)
+    play_day(day(), prepare=look)
     assert seen["number"] == 0 and {one["id"] for one in seen["offices"]} == {
         "office-0",
         "office-1",
@@ -358,24 +362,24 @@
     [
         # Found by drawing days at random: each broke a rule by the judge's eyes, lost a circuit, or fell over itself.
         [
-            trouble("reads_nothing", at="2s", length="4s", on=[1]),
-            trouble("answer_lost", at="1s", length="8s", size=0.5),
+            fault_line("reads_nothing", at="2s", length="4s", on=[1]),
+            fault_line("answer_lost", at="1s", length="8s", size=0.5),
         ],
         [
-            trouble("half_open", at="2s", length="2s", on=[1]),
-            trouble("half_open", at="3s", length="3s", on=[1, 2]),
+            fault_line("half_open", at="2s", length="2s", on=[1]),
+            fault_line("half_open", at="3s", length="3s", on=[1, 2]),
         ],
         [
-            trouble("half_open", at="2s", length="8s", on=[0]),
-            trouble("answer_lost", at="1s", length="8s", size=0.5),
+            fault_line("half_open", at="2s", length="8s", on=[0]),
+            fault_line("answer_lost", at="1s", length="8s", size=0.5),
         ],
         [
-            trouble("server_killed", at="2s", length="3s", on=[0]),
-            trouble("server_killed", at="3s", length="5s", on=[0, 1]),
+            fault_line("server_killed", at="2s", length="3s", on=[0]),
+            fault_line("server_killed", at="3s", length="5s", on=[0, 1]),
         ],
         [
-            trouble("server_paused", at="2s", length="3s", on=[0]),
-            trouble("server_killed", at="3s", length="60s", on=[0]),
+            fault_line("server_paused", at="2s", length="3s", on=[0]),
+            fault_line("server_killed", at="3s", length="60s", on=[0]),
         ],
     ],
     ids=lambda troubles: "+".join(one["kind"] for one in troubles),
@@ -383,5 +387,5 @@
 def test_troubles_that_meet(troubles: list[dict[str, Any]]) -> None:
     groups = [{"ends": [0, 2], "size": 40}, {"ends": [1, 2], "size": 40}]
     for over in ({}, {"groups": groups, "limits": {"may_tell_peers": True}}):
-        done = played(day(rate=15, setup="1ms", troubles=troubles, **over))
+        done = play_day(day(rate=15, setup="1ms", troubles=troubles, **over))
         assert done.verdict.breaks == [] and not done.left_open and not done.lost_circuits
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from world import Hand, day
+from world import RecordingOwner, day
 
 from wellhitch.emulator.disk import EmulatedDisk
 from wellhitch.emulator.loop import VirtualLoop
@@ -23,12 +23,12 @@
 from wellhitch.trunk.connection import ALLOWED_FRAMES
 
 
-class Asking(asyncio.BufferedProtocol):
+class OperatorClient(asyncio.BufferedProtocol):
     """An operator at the door."""
 
     def __init__(self) -> None:
-        self.said = b""
-        self.gone = False
+        self.reply = b""
+        self.closed = False
         self.buffer = bytearray(1 << 16)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -38,60 +38,60 @@
         return self.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.said += bytes(self.buffer[:nbytes])
+        self.reply += bytes(self.buffer[:nbytes])
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone = True
+        self.closed = True
 
 
-class Door:
+class DaemonFixture:
     """A call server at exchange 0 whose doors are knocked at."""
 
     def __init__(self, ledger: bool = False, **over: Any) -> None:
         self.loop = VirtualLoop()
-        self.faults: list[str] = []
-        self.loop.set_exception_handler(lambda loop, context: self.faults.append(str(context)))
+        self.loop_errors: list[str] = []
+        self.loop.set_exception_handler(lambda loop, context: self.loop_errors.append(str(context)))
         self.net = EmulatedNetwork(self.loop, 1)
-        self.said: list[str] = []
+        self.logged: list[str] = []
         facts = start_event(sheet_of(day(**over), 0, HostAddresses()))
         doors = ServerAddresses("s:1", "s:2", "s:3", "register:1", "")
         hooks = {"a": "on arrive { return none }"}
         self.daemon = Daemon(
-            self.loop, self.net.at("s"), facts, doors, 10, 1, lambda event, **facts: self.said.append(event),
-            hooks=hooks, make_settlement=self.desk if ledger else None,
+            self.loop, self.net.at("s"), facts, doors, 10, 1, lambda event, **facts: self.logged.append(event),
+            hooks=hooks, make_settlement=self.make_settlement if ledger else None,
         )  # fmt: skip
         self.daemon.start()
         self.loop.advance(0.1)
 
-    def desk(self, loop: Any, send: Any, log: Any) -> SettlementService:
+    def make_settlement(self, loop: Any, send: Any, log: Any) -> SettlementService:
         keys, wall = NumberKeys({1: b"k" * 32}), 1_796_083_200_000_000
         disk = EmulatedDisk(1, loop)
         return SettlementService(
             loop, disk, 0, (0, 1), keys, lambda now: now + wall, send, log, random.Random(1)
         )
 
-    def operator(self) -> Asking:
-        asking = Asking()
+    def connect_operator(self) -> OperatorClient:
+        asking = OperatorClient()
         self.net.at("o").connect("s:3", lambda: asking, print)
         self.loop.advance(0.1)
         return asking
 
-    def ask(self, text: bytes) -> bytes:
-        asking = self.operator()
+    def request(self, text: bytes) -> bytes:
+        asking = self.connect_operator()
         asking.transport.write(text)
         self.loop.advance(0.1)
-        assert asking.gone and not self.faults, self.faults
-        return asking.said
+        assert asking.closed and not self.loop_errors, self.loop_errors
+        return asking.reply
 
-    def party(self, address: str, hello: frames.Hello) -> Hand:
+    def listen_as(self, address: str, hello: frames.Hello) -> RecordingOwner:
         """Somebody who listens at an address."""
-        hand = Hand()
+        hand = RecordingOwner()
         self.net.at(address.partition(":")[0]).listen(
             address, lambda: Channel(self.loop, hand, hello, ("call_server",)), lambda listener: None
         )
         return hand
 
-    def listed(self, *lines: frames.OfficeListEntry, kind: str = "whole", revision: int = 1) -> None:
+    def send_list(self, *lines: frames.OfficeListEntry, kind: str = "whole", revision: int = 1) -> None:
         frame = frames.OfficeList(kind, revision, list(lines))
         self.daemon.control_channels.frame_received(cast(Channel, None), frame)
         self.loop.advance(1.0)
@@ -109,45 +109,49 @@
     ],
 )
 def test_whatever_an_operator_says_is_answered_in_one_line(text: str, said: str) -> None:
-    door = Door()
+    door = DaemonFixture()
     if text.startswith("hooks canary"):
         door.daemon.switch.hook_runner.hooks.start_shadow(door.daemon.switch.hook_runner.hooks.version)  # type: ignore[union-attr]
-    assert said in door.ask(text.encode("utf-8", "surrogateescape")).decode()
+    assert said in door.request(text.encode("utf-8", "surrogateescape")).decode()
 
 
 def test_an_operator_who_says_nothing_or_reads_nothing_is_let_go() -> None:
-    door = Door()
-    silent, dripping = door.operator(), door.operator()
+    door = DaemonFixture()
+    silent, dripping = door.connect_operator(), door.connect_operator()
     for _ in range(12):
         dripping.transport.write(b"s")
         door.loop.advance(1.0)
-    assert silent.gone and dripping.gone and not door.daemon.operator_transports
+    assert silent.closed and dripping.closed and not door.daemon.operator_transports
 
 
 def test_an_office_of_another_number_than_the_list_says_is_not_dialled() -> None:
     """An address that was given to another office: dialogues for 1 went to 2, which handed them on."""
-    door = Door()
-    wrong = door.party("o1:1", frames.Hello("office", 2, 1))
-    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1"))
+    door = DaemonFixture()
+    wrong = door.listen_as("o1:1", frames.Hello("office", 2, 1))
+    door.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1"))
     assert not door.daemon.switch.offices["o1"].connected
-    assert wrong.down and "office 2, not 1" in wrong.down[0] and "office_not_as_listed" in door.said
+    assert (
+        wrong.close_reasons
+        and "office 2, not 1" in wrong.close_reasons[0]
+        and "office_not_as_listed" in door.logged
+    )
 
 
 def test_a_peer_that_moved_keeps_no_old_link() -> None:
-    door = Door(limits={"may_tell_peers": True})
+    door = DaemonFixture(limits={"may_tell_peers": True})
     hello = frames.Hello("call_server", 1, 1)
-    old, new = door.party("p1:1", hello), door.party("p1:2", hello)
-    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:1"))
-    assert len(old.up) == 1
-    door.listed(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
-    assert old.down and len(new.up) == 1 and list(door.daemon.peer_connections) == ["p1:2"]
+    old, new = door.listen_as("p1:1", hello), door.listen_as("p1:2", hello)
+    door.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:1"))
+    assert len(old.opened) == 1
+    door.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
+    assert old.close_reasons and len(new.opened) == 1 and list(door.daemon.peer_connections) == ["p1:2"]
 
 
 @pytest.mark.parametrize("kind", ["whole", "odd"])
 def test_a_malformed_list_is_not_followed_to_its_peers(kind: str) -> None:
-    door = Door(limits={"may_tell_peers": True})
+    door = DaemonFixture(limits={"may_tell_peers": True})
     standing = "ready" if kind == "odd" else "broken"
-    door.listed(frames.OfficeListEntry("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
+    door.send_list(frames.OfficeListEntry("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
     assert not door.daemon.peer_connections and door.daemon.switch.counts["lists_malformed"] == 1
 
 
@@ -157,17 +161,17 @@
 FLOATS = [0.0, 0.5, 1e308, -1.0, float("nan"), float("inf"), float("-inf")]
 
 
-def any_value(wanted: Any, chance: random.Random) -> Any:
+def random_value(wanted: Any, chance: random.Random) -> Any:
     """A value of a frame's field, whatever its type lets through."""
     origin, args = typing.get_origin(wanted), typing.get_args(wanted)
     if origin is list:
-        return [any_value(args[0], chance) for _ in range(chance.choice([0, 1, 3]))]
+        return [random_value(args[0], chance) for _ in range(chance.choice([0, 1, 3]))]
     if args:  # a union
-        return any_value(chance.choice(args), chance)
+        return random_value(chance.choice(args), chance)
     if wanted is type(None):
         return None
     if isinstance(wanted, type) and issubclass(wanted, msgspec.Struct):
-        return any_frame(wanted, chance)
+        return random_frame(wanted, chance)
     choices: dict[Any, Callable[[], Any]] = {
         int: lambda: chance.choice(INTS),
         str: lambda: chance.choice(TEXTS),
@@ -178,12 +182,12 @@
     return choices[wanted]()
 
 
-def any_frame(kind: type[Any], chance: random.Random) -> Any:
+def random_frame(kind: type[Any], chance: random.Random) -> Any:
     hints = typing.get_type_hints(kind)
-    return kind(**{one.name: any_value(hints[one.name], chance) for one in msgspec.structs.fields(kind)})
+    return kind(**{one.name: random_value(hints[one.name], chance) for one in msgspec.structs.fields(kind)})
 
 
-def a_sound_frame(kind: type[Any], chance: random.Random) -> Any:
+def valid_frame(kind: type[Any], chance: random.Random) -> Any:
     """A frame as a party would say it."""
     ref = chance.randrange(1, 6)
     own: dict[type[Any], Any] = {
@@ -202,21 +206,21 @@
         ),
         frames.Advice: frames.Advice([-1, 1, 2]),
     }
-    return own.get(kind) or any_frame(kind, chance)
+    return own.get(kind) or random_frame(kind, chance)
 
 
-def with_one_odd_figure(frame: Any, chance: random.Random) -> Any:
+def with_one_odd_field(frame: Any, chance: random.Random) -> Any:
     """The frame with one field, or one of what stands in it, whatever the type lets through."""
     one = chance.choice(msgspec.structs.fields(frame)) if msgspec.structs.fields(frame) else None
     if one is None:
         return frame
     value = getattr(frame, one.name)
     if isinstance(value, msgspec.Struct):
-        new = with_one_odd_figure(value, chance)
+        new = with_one_odd_field(value, chance)
     elif isinstance(value, list) and value and isinstance(value[0], msgspec.Struct):
-        new = [with_one_odd_figure(value[0], chance), *value[1:]]
+        new = [with_one_odd_field(value[0], chance), *value[1:]]
     else:
-        new = any_value(typing.get_type_hints(type(frame))[one.name], chance)
+        new = random_value(typing.get_type_hints(type(frame))[one.name], chance)
     return msgspec.structs.replace(frame, **{one.name: new})
 
 
@@ -224,12 +228,12 @@
 def test_any_frames_that_a_party_may_say_raise_nothing_and_stop_nobody(seed: int) -> None:
     """Whatever the types let through, from every party at once, in any order."""
     chance = random.Random(seed)
-    door = Door(limits={"may_tell_peers": True}, ledger=seed % 2 == 0)
+    door = DaemonFixture(limits={"may_tell_peers": True}, ledger=seed % 2 == 0)
     hands = {
-        "office": [door.party(f"o{n}:1", frames.Hello("office", n, 1)) for n in range(3)],
-        "register": [door.party("register:1", frames.Hello("register", -1, 1))],
-        "call_server": [door.party("p1:1", frames.Hello("call_server", 1, 1))],
-        "caller": [Hand()],
+        "office": [door.listen_as(f"o{n}:1", frames.Hello("office", n, 1)) for n in range(3)],
+        "register": [door.listen_as("register:1", frames.Hello("register", -1, 1))],
+        "call_server": [door.listen_as("p1:1", frames.Hello("call_server", 1, 1))],
+        "caller": [RecordingOwner()],
     }
     caller = frames.Hello("caller", 0, 1)
     door.net.at("c").connect(
@@ -242,32 +246,32 @@
     known = frames.OfficeList("whole", 1, lines)
     for _ in range(500):
         role = chance.choice(list(hands))
-        ports = [hand.up[-1] for hand in hands[role] if hand.up]
+        ports = [hand.opened[-1] for hand in hands[role] if hand.opened]
         if role == "register" and chance.random() < 0.9:
             frame: Any = (
                 known  # or all offices would soon be gone by an odd list, and nothing said of them heard
             )
         else:
             kind = chance.choice(ALLOWED_FRAMES[role, "call_server"])
-            frame = any_frame(kind, chance)
+            frame = random_frame(kind, chance)
             if chance.random() < 0.8:
-                frame = a_sound_frame(kind, chance)
+                frame = valid_frame(kind, chance)
                 if chance.random() < 0.7:
-                    frame = with_one_odd_figure(frame, chance)
+                    frame = with_one_odd_field(frame, chance)
         if isinstance(frame, frames.OfficeList):
             frame = msgspec.structs.replace(frame, revision=1)
         if ports:
             (ports[0] if chance.random() < 0.5 else chance.choice(ports)).send(frame)
         door.loop.advance(chance.choice([0.001, 0.01, 0.3]))
-    assert not door.faults, door.faults[0][:600]
+    assert not door.loop_errors, door.loop_errors[0][:600]
     assert not door.daemon.switch.counts["decision_faults"] and not door.daemon.switch.counts["ledger_faults"]
-    assert b'"number": 0' in door.ask(b"status\n") and b"wellhitch_held" in door.ask(b"metrics\n")
+    assert b'"number": 0' in door.request(b"status\n") and b"wellhitch_held" in door.request(b"metrics\n")
 
 
 # Known red (KNOWN-RED.txt): roles are believed; nothing but loopback tells a peer from another process.
 def test_a_stranger_who_says_he_is_a_call_server_is_let_go() -> None:
-    door, stranger = Door(limits={"may_tell_peers": True}), Hand()
+    door, stranger = DaemonFixture(limits={"may_tell_peers": True}), RecordingOwner()
     hello = frames.Hello("call_server", 9, 1)
     door.net.at("x").connect("s:2", lambda: Channel(door.loop, stranger, hello, ("call_server",)), print)
     door.loop.advance(1.0)
-    assert stranger.down
+    assert stranger.close_reasons
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -8,7 +8,7 @@
 from blake3 import blake3
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from world import day, played, rules, trouble
+from world import broken_rules, day, fault_line, play_day
 
 from wellhitch.hooks.containment import (
     FAILURES_TO_SUSPEND,
@@ -216,16 +216,16 @@
 
 def day_with_faults(texts: dict[str, str]) -> Played:
     troubles = [
-        trouble("crash", at="2s", length="1s", on=[1]),
-        trouble("deploy", at="3s", on=[2], size=0.34, extra=2),
-        trouble("answer_lost", at="5s", length="3s", size=0.2),
+        fault_line("crash", at="2s", length="1s", on=[1]),
+        fault_line("deploy", at="3s", on=[2], size=0.34, extra=2),
+        fault_line("answer_lost", at="5s", length="3s", size=0.2),
     ]
-    return played(day(n=3, rate=12, troubles=troubles, hooks=texts))
+    return play_day(day(n=3, rate=12, troubles=troubles, hooks=texts))
 
 
 def test_a_day_with_faults_and_broken_hooks() -> None:
     plain, broken = day_with_faults({}), day_with_faults(BROKEN)
-    assert rules(plain) == rules(broken) == []
+    assert broken_rules(plain) == broken_rules(broken) == []
     assert not broken.left_open and not broken.lost_circuits
     counts = broken.servers[0]["counts"]
     kinds = [name for name in counts if name.startswith("hooks_failed.")]
@@ -238,10 +238,10 @@
 
 
 def test_a_favoured_traffic_class_is_rejected_less_under_load() -> None:
-    slow = trouble("slow", at="1s", length="9s", size=4)
+    slow = fault_line("slow", at="1s", length="9s", size=4)
     favoured = {"a": 'on arrive { if call.use_case == "dear" { return {favour: 3} } }'}
-    plain = played(day(rate=25, troubles=[slow])).service.by_use_case["dear"]
-    moved = played(day(rate=25, troubles=[slow], hooks=favoured)).service.by_use_case["dear"]
+    plain = play_day(day(rate=25, troubles=[slow])).service.by_use_case["dear"]
+    moved = play_day(day(rate=25, troubles=[slow], hooks=favoured)).service.by_use_case["dear"]
     assert moved.pushed_back / moved.asked < 0.6 * plain.pushed_back / plain.asked
 
 
@@ -249,7 +249,7 @@
     texts = {
         "a": 'on arrive { if call.destination == 1 { return {push_back: "closed"} } return {use_case: "dear"} }'
     }
-    done = played(day(hooks=texts))
+    done = play_day(day(hooks=texts))
     assert done.verdict.breaks == []
     counts = done.servers[0]["counts"]
     assert counts["hooks_pushed_back"] > 5 and counts["hooks_named_use_case"] > 5
@@ -316,7 +316,7 @@
         for index, (command, text) in enumerate(steps):
             town.loop.call_later(4 + index * 0.5, request, command, text)
 
-    done = played(day(rate=30, hooks=texts), meddle=operate)
+    done = play_day(day(rate=30, hooks=texts), prepare=operate)
     assert done.verdict.breaks == [] and not done.left_open
     assert "runs from now on; hooks back" in replies[0] and "runs from now on" in replies[1]
     assert replies[2].startswith("not taken") and "returns a record or nothing" in replies[2]
@@ -331,7 +331,7 @@
 
 def test_the_version_that_decided_is_in_the_capture() -> None:
     texts = {"a": 'on arrive { if call.destination == 1 { return {push_back: "closed"} } }'}
-    done = played(day(hooks=texts, length="4s"))
+    done = play_day(day(hooks=texts, length="4s"))
     finals = [
         line.frame
         for capture in done.captures
--- a/tests/test_hooks_tools.py
+++ b/tests/test_hooks_tools.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from test_hooks_service import BROKEN
-from world import USE_CASES, day, rules, trouble
+from world import USE_CASES, broken_rules, day, fault_line
 
 from wellhitch.cli.main import main
 from wellhitch.hooks.formatter import format_source
@@ -94,9 +94,9 @@
 
 def test_broken_hooks_on_real_sockets(tmp_path: Path) -> None:
     brief: list[dict[str, Any]] = [{**use, "hold": "300ms"} for use in USE_CASES]
-    lost = [trouble("answer_lost", at="1s", length="1s", size=0.3)]
+    lost = [fault_line("answer_lost", at="1s", length="1s", size=0.3)]
     made = day(n=3, rate=10, length="2s", tail="20s", use_cases=brief, hooks=BROKEN, troubles=lost)
     done = play_sockets(made, tmp_path, processes=False)
-    assert rules(done) == [] and not done.left_open
+    assert broken_rules(done) == [] and not done.left_open
     counts = done.servers[0]["counts"]
     assert counts["hooks_failed.memory"] >= 3 and counts["hooks_failed.wrong"] >= 3
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from world import RULES, day, played, rules, trouble
+from world import RULES, broken_rules, day, fault_line, play_day
 
 from wellhitch.interface import events as ev
 from wellhitch.judge.rules import judge
@@ -17,8 +17,8 @@
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import BadCapture, read_capture, read_folder
 
-LOST = [trouble("answer_lost", length="8s", size=0.5)]
-DEPLOY = [trouble("deploy", on=[1], size=0.34, extra=4)]
+LOST = [fault_line("answer_lost", length="8s", size=0.5)]
+DEPLOY = [fault_line("deploy", on=[1], size=0.34, extra=4)]
 
 
 class AnswersTwice(Switch):
@@ -64,8 +64,8 @@
         if dial.state is DialState.SENT and others:
             taken = dial.call
             setup = frames.Setup(
-                others[0].new_dial_ref() + 1_000_000, taken.origin, taken.origin_dialogue, dial.number + 1, taken.use_case,
-                others[0].number, None, 1_000_000, 1,
+                others[0].new_dial_ref() + 1_000_000, taken.origin, taken.origin_dialogue, dial.number + 1,
+                taken.use_case, others[0].number, None, 1_000_000, 1,
             )  # fmt: skip
             self.io.send_to_office(others[0].id, setup)
 
@@ -151,13 +151,13 @@
         {"number": n, "setup": "40ms" if n == 1 else "2ms", "calls": {} if n == 1 else {"1": rate}}
         for n in range(4)
     ]
-    return day(n=4, group=60, exchanges=exchanges, troubles=[trouble("crash", length="1s", on=[1])])
+    return day(n=4, group=60, exchanges=exchanges, troubles=[fault_line("crash", length="1s", on=[1])])
 
 
 BROKEN: list[tuple[type[Switch], int, Callable[[], Day], str]] = [
     (AnswersTwice, 1, lambda: day(), "a second answer"),
     (NeverAnswersSome, 1, lambda: day(group=2), "no answer within"),
-    (AnswersLate, 1, lambda: day(troubles=[trouble("hang", on=[1])]), "no answer within"),
+    (AnswersLate, 1, lambda: day(troubles=[fault_line("hang", on=[1])]), "no answer within"),
     (TurnsTransitsBackTwice, 1, lambda: sparse(), "a second answer, PushBack after Answer"),
     (DialsTwoAtOnce, 2, lambda: day(), "is out"),
     (NeverCallsOff, 2, lambda: day(troubles=LOST), "is out"),
@@ -177,15 +177,15 @@
 def test_a_broken_server_is_caught_and_named(
     broken: type[Switch], rule: int, made: Callable[[], Day], said: str
 ) -> None:
-    done = played(made(), broken)
+    done = play_day(made(), broken)
     found = [one for one in done.verdict.breaks if one.rule == rule]
-    assert found, f"rule {rule} not caught; others: {rules(done)}"
+    assert found, f"rule {rule} not caught; others: {broken_rules(done)}"
     assert any(said in one.text for one in found), found[0].text
 
 
 @pytest.mark.parametrize("made", {id(made): made for _, _, made, _ in BROKEN}.values())
 def test_the_same_days_break_nothing_with_the_real_server(made: Callable[[], Day]) -> None:
-    done = played(made())
+    done = play_day(made())
     assert done.verdict.breaks == []
     assert done.verdict.seen["dialogues"] > 50 and not done.left_open
 
@@ -217,7 +217,7 @@
 def test_captures_that_miss_a_party_or_hold_no_dialogue_are_no_pass(tmp_path: Path) -> None:
     with pytest.raises(BadCapture, match="no captures"):
         read_folder(tmp_path)
-    done = played(day(length="2s"))
+    done = play_day(day(length="2s"))
     with pytest.raises(BadCapture, match="'register'"):
         judge([one for one in done.captures if one.party != "register"])
     for one in done.captures:
@@ -227,7 +227,7 @@
 
 
 def test_the_figures_come_from_the_capture() -> None:
-    done = played(day(length="2s"))
+    done = play_day(day(length="2s"))
     world = next(one for one in done.captures if one.party == "world")
     assert world.facts["release_wait"] == 200_000 and RULES["release_wait"] == "200ms"
     del world.facts["release_wait"]
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from world import day, trouble
+from world import day, fault_line
 
 from wellhitch.emulator.disk import EmulatedDisk, PowerCut
 from wellhitch.emulator.loop import VirtualLoop
@@ -84,14 +84,17 @@
 
 
 def test_killed_call_servers_and_an_accounting_side_that_does_all_wrong() -> None:
-    killed = [trouble("server_killed", "2s", "1s", on=[1]), trouble("server_killed", "5s", "2s", on=[2])]
+    killed = [
+        fault_line("server_killed", "2s", "1s", on=[1]),
+        fault_line("server_killed", "5s", "2s", on=[2]),
+    ]
     found = books(ALL_ILLS, killed)
     whole(found, killed_us=SECOND)
     assert found.accounting["took_half"] and found.accounting["lost_answer"]
 
 
 def test_machines_that_lose_power_lose_no_more_than_is_said() -> None:
-    killed = [trouble("server_killed", "3s", "1s", on=[0, 1, 2])]
+    killed = [fault_line("server_killed", "3s", "1s", on=[0, 1, 2])]
     found = books(ALL_ILLS, killed, power_cuts=lambda number: True)
     assert not found.verdict.breaks and not found.wrong
     lost = [one for one in ledger_day.differences(found, SECOND) if "is not booked" not in one]
@@ -101,7 +104,7 @@
 
 
 def test_clocks_minutes_apart_and_links_that_lose_all_close_the_same_period() -> None:
-    found = books(Ills(), [trouble("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0)
+    found = books(Ills(), [fault_line("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0)
     whole(found)
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,7 +4,7 @@
 from typing import cast
 
 import pytest
-from world import Hand, TwoEnds, day
+from world import ConnectedChannels, RecordingOwner, day
 
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
@@ -17,8 +17,8 @@
 
 
 @pytest.fixture
-def ends() -> TwoEnds:
-    return TwoEnds()
+def ends() -> ConnectedChannels:
+    return ConnectedChannels()
 
 
 @pytest.mark.parametrize(
@@ -30,132 +30,137 @@
     ],
 )
 def test_garbage_gets_one_clear_error_and_costs_that_link_alone(
-    ends: TwoEnds, data: bytes, said: str
+    ends: ConnectedChannels, data: bytes, said: str
 ) -> None:
-    other = TwoEnds()
-    assert ends.a.transport is not None
-    ends.a.transport.write(data)
+    other = ConnectedChannels()
+    assert ends.server_channel.transport is not None
+    ends.server_channel.transport.write(data)
     ends.loop.advance(0.5)
-    assert said in ends.office.down[0] and len(ends.office.down) == 1
-    assert f"reported by the other end: {said}" in ends.server.down[0]
+    assert said in ends.office_owner.close_reasons[0] and len(ends.office_owner.close_reasons) == 1
+    assert f"reported by the other end: {said}" in ends.server_owner.close_reasons[0]
     other.loop.advance(0.5)
-    assert not other.server.down
+    assert not other.server_owner.close_reasons
 
 
-def test_a_reset_in_mid_frame_is_a_lost_link_and_no_frame(ends: TwoEnds) -> None:
-    assert ends.a.transport is not None
-    ends.a.transport.write(b"\x01\x00\x00\x40half")
-    ends.a.transport.abort()
+def test_a_reset_in_mid_frame_is_a_lost_link_and_no_frame(ends: ConnectedChannels) -> None:
+    assert ends.server_channel.transport is not None
+    ends.server_channel.transport.write(b"\x01\x00\x00\x40half")
+    ends.server_channel.transport.abort()
     ends.loop.advance(0.5)
-    assert ends.office.down == ["reset"] and not ends.office.got
+    assert ends.office_owner.close_reasons == ["reset"] and not ends.office_owner.received
 
 
-def test_bytes_one_by_one_make_the_same_frames(ends: TwoEnds) -> None:
+def test_bytes_one_by_one_make_the_same_frames(ends: ConnectedChannels) -> None:
     ends.net.spoil("s", "o").trickle = True
-    ends.a.send(frames.Cancel(7))
-    ends.a.send(frames.Release(8))
+    ends.server_channel.send(frames.Cancel(7))
+    ends.server_channel.send(frames.Release(8))
     ends.loop.advance(1)
-    assert ends.office.got == [frames.Cancel(7), frames.Release(8)]
+    assert ends.office_owner.received == [frames.Cancel(7), frames.Release(8)]
 
 
-def test_a_half_open_link_is_found_by_both_ends(ends: TwoEnds) -> None:
+def test_a_half_open_link_is_found_by_both_ends(ends: ConnectedChannels) -> None:
     ends.net.spoil("s", "o").silent = True
     ends.loop.advance(3)
-    assert not ends.server.down
+    assert not ends.server_owner.close_reasons
     ends.loop.advance(2)
-    assert ends.server.down == ["no data from the other end"] and ends.office.down == [
+    assert ends.server_owner.close_reasons == [
         "no data from the other end"
-    ]
+    ] and ends.office_owner.close_reasons == ["no data from the other end"]
 
 
-def test_a_reader_that_stops_costs_a_bounded_number_of_frames_then_its_link(ends: TwoEnds) -> None:
-    assert ends.b.transport is not None
-    ends.b.transport.pause_reading()
+def test_a_reader_that_stops_costs_a_bounded_number_of_frames_then_its_link(ends: ConnectedChannels) -> None:
+    assert ends.office_channel.transport is not None
+    ends.office_channel.transport.pause_reading()
     sent = 0
     for _ in range(40):
         for _ in range(400):
-            sent += ends.a.send(frames.Cancel(sent))
+            sent += ends.server_channel.send(frames.Cancel(sent))
         ends.loop.advance(0.01)
-        if ends.server.down:
+        if ends.server_owner.close_reasons:
             break
-    assert "does not read" in ends.server.down[0]
-    assert len(ends.a._unsent) <= MAX_UNSENT_FRAMES
+    assert "does not read" in ends.server_owner.close_reasons[0]
+    assert len(ends.server_channel._unsent) <= MAX_UNSENT_FRAMES
 
 
-def test_a_mark_is_answered_once_all_before_it_was_read(ends: TwoEnds) -> None:
-    assert ends.b.transport is not None
-    ends.b.transport.pause_reading()
-    ends.a.send(frames.Cancel(1))
-    mark = ends.a.send_mark()
+def test_a_mark_is_answered_once_all_before_it_was_read(ends: ConnectedChannels) -> None:
+    assert ends.office_channel.transport is not None
+    ends.office_channel.transport.pause_reading()
+    ends.server_channel.send(frames.Cancel(1))
+    mark = ends.server_channel.send_mark()
     ends.loop.advance(0.3)
-    assert not ends.a.mark_confirmed(mark)
-    ends.b.transport.resume_reading()
+    assert not ends.server_channel.mark_confirmed(mark)
+    ends.office_channel.transport.resume_reading()
     ends.loop.advance(0.1)
-    assert ends.a.mark_confirmed(mark) and ends.office.got == [frames.Cancel(1)]
+    assert ends.server_channel.mark_confirmed(mark) and ends.office_owner.received == [frames.Cancel(1)]
 
 
-def test_frames_that_wait_here_can_be_taken_back(ends: TwoEnds) -> None:
-    ends.a.pause_writing()
-    ends.a.send(frames.Cancel(1))
-    ends.a.send(frames.Release(2))
-    assert ends.a.withdraw(lambda frame: isinstance(frame, frames.Cancel)) == [frames.Cancel(1)]
-    ends.a.resume_writing()
+def test_frames_that_wait_here_can_be_taken_back(ends: ConnectedChannels) -> None:
+    ends.server_channel.pause_writing()
+    ends.server_channel.send(frames.Cancel(1))
+    ends.server_channel.send(frames.Release(2))
+    assert ends.server_channel.withdraw(lambda frame: isinstance(frame, frames.Cancel)) == [frames.Cancel(1)]
+    ends.server_channel.resume_writing()
     ends.loop.advance(0.1)
-    assert ends.office.got == [frames.Release(2)]
+    assert ends.office_owner.received == [frames.Release(2)]
 
 
-def test_a_sender_over_the_rate_is_read_later_and_loses_nothing(ends: TwoEnds) -> None:
+def test_a_sender_over_the_rate_is_read_later_and_loses_nothing(ends: ConnectedChannels) -> None:
     whole = MAX_FRAMES_PER_S + 3000
     for at in range(whole):
-        ends.a.send(frames.Cancel(at))
+        ends.server_channel.send(frames.Cancel(at))
         if at % 1000 == 0:
             ends.loop.advance(0.002)
     ends.loop.advance(0.3)
-    assert ends.b.rate_pauses == 1 and len(ends.office.got) < whole
+    assert ends.office_channel.rate_pauses == 1 and len(ends.office_owner.received) < whole
     ends.loop.advance(2)
-    assert len(ends.office.got) == whole
+    assert len(ends.office_owner.received) == whole
 
 
-def test_silence_that_ends_in_time_loses_nothing(ends: TwoEnds) -> None:
+def test_silence_that_ends_in_time_loses_nothing(ends: ConnectedChannels) -> None:
     ends.net.spoil("s", "o").silent = True
-    ends.a.send(frames.Cancel(1))
+    ends.server_channel.send(frames.Cancel(1))
     ends.loop.advance(1)
-    assert ends.office.got == []
+    assert ends.office_owner.received == []
     ends.net.spoil("s", "o").silent = False
     ends.net.heal("s", "o")
-    ends.a.send(frames.Cancel(2))
+    ends.server_channel.send(frames.Cancel(2))
     ends.loop.advance(0.5)
-    assert ends.office.got == [frames.Cancel(1), frames.Cancel(2)] and not ends.server.down
+    assert (
+        ends.office_owner.received == [frames.Cancel(1), frames.Cancel(2)]
+        and not ends.server_owner.close_reasons
+    )
 
 
-def test_an_end_whose_other_end_closed_in_the_silence_sees_a_reset_once_it_is_over(ends: TwoEnds) -> None:
+def test_an_end_whose_other_end_closed_in_the_silence_sees_a_reset_once_it_is_over(
+    ends: ConnectedChannels,
+) -> None:
     ends.net.spoil("s", "o").silent = True
-    ends.a.fail("test", notify_peer=False)
+    ends.server_channel.fail("test", notify_peer=False)
     ends.loop.advance(0.5)
-    assert ends.office.down == []
+    assert ends.office_owner.close_reasons == []
     ends.net.spoil("s", "o").silent = False
     ends.net.heal("s", "o")
     ends.loop.advance(0.5)
-    assert ends.office.down == ["reset"]
+    assert ends.office_owner.close_reasons == ["reset"]
 
 
 @pytest.mark.parametrize("frame", [frames.LedgerMessage(b"x" * 70_000), frames.Final(1 << 70, "stands")])
-def test_a_frame_that_cannot_be_sent_costs_no_other(ends: TwoEnds, frame: frames.AnyFrame) -> None:
+def test_a_frame_that_cannot_be_sent_costs_no_other(ends: ConnectedChannels, frame: frames.AnyFrame) -> None:
     said: list[str] = []
     ends.loop.set_exception_handler(lambda loop, context: said.append(str(context.get("exception"))))
-    ends.a.send(frames.Release(1))
-    ends.a.send(frame)
-    ends.a.send(frames.Release(2))
+    ends.server_channel.send(frames.Release(1))
+    ends.server_channel.send(frame)
+    ends.server_channel.send(frames.Release(2))
     ends.loop.advance(0.1)
-    assert [one.dial_ref for one in ends.office.got if isinstance(one, frames.Release)] == [1, 2]
+    assert [one.dial_ref for one in ends.office_owner.received if isinstance(one, frames.Release)] == [1, 2]
     assert len(said) == 1 and str(frame.__struct_config__.tag) in said[0]
 
 
-def test_one_that_never_says_who_it_is_is_closed_whatever_it_drips(ends: TwoEnds) -> None:
+def test_one_that_never_says_who_it_is_is_closed_whatever_it_drips(ends: ConnectedChannels) -> None:
     """A byte now and then is a sign of life, but of nobody: a thousand such links would stay for ever."""
     closed: list[str] = []
     hello = frames.Hello("call_server", 0, 1)
-    port = Channel(ends.loop, Hand(), hello, ("caller",), on_closed=closed.append)
+    port = Channel(ends.loop, RecordingOwner(), hello, ("caller",), on_closed=closed.append)
     ends.net.at("s").listen("s:9", lambda: port, lambda listener: None)
 
     class Dripping(asyncio.BufferedProtocol):
@@ -192,17 +197,17 @@
     )
     daemon.start()
     loop.advance(0.1)
-    hands = [Hand() for _ in range(MAX_CONNECTIONS + 20)]
+    hands = [RecordingOwner() for _ in range(MAX_CONNECTIONS + 20)]
     for at, hand in enumerate(hands):
         hello = frames.Hello("caller", at, 1)
         net.at("c").connect(
             "s:1",
             lambda hand=hand, hello=hello: Channel(
-                loop, hand, hello, ("call_server",), on_closed=hand.down.append
+                loop, hand, hello, ("call_server",), on_closed=hand.close_reasons.append
             ),
             print,
         )
     loop.advance(1.0)
     assert len(daemon.accepted_channels) == MAX_CONNECTIONS
-    assert sum(bool(hand.down) for hand in hands) == 20
-    assert all("links" in hand.down[0] for hand in hands if hand.down)
+    assert sum(bool(hand.close_reasons) for hand in hands) == 20
+    assert all("links" in hand.close_reasons[0] for hand in hands if hand.close_reasons)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from world import RULES, USE_CASES, day, played
+from world import RULES, USE_CASES, day, play_day
 
 from wellhitch.cli.main import main
 from wellhitch.lab.fleet import HostAddresses, sheet_of
@@ -205,7 +205,7 @@
 
 def test_a_bench_day_plays_and_keeps_the_rules() -> None:
     made = checked.read(convert(bench_day(), "drawn", 3)[0], Day, "drawn")
-    done = played(made)
+    done = play_day(made)
     assert done.verdict.breaks == [] and done.service.whole > 0.5
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -13,7 +13,7 @@
 
 import msgspec
 import pytest
-from world import USE_CASES, day, played, trouble
+from world import USE_CASES, day, fault_line, play_day
 
 from wellhitch.hooks.state_file import decode_state
 from wellhitch.lab.fleet import LoopbackAddresses, sheet_of
@@ -23,14 +23,14 @@
 PATIENCE_S = 60.0  # a test that has waited so long has failed
 
 
-def small(**over: Any) -> Any:
+def small_day(**over: Any) -> Any:
     brief = [{**use, "hold": "300ms"} for use in USE_CASES]
     return day(n=3, rate=10, length="3s", tail="20s", use_cases=brief, **over)
 
 
 def test_the_same_day_on_sockets_and_in_virtual_time(tmp_path: Path) -> None:
-    made = small(troubles=[trouble("answer_lost", at="1s", length="1s", size=0.3)])
-    real, virtual = play_sockets(made, tmp_path, processes=False), played(made)
+    made = small_day(troubles=[fault_line("answer_lost", at="1s", length="1s", size=0.3)])
+    real, virtual = play_sockets(made, tmp_path, processes=False), play_day(made)
     assert real.verdict.breaks == [] and virtual.verdict.breaks == []
     assert not real.left_open and not real.lost_circuits
     # The callers' draws are the same, so the same dialogues are asked for, up to those at the very end.
@@ -40,10 +40,10 @@
 
 
 def test_a_day_with_each_call_server_in_a_process_of_its_own(tmp_path: Path) -> None:
-    made = small(
+    made = small_day(
         troubles=[
-            trouble("server_killed", at="1s", length="1s", on=[2]),
-            trouble("server_paused", at="1s", length="1s", on=[1]),
+            fault_line("server_killed", at="1s", length="1s", on=[2]),
+            fault_line("server_paused", at="1s", length="1s", on=[1]),
         ]
     )
     done = play_sockets(made, tmp_path, processes=True)
@@ -56,7 +56,7 @@
     """A call server alone in a process, with nobody to follow."""
     addresses = LoopbackAddresses()
     sheet = tmp_path / "x.jsonnet"
-    sheet.write_bytes(msgspec.json.encode(sheet_of(small(), 0, addresses)))
+    sheet.write_bytes(msgspec.json.encode(sheet_of(small_day(), 0, addresses)))
     log = tmp_path / "log"
     with log.open("wb") as out:
         process = subprocess.Popen([sys.executable, "-m", "wellhitch", "serve", str(sheet)], stderr=out)
@@ -75,7 +75,7 @@
         time.sleep(0.02)
 
 
-def ask(address: str, text: bytes) -> bytes:
+def request(address: str, text: bytes) -> bytes:
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=PATIENCE_S) as line:
         line.sendall(text)
@@ -87,13 +87,13 @@
 ) -> None:
     process, log, addresses = served
     door = addresses.of("server-0", "operators")
-    assert json.loads(ask(door, b"status\n"))["number"] == 0
-    assert b"wellhitch_held 0.0" in ask(door, b"metrics\n")
-    assert b"unknown request 'shutdown': status, metrics, hooks or ledger" in ask(door, b"shutdown\n")
-    assert b"a request over" in ask(door, b"x" * 2000)
-    told = ask(addresses.of("server-0", "callers"), b"GET / HTTP/1.1\r\n\r\n")
+    assert json.loads(request(door, b"status\n"))["number"] == 0
+    assert b"wellhitch_held 0.0" in request(door, b"metrics\n")
+    assert b"unknown request 'shutdown': status, metrics, hooks or ledger" in request(door, b"shutdown\n")
+    assert b"a request over" in request(door, b"x" * 2000)
+    told = request(addresses.of("server-0", "callers"), b"GET / HTTP/1.1\r\n\r\n")
     assert b"version 71, not 1" in told and told.count(b"Fault") == 1
-    assert json.loads(ask(door, b"status\n"))["held"] == 0  # and it goes on
+    assert json.loads(request(door, b"status\n"))["held"] == 0  # and it goes on
     assert process.poll() is None and b"Traceback" not in log.read_bytes()
 
 
@@ -145,7 +145,7 @@
 def test_damaged_hook_state_is_dropped_with_a_word_and_written_anew_at_the_end(tmp_path: Path) -> None:
     addresses = LoopbackAddresses()
     texts = {"a": 'on tick { remember("ticks", recall("ticks", 0) + 1, 1h) }'}
-    made = msgspec.structs.replace(sheet_of(small(hooks=texts), 0, addresses), hooks_state="kept")
+    made = msgspec.structs.replace(sheet_of(small_day(hooks=texts), 0, addresses), hooks_state="kept")
     (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(made))
     (tmp_path / "kept").write_bytes(b"\x00garbage")
     log = tmp_path / "log"
@@ -155,7 +155,7 @@
     try:
         wait_for(lambda: log.read_text().count('"listening"') >= 3)
         door = addresses.of("server-0", "operators")
-        wait_for(lambda: json.loads(ask(door, b"hooks\n"))["remembered"].get("a") == 1)
+        wait_for(lambda: json.loads(request(door, b"hooks\n"))["remembered"].get("a") == 1)
         assert "hooks_state_dropped" in log.read_text()
         process.terminate()
         assert process.wait(PATIENCE_S) == 0
@@ -168,7 +168,7 @@
 def test_a_call_server_with_a_ledger_stops_when_told_to_and_loses_nothing(tmp_path: Path) -> None:
     """The one word that all is on disk was said to nobody: each stop took 10 s and ended in a traceback."""
     addresses = LoopbackAddresses()
-    made = sheet_of(small(), 0, addresses)
+    made = sheet_of(small_day(), 0, addresses)
     made = msgspec.structs.replace(made, ledger=LedgerSettings("kept", [0]))
     (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(made))
     log = tmp_path / "log"
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -7,7 +7,7 @@
 
 import pytest
 from test_judge import AnswersTwice, DialsTwoAtOnce, FloodsTheCold, HearsNoDrains, ResendsAtOnce
-from world import day, played, rules, trouble
+from world import broken_rules, day, fault_line, play_day
 
 from wellhitch.deciding import runner as runner_module
 from wellhitch.emulator.network import EmulatedNetwork
@@ -22,8 +22,8 @@
 from wellhitch.trunk import frames
 
 FROM = 4.0  # virtual seconds: links stand, and callers have called for one
-HANG = {"troubles": [trouble("hang", at="1s", length="3s", on=[1])]}
-DEPLOY = {"troubles": [trouble("deploy", at="1s", on=[1], size=0.34, extra=2)]}
+HANG = {"troubles": [fault_line("hang", at="1s", length="3s", on=[1])]}
+DEPLOY = {"troubles": [fault_line("deploy", at="1s", on=[1], size=0.34, extra=2)]}
 SPARSE = {"groups": [{"ends": [0, 2], "size": 30}, {"ends": [1, 2], "size": 30}]}
 # Stage -> whose call server, whose office is at the other end (none: the callers), and what the day needs.
 STAGES: dict[str, tuple[int, int | None, dict[str, Any]]] = {
@@ -42,80 +42,80 @@
 }
 
 
-class Struck:
+class FaultInjection:
     """One day, struck once."""
 
     def __init__(self, stage: str, fault: str, base: type[Switch] = Switch, **over: Any) -> None:
-        self.stage, self.fault, self.base = stage, fault, base
+        self.stage, self.fault, self.switch_class = stage, fault, base
         self.number, self.office, needs = STAGES[stage]
         more = {"ledger": True} if fault in ("disk full", "disk damaged") else {}
         if fault == "hook raises":
             more = {"hooks": {"a": "on arrive { return {favour: 1 / length([])} }"}}
-        self.made: Day = day(rate=12, length="3s", tail="12s", **needs, **more, **over)
+        self.day: Day = day(rate=12, length="3s", tail="12s", **needs, **more, **over)
         self.town: Town
         self.fleet: InProcess
-        self.done = False
-        self.raises = False
-        self.left: list[str] = []
+        self.injected = False
+        self.raise_in_decision = False
+        self.leftovers: list[str] = []
 
     # -- reaching the stage --
 
-    def reached(self, switch: Switch, stage: str) -> None:
+    def stage_reached(self, switch: Switch, stage: str) -> None:
         town = self.town
-        if self.done or stage != self.stage or switch.number != self.number or town.loop.time() < FROM:
+        if self.injected or stage != self.stage or switch.number != self.number or town.loop.time() < FROM:
             return
-        self.done = True
+        self.injected = True
         town.loop.call_soon(FAULTS[self.fault], self)
 
     def make_switch(self, *given: Any) -> Switch:
         struck = self
 
-        class Staged(self.base):  # type: ignore[name-defined,misc]
+        class Staged(self.switch_class):  # type: ignore[name-defined,misc]
             def call_received(self, *args: Any) -> None:
-                struck.reached(self, "arrival")
+                struck.stage_reached(self, "arrival")
                 super().call_received(*args)
 
             def feed(self, event: ev.Event, now: int) -> None:
                 super().feed(event, now)
                 if isinstance(event, ev.DialogueArrived):
-                    struck.reached(self, "decision")
+                    struck.stage_reached(self, "decision")
 
             def _send(self, *args: Any) -> None:
                 super()._send(*args)
-                struck.reached(self, "own processor")
+                struck.stage_reached(self, "own processor")
 
             def _setup_processed(self, dial: PendingDial, accepted: bool, now: int) -> None:
                 super()._setup_processed(dial, accepted, now)
                 if dial.state is DialState.SENT:
-                    struck.reached(self, "dial out")
+                    struck.stage_reached(self, "dial out")
                     if dial.office.started_at is not None:
-                        struck.reached(self, "cold office")
+                        struck.stage_reached(self, "cold office")
 
             def setup_answered(self, *args: Any) -> None:
                 super().setup_answered(*args)
-                struck.reached(self, "answered")
+                struck.stage_reached(self, "answered")
 
             def _establish(self, *args: Any) -> None:
                 super()._establish(*args)
-                struck.reached(self, "stands")
+                struck.stage_reached(self, "stands")
 
             def transit_setup(self, *args: Any) -> None:
                 super().transit_setup(*args)
-                struck.reached(self, "transit")
+                struck.stage_reached(self, "transit")
 
             def _end_dial(self, dial: PendingDial, word: Any, now: int) -> None:
                 super()._end_dial(dial, word, now)
                 if isinstance(word, frames.Release):
-                    struck.reached(self, "release")
+                    struck.stage_reached(self, "release")
 
             def _dial_timed_out(self, *args: Any) -> None:
                 super()._dial_timed_out(*args)
-                struck.reached(self, "release wait")
+                struck.stage_reached(self, "release wait")
 
             def office_list_received(self, frame: frames.OfficeList, now: int) -> bool:
                 followed: bool = super().office_list_received(frame, now)
                 if any(line.state == "draining" for line in frame.entries):
-                    struck.reached(self, "drain")
+                    struck.stage_reached(self, "drain")
                 return followed
 
         return cast(Switch, Staged(*given))
@@ -127,7 +127,7 @@
         return f"server-{self.number}"
 
     @property
-    def other(self) -> str:
+    def peer_host(self) -> str:
         return f"callers-{self.number}" if self.office is None else self.town.host_of(self.office)
 
     @property
@@ -142,36 +142,36 @@
     def later(self, seconds: float, work: Callable[..., object], *args: Any) -> None:
         self.town.loop.call_later(seconds, work, *args)
 
-    def trouble(self, kind: str, seconds: float, on: int, how: str = "") -> None:
+    def inject(self, kind: str, seconds: float, on: int, how: str = "") -> None:
         line = FaultSettings(kind, "0s", f"{round(seconds * 1000)}ms", [on], 1.0, how=how)
         undo = TABLE[kind](self.town, line)
         if undo:
             self.later(seconds, undo)
 
-    def said(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         """Bytes from the other end."""
-        for pipe in self.net.links(self.other, self.host):
+        for pipe in self.net.links(self.peer_host, self.host):
             pipe.write(data)
 
     # -- the day --
 
-    def meddle(self, town: Town, fleet: InProcess) -> None:
+    def prepare(self, town: Town, fleet: InProcess) -> None:
         self.town, self.fleet = town, fleet
         status = fleet.status
 
         def looked(number: int) -> dict[str, Any] | None:
-            self.left += self.left_over(number)
+            self.leftovers += self.find_leftovers(number)
             return status(number)
 
         fleet.status = looked  # type: ignore[method-assign]
         if self.stage == "shutdown":
-            town.loop.call_later(FROM, self.shut)
+            town.loop.call_later(FROM, self.shut_down)
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         self.fleet.daemons[0].stop(2_000_000, lambda: None)
-        self.reached(self.switch, "shutdown")
+        self.stage_reached(self.switch, "shutdown")
 
-    def left_over(self, number: int) -> list[str]:
+    def find_leftovers(self, number: int) -> list[str]:
         daemon = self.fleet.daemons.get(number)
         if daemon is None or daemon.stopped:
             return []
@@ -200,13 +200,13 @@
         real = runner_module.decide
 
         def decide(x: Any, event: Any, now: int) -> Any:
-            if self.raises and x is self.switch.exchange:
-                self.raises = False
+            if self.raise_in_decision and x is self.switch.exchange:
+                self.raise_in_decision = False
                 raise KeyError("broken on purpose")
             return real(x, event, now)
 
         with patched(runner_module, "decide", decide):
-            return played(self.made, self.make_switch, meddle=self.meddle)
+            return play_day(self.day, self.make_switch, prepare=self.prepare)
 
 
 @contextmanager
@@ -222,25 +222,25 @@
 # ---- faults ----
 
 
-def cut_off(s: Struck) -> None:
-    for pipe in s.net.links(s.other, s.host):
+def cut_off(s: FaultInjection) -> None:
+    for pipe in s.net.links(s.peer_host, s.host):
         pipe.write(b"\x01\x00\x00\x40half")
         pipe.close()
 
 
-def half_open(s: Struck) -> None:
+def half_open(s: FaultInjection) -> None:
     if s.office is not None:
-        s.trouble("half_open", 5.0, s.office)
+        s.inject("half_open", 5.0, s.office)
         if s.office != s.number:
             return
     # The callers' link, or the own office's: no longer than an answer may take.
-    s.net.spoil(s.host, s.other).silent = True
-    other = s.other
+    s.net.spoil(s.host, s.peer_host).silent = True
+    other = s.peer_host
     s.later(1.0, setattr, s.net.spoil(s.host, other), "silent", False)
     s.later(1.0, s.net.heal, s.host, other)
 
 
-def doubled(s: Struck) -> None:
+def doubled(s: FaultInjection) -> None:
     """What comes in the next second and a half comes twice."""
     switch: Any = s.switch
     names = [
@@ -266,31 +266,31 @@
         s.later(1.5, switch.__dict__.pop, name, None)
 
 
-def restarted(s: Struck) -> None:
+def restarted(s: FaultInjection) -> None:
     if s.office is None:
         port = s.town.callers[s.number].link.current
         assert port
         port.fail("restarts", notify_peer=False)
     else:
-        s.trouble("crash", 0.3, s.office)
+        s.inject("crash", 0.3, s.office)
 
 
-def disk_damaged(s: Struck) -> None:
+def disk_damaged(s: FaultInjection) -> None:
     for blob in s.fleet.disks[s.number].files.values():
         blob.now[4200:9000] = bytes(len(blob.now[4200:9000]))
 
 
-def disk_full(s: Struck) -> None:
+def disk_full(s: FaultInjection) -> None:
     s.fleet.disks[s.number].full = True
     s.later(2.0, setattr, s.fleet.disks[s.number], "full", False)
 
 
-def list_shut(s: Struck) -> None:
+def list_shut(s: FaultInjection) -> None:
     s.net.spoil(s.host, "register").broken = True
     s.net.cut(s.host, "register")
 
 
-class Failing:
+class FailingLedger:
     """A ledger that fails at every word."""
 
     def answered(self, *what: Any) -> None:
@@ -299,41 +299,41 @@
     ended = local_dialogue_ended = answered
 
 
-FAULTS: dict[str, Callable[[Struck], None]] = {
-    "malformed": lambda s: s.said(b"\x01\x00\x00\x05\xc1\xc1\xc1\xc1\xc1"),
+FAULTS: dict[str, Callable[[FaultInjection], None]] = {
+    "malformed": lambda s: s.send_bytes(b"\x01\x00\x00\x05\xc1\xc1\xc1\xc1\xc1"),
     "cut off": cut_off,
-    "too large": lambda s: s.said(b"\x01\x7f\xff\xff"),
-    "silent": lambda s: s.trouble("hang", 2.0, 1 if s.office is None else s.office),
+    "too large": lambda s: s.send_bytes(b"\x01\x7f\xff\xff"),
+    "silent": lambda s: s.inject("hang", 2.0, 1 if s.office is None else s.office),
     "half open": half_open,
-    "closed": lambda s: cast(None, s.net.cut(s.host, s.other)),
+    "closed": lambda s: cast(None, s.net.cut(s.host, s.peer_host)),
     "doubled": doubled,
-    "reordered": lambda s: s.trouble("answer_reordered", 1.5, 1 if s.office is None else s.office),
-    "lost": lambda s: s.trouble("answer_lost", 1.5, 1 if s.office is None else s.office),
-    "cut there": lambda s: s.trouble("answer_lost", 1.5, 1 if s.office is None else s.office, "reset"),
+    "reordered": lambda s: s.inject("answer_reordered", 1.5, 1 if s.office is None else s.office),
+    "lost": lambda s: s.inject("answer_lost", 1.5, 1 if s.office is None else s.office),
+    "cut there": lambda s: s.inject("answer_lost", 1.5, 1 if s.office is None else s.office, "reset"),
     "other side restarted": restarted,
-    "own process paused": lambda s: s.trouble("server_paused", 1.5, s.number),
-    "own process killed": lambda s: s.trouble("server_killed", 1.0, s.number),
+    "own process paused": lambda s: s.inject("server_paused", 1.5, s.number),
+    "own process killed": lambda s: s.inject("server_killed", 1.0, s.number),
     "disk full": disk_full,
     "disk damaged": disk_damaged,
     "list old": lambda s: s.town.register.restart(3),
     "list shut": list_shut,
-    "decision raises": lambda s: setattr(s, "raises", True),
+    "decision raises": lambda s: setattr(s, "raise_in_decision", True),
     "hook raises": lambda s: None,  # at each dialogue of the day
-    "ledger raises": lambda s: setattr(s.switch, "ledger", Failing()),
+    "ledger raises": lambda s: setattr(s.switch, "ledger", FailingLedger()),
 }
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("stage", STAGES)
 def test_a_fault_at_a_stage_breaks_no_rule_and_leaves_nothing(stage: str, fault: str) -> None:
-    struck = Struck(stage, fault)
+    struck = FaultInjection(stage, fault)
     done = struck.play()
-    assert struck.done, "the stage was never reached"
+    assert struck.injected, "the stage was never reached"
     assert done.verdict.breaks == [] and done.verdict.seen["dialogues"] > 30
-    assert struck.left == [] and not done.left_open and not done.lost_circuits
+    assert struck.leftovers == [] and not done.left_open and not done.lost_circuits
 
 
-class NeverFrees(Switch):
+class NeverReleasesCircuits(Switch):
     """Forgets to give circuits back when the far end has confirmed."""
 
     def _finish_release(self, dial: PendingDial, now: int) -> None:
@@ -348,12 +348,12 @@
         (3, HearsNoDrains, "drain", "list old"),
         (4, FloodsTheCold, "cold office", "reordered"),
         (5, ResendsAtOnce, "dial out", "cut there"),
-        (0, NeverFrees, "release", "doubled"),
+        (0, NeverReleasesCircuits, "release", "doubled"),
     ],
 )
 def test_the_table_catches_a_server_that_is_broken_on_purpose(
     rule: int, base: type[Switch], stage: str, fault: str
 ) -> None:
-    struck = Struck(stage, fault, base, setup="40ms" if rule == 4 else "10ms")
+    struck = FaultInjection(stage, fault, base, setup="40ms" if rule == 4 else "10ms")
     done = struck.play()
-    assert rule in rules(done) if rule else struck.left
+    assert rule in broken_rules(done) if rule else struck.leftovers
--- a/tests/test_trunk.py
+++ b/tests/test_trunk.py
@@ -12,7 +12,7 @@
 from wellhitch.trunk.connection import SILENCE_TIMEOUT_US, Connection, ConnectionState, ProtocolError
 
 HELLO = frames.Hello("office", 3, 1)
-SOME = [
+SAMPLE_FRAMES = [
     HELLO,
     frames.Heartbeat(4),
     frames.Setup(1, 0, 9, 0, "cheap", 3, "0a", 2_000_000, 1),
@@ -23,7 +23,7 @@
 ]
 
 
-@given(st.lists(st.sampled_from(SOME), max_size=8), st.lists(st.integers(1, 40), min_size=1))
+@given(st.lists(st.sampled_from(SAMPLE_FRAMES), max_size=8), st.lists(st.integers(1, 40), min_size=1))
 def test_frames_survive_any_pieces(sent: list[frames.AnyFrame], cuts: list[int]) -> None:
     data = b"".join(codec.encode(frame) for frame in sent)
     decoder, got, at = codec.Decoder(), [], 0
@@ -65,14 +65,14 @@
         codec.encode(frames.PeerMessage(bytes(codec.MAX_FRAME_BYTES)))
 
 
-def up() -> Connection:
+def connected() -> Connection:
     link = Connection("call_server", ("office",), 0)
     link.receive(codec.encode(HELLO), 0)
     return link
 
 
 def test_a_link_is_up_with_its_hello() -> None:
-    link = up()
+    link = connected()
     assert link.state is ConnectionState.UP and link.peer == HELLO
     assert link.receive(codec.encode(frames.Answer(1)), 5) == [frames.Answer(1)]
 
@@ -96,12 +96,12 @@
 
 def test_a_told_fault_is_not_answered_with_another() -> None:
     with pytest.raises(ProtocolError) as fault:
-        up().receive(codec.encode(frames.Fault("why")), 0)
+        connected().receive(codec.encode(frames.Fault("why")), 0)
     assert not fault.value.notify_peer
 
 
 def test_silence_is_found_after_its_limit_and_not_before() -> None:
-    link = up()
+    link = connected()
     assert not link.timed_out(SILENCE_TIMEOUT_US)
     assert link.timed_out(SILENCE_TIMEOUT_US + 1)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -72,16 +72,16 @@
     return made
 
 
-def trouble(kind: str, at: str = "2s", length: str = "4s", **over: Any) -> dict[str, Any]:
+def fault_line(kind: str, at: str = "2s", length: str = "4s", **over: Any) -> dict[str, Any]:
     """One trouble of a day."""
     return {"kind": kind, "at": at, "length": length, **over}
 
 
-def played(
+def play_day(
     made: Day,
     make_switch: Callable[..., Switch] = Switch,
     clocks: dict[int, float] | None = None,
-    meddle: Callable[[Town, InProcess], None] | None = None,
+    prepare: Callable[[Town, InProcess], None] | None = None,
 ) -> play.Played:
     """A day in virtual time, with call servers of another make, clocks that differ, or a hand in it."""
     loop = VirtualLoop()
@@ -92,58 +92,58 @@
             loop, made, addresses, net, play.quiet_log, make_switch=make_switch, clocks=clocks or {}
         )
         town = Town(loop, made, net.at, addresses, fleet, play.VirtualWire(net))
-        if meddle:
-            meddle(town, fleet)
+        if prepare:
+            prepare(town, fleet)
         return play._run(loop, made, town, fleet, None, None, 0.0, loop.advance)
     finally:
         loop.close()
 
 
-def rules(done: play.Played) -> list[int]:
+def broken_rules(done: play.Played) -> list[int]:
     """The rules that were broken."""
     return sorted({one.rule for one in done.verdict.breaks})
 
 
-class Hand:
+class RecordingOwner:
     """An owner of ports that writes down what it is told."""
 
     def __init__(self) -> None:
-        self.up: list[Channel] = []
-        self.got: list[frames.AnyFrame] = []
-        self.down: list[str] = []
+        self.opened: list[Channel] = []
+        self.received: list[frames.AnyFrame] = []
+        self.close_reasons: list[str] = []
 
     def channel_opened(self, port: Channel) -> None:
-        self.up.append(port)
+        self.opened.append(port)
 
     def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         if not isinstance(frame, frames.Heartbeat):
-            self.got.append(frame)
+            self.received.append(frame)
 
     def channel_closed(self, port: Channel, why: str) -> None:
-        self.down.append(why)
+        self.close_reasons.append(why)
 
     def circuits_held(self, port: Channel) -> int:
         return 0
 
 
-class TwoEnds:
+class ConnectedChannels:
     """A call server's end and an office's, linked."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
         self.net = EmulatedNetwork(self.loop, 1)
-        self.server, self.office = Hand(), Hand()
-        self.net.at("o").listen("o:1", self._office, lambda listener: None)
+        self.server_owner, self.office_owner = RecordingOwner(), RecordingOwner()
+        self.net.at("o").listen("o:1", self._office_channel, lambda listener: None)
         self.loop.advance(0.1)
-        self.net.at("s").connect("o:1", self._server, self.server.down.append)
+        self.net.at("s").connect("o:1", self._server_channel, self.server_owner.close_reasons.append)
         self.loop.advance(0.1)
-        self.a, self.b = self.server.up[0], self.office.up[0]
+        self.server_channel, self.office_channel = self.server_owner.opened[0], self.office_owner.opened[0]
 
-    def _office(self) -> Channel:
-        return Channel(self.loop, self.office, frames.Hello("office", 1, 1), ("call_server",))
+    def _office_channel(self) -> Channel:
+        return Channel(self.loop, self.office_owner, frames.Hello("office", 1, 1), ("call_server",))
 
-    def _server(self) -> Channel:
-        return Channel(self.loop, self.server, frames.Hello("call_server", 0, 1), ("office",))
+    def _server_channel(self) -> Channel:
+        return Channel(self.loop, self.server_owner, frames.Hello("call_server", 0, 1), ("office",))
 
 
 def chance() -> random.Random:
