--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,5 @@
-"""Every file that is read: a directory, a pipe, garbage or nothing in its place is one clear error that names it."""
+"""Every file that is read: a directory, a pipe, garbage, an empty file or a missing file in its place is reported as one
+clear error that names it."""
 
 import json
 import os
@@ -28,11 +29,11 @@
 SHEET = {**PLAIN, "peers": 0, "doors": {**DOORS, "operators": "127.0.0.1:1"}, "ledger": LEDGER}
 
 
-def a_pipe(path: Path) -> None:
+def pipe(path: Path) -> None:
     os.mkfifo(path)
 
 
-def a_directory(path: Path) -> None:
+def directory(path: Path) -> None:
     path.mkdir()
 
 
@@ -40,7 +41,7 @@
     path.write_bytes(bytes(range(256)) * 3)
 
 
-def nothing(path: Path) -> None:
+def empty(path: Path) -> None:
     path.write_bytes(b"")
 
 
@@ -53,7 +54,7 @@
         file.truncate(1 << 40)
 
 
-PLACES = [a_pipe, a_directory, garbage, nothing, missing]
+CREATORS = [pipe, directory, garbage, empty, missing]
 FILES = [
     ("sheet.json", ["check", "sheet.json"]),
     ("sheet.json", ["serve", "sheet.json"]),
@@ -84,58 +85,61 @@
     return tmp_path
 
 
-@pytest.mark.parametrize("place", PLACES, ids=lambda place: place.__name__)
+@pytest.mark.parametrize("create", CREATORS, ids=lambda create: create.__name__)
 @pytest.mark.parametrize(
     ("name", "words"), FILES, ids=lambda value: value if isinstance(value, str) else value[0]
 )
-def test_what_is_no_such_file_is_one_clear_error(
-    folder: Path, name: str, words: list[str], place: Callable[[Path], None]
+def test_an_unusable_file_is_one_clear_error(
+    folder: Path, name: str, words: list[str], create: Callable[[Path], None]
 ) -> None:
     path = folder / name
     path.unlink(missing_ok=True)
-    place(path)
+    create(path)
     done = CliRunner().invoke(main, words)
-    if words[0] == "hooks" and place is nothing:
-        assert done.exit_code == 0  # an empty file is one without hooks
+    if words[0] == "hooks" and create is empty:
+        assert done.exit_code == 0  # an empty file is a valid file without hooks
         return
     assert isinstance(done.exception, SystemExit), done.exception
-    told = done.output.strip()
-    assert done.exit_code in (1, 2) and told and "Traceback" not in told
-    assert path.name in told or path.parent.name in told, told
+    output = done.output.strip()
+    assert done.exit_code in (1, 2) and output and "Traceback" not in output
+    assert path.name in output or path.parent.name in output, output
 
 
-def test_a_file_over_the_bound_is_told_and_not_read(tmp_path: Path) -> None:
+def test_a_file_over_the_limit_is_reported_and_not_read(tmp_path: Path) -> None:
     too_large(tmp_path / "x")
     with pytest.raises(OSError, match="over"):
         read_file(tmp_path / "x")
 
 
-@pytest.mark.parametrize("place", [a_pipe, a_directory, too_large], ids=lambda place: place.__name__)
-def test_hook_state_that_is_no_file_is_said_and_the_start_goes_on(
-    tmp_path: Path, place: Callable[[Path], None]
+@pytest.mark.parametrize("create", [pipe, directory, too_large], ids=lambda create: create.__name__)
+def test_hook_state_that_is_not_a_regular_file_is_logged_and_the_start_continues(
+    tmp_path: Path, create: Callable[[Path], None]
 ) -> None:
-    place(tmp_path / "state")
-    said: list[str] = []
+    create(tmp_path / "state")
+    log_lines: list[str] = []
     assert (
-        read_state(tmp_path / "state", lambda event, **facts: said.append(f"{event} {facts['why']}")) == b""
+        read_state(tmp_path / "state", lambda event, **facts: log_lines.append(f"{event} {facts['why']}"))
+        == b""
     )
-    assert len(said) == 1 and said[0].startswith("hooks_state_dropped") and "state" in said[0]
+    assert len(log_lines) == 1 and log_lines[0].startswith("hooks_state_dropped") and "state" in log_lines[0]
 
 
-@pytest.mark.parametrize("place", [a_pipe, a_directory, too_large], ids=lambda place: place.__name__)
-def test_what_is_no_receipt_holds_up_no_other(tmp_path: Path, place: Callable[[Path], None]) -> None:
-    """A directory ended each look, a pipe the disk's thread: nothing of the ledger reached the disk any more."""
-    box, back = FolderOutbox(tmp_path, 3), tmp_path / "back"
+@pytest.mark.parametrize("create", [pipe, directory, too_large], ids=lambda create: create.__name__)
+def test_an_unreadable_receipt_does_not_hold_up_the_others(
+    tmp_path: Path, create: Callable[[Path], None]
+) -> None:
+    """A directory made every read fail and a pipe blocked the disk's thread, so that the ledger was not written."""
+    outbox, back = FolderOutbox(tmp_path, 3), tmp_path / "back"
     back.mkdir()
-    place(back / "3-0.wr")
+    create(back / "3-0.wr")
     for n in range(1, MAX_RECEIPTS_PER_READ + 4):
         (back / f"3-{n}.wr").write_bytes(b"r%d" % n)
     with pytest.raises(OSError, match="3-0.wr"):
-        box.take_receipts()
+        outbox.take_receipts()
     assert (
-        len(box.take_receipts()) == MAX_RECEIPTS_PER_READ
-        and len(box.take_receipts()) == 3
-        and box.take_receipts() == []
+        len(outbox.take_receipts()) == MAX_RECEIPTS_PER_READ
+        and len(outbox.take_receipts()) == 3
+        and outbox.take_receipts() == []
     )
 
 
@@ -150,13 +154,13 @@
         b'[1e400,"in",1,"office",2,"Leave",1]', b'{"end":"x"}',
     ],
 )  # fmt: skip
-def test_a_line_that_is_none_of_a_capture_is_named(line: bytes) -> None:
+def test_an_invalid_line_of_a_capture_is_reported_with_its_number(line: bytes) -> None:
     with pytest.raises(BadCapture, match="x:2"):
         read_capture([HEAD, line, b'{"end":1}'], "x")
 
 
-@pytest.mark.parametrize("place", [a_pipe, a_directory], ids=lambda place: place.__name__)
-def test_what_is_no_capture_in_a_folder_is_named(tmp_path: Path, place: Callable[[Path], None]) -> None:
-    place(tmp_path / "a.capture")
+@pytest.mark.parametrize("create", [pipe, directory], ids=lambda create: create.__name__)
+def test_an_unusable_capture_in_a_folder_is_reported(tmp_path: Path, create: Callable[[Path], None]) -> None:
+    create(tmp_path / "a.capture")
     with pytest.raises(BadCapture, match="a.capture"):
         read_folder(tmp_path)
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -1,4 +1,5 @@
-"""The ledger in service: books beside what stood, exports cut anywhere, tariffs to the cent."""
+"""The ledger as a service: bookings compared with the dialogues of a day, exports interrupted anywhere, tariffs to the
+cent."""
 
 import os
 import random
@@ -56,70 +57,70 @@
 DECEMBER = period_end("2026-11")
 KEY = b"k" * 32
 
-# ---- whole days: totals are what stood by the captures ----
+# ---- whole days: bookings are compared with the captures ----
 
 TENANTS = {"tenants": ["north", "south", "east"]}
 ALL_ILLS = Ills(loses_answer=0.3, answers_twice=0.3, wrong_file=0.3, takes_half=0.3)
 
 
-def books(ills: Ills, troubles: list[dict[str, Any]], **more: Any) -> ledger_day.Books:
+def play_day(faults: Ills, troubles: list[dict[str, Any]], **more: Any) -> ledger_day.Books:
     made = day(ledger=True, callers=TENANTS, length="8s", rate=6.0, troubles=troubles)
-    return ledger_day.play(made, ills, **more)
+    return ledger_day.play(made, faults, **more)
 
 
-def whole(found: ledger_day.Books, killed_us: int = 0) -> None:
+def assert_all_booked(found: ledger_day.Books, killed_us: int = 0) -> None:
     assert not found.verdict.breaks and not found.wrong
     assert ledger_day.differences(found, killed_us) == [] and len(found.booked) > 80
     assert set(found.exported.values()) == {"2027-01"}
-    # Nothing is booked by two lines unless the second is a correction that the figures bear out.
+    # A second line for a dialogue is a correction; the sum of both is not negative.
     assert all(one.billed >= 0 for one in found.booked.values())
 
 
-def test_a_day_over_a_months_end_is_booked_as_it_stood() -> None:
-    found = books(Ills(), [])
-    whole(found)
+def test_a_day_across_a_months_end_is_booked_with_the_true_durations() -> None:
+    found = play_day(Ills(), [])
+    assert_all_booked(found)
     assert {one.tenant for one in found.booked.values()} == set(TENANTS["tenants"])
-    # The month's end fell into the day: some are booked in each of the two files of each call server.
+    # The month ends within the day: each of the three call servers exports two files.
     assert found.accounting["booked"] == 6
 
 
-def test_killed_call_servers_and_an_accounting_side_that_does_all_wrong() -> None:
+def test_killed_call_servers_and_an_accounting_side_with_all_faults() -> None:
     killed = [trouble("server_killed", "2s", "1s", on=[1]), trouble("server_killed", "5s", "2s", on=[2])]
-    found = books(ALL_ILLS, killed)
-    whole(found, killed_us=SECOND)
+    found = play_day(ALL_ILLS, killed)
+    assert_all_booked(found, killed_us=SECOND)
     assert found.accounting["took_half"] and found.accounting["lost_answer"]
 
 
-def test_machines_that_lose_power_lose_no_more_than_is_said() -> None:
+def test_machines_that_lose_power_lose_no_more_than_documented() -> None:
     killed = [trouble("server_killed", "3s", "1s", on=[0, 1, 2])]
-    found = books(ALL_ILLS, killed, power_cuts=lambda number: True)
+    found = play_day(ALL_ILLS, killed, power_cuts=lambda number: True)
     assert not found.verdict.breaks and not found.wrong
     lost = [one for one in ledger_day.differences(found, SECOND) if "is not booked" not in one]
     assert lost == []
-    # What stood less than the linger before the cut may be missing: 18 dialogues a second, 20 ms.
+    # Dialogues established within the linger time before the cut may be missing: 18 a second, 20 ms.
     assert len(found.booked) >= len(found.stood) - 4
 
 
-def test_clocks_minutes_apart_and_links_that_lose_all_close_the_same_period() -> None:
-    found = books(Ills(), [trouble("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0)
-    whole(found)
+def test_clocks_minutes_apart_and_cut_connections_close_the_same_period() -> None:
+    found = play_day(Ills(), [trouble("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0)
+    assert_all_booked(found)
 
 
 @pytest.mark.parametrize("disk", ["old", "new"])
-def test_an_instance_that_comes_back_with_an_old_disk_or_none_is_brought_level(disk: str) -> None:
-    """Its rows come back from the instance that keeps them, and what it had exported from the accounting side."""
-    found = books(Ills(), [], disk=disk, after_s=120.0)
-    whole(found)
+def test_an_instance_that_comes_back_with_an_old_or_a_new_disk_catches_up(disk: str) -> None:
+    """Its rows are restored from the replica holder, and its exported files from the accounting side."""
+    found = play_day(Ills(), [], disk=disk, after_s=120.0)
+    assert_all_booked(found)
     assert found.counts["ledger_rows_back"] > 20
     if disk == "new":
         assert found.accounting["gave_back"] and found.counts["ledger_files_given_back"] == 1
     else:
-        # With its rows back it reckons the month again, to the very same file: the same MAC, the same receipt.
+        # With its rows restored it settles the month again, to the very same file: the same MAC, the same receipt.
         assert found.accounting["booked"] == 6
 
 
-def test_the_comparison_tells_a_booking_that_is_wrong_missing_or_made_up() -> None:
-    found = books(Ills(), [])
+def test_the_comparison_detects_a_booking_that_is_wrong_missing_or_made_up() -> None:
+    found = play_day(Ills(), [])
     name, other, third, *_ = sorted(found.booked)
     was = found.booked.pop(name)
     found.booked[0, 1] = was
@@ -130,19 +131,19 @@
     assert len(ledger_day.differences(found)) == 4
 
 
-# ---- the desk ----
+# ---- the settlement service ----
 
 
-class OneDesk:
+class ServiceBench:
     def __init__(
         self, disk: EmulatedDisk | None = None, number: int = 3, roster: tuple[int, ...] = (3,)
     ) -> None:
         self.loop = VirtualLoop()
         self.disk = disk or EmulatedDisk(1)
         self.disk.loop = self.loop
-        self.words: list[str] = []
+        self.log_events: list[str] = []
         self.ahead = 0
-        self.desk = SettlementService(
+        self.service = SettlementService(
             self.loop,
             self.disk,
             number,
@@ -150,14 +151,14 @@
             NumberKeys({}),
             lambda now: DECEMBER + now + self.ahead,
             lambda to, data: False,
-            lambda event, **facts: self.words.append(event),
+            lambda event, **facts: self.log_events.append(event),
             random.Random(len(self.disk.files)),
         )
-        self.desk.start()
+        self.service.start()
         self.loop.advance(0.1)
 
-    def stands(self, dialogue: int) -> None:
-        self.desk.answered(DialogueFacts("origin", 3, dialogue, "card-lock", 5, "0800"), "stands")
+    def establish(self, dialogue: int) -> None:
+        self.service.answered(DialogueFacts("origin", 3, dialogue, "card-lock", 5, "0800"), "stands")
 
     def entries(self) -> list[Any]:
         engine = self.disk.after_kill().open("ledger")
@@ -166,103 +167,105 @@
         return out
 
 
-def test_a_full_disk_makes_a_gap_that_is_said_and_ends_are_never_refused() -> None:
-    one = OneDesk()
-    one.desk.store.writer.max_waiting = 60
-    one.stands(1)
-    one.loop.advance(0.5)
-    one.disk.full = True
+def test_a_full_disk_makes_a_gap_that_is_recorded_and_ends_are_never_dropped() -> None:
+    bench = ServiceBench()
+    bench.service.store.writer.max_waiting = 60
+    bench.establish(1)
+    bench.loop.advance(0.5)
+    bench.disk.full = True
     for n in range(2, 60):
-        one.stands(n)
-    one.desk.ended("origin", 3, 1, "released")
-    one.loop.advance(3)
-    one.disk.full = False
-    one.loop.advance(8)
-    said = one.entries()
-    gaps = [entry for entry in said if isinstance(entry, EntriesLost)]
-    assert len(gaps) == 1 and gaps[0].count > 10 and one.desk.status()["state"] == "well"
-    assert [entry for entry in said if isinstance(entry, Ended)][0].duration == 500_000
-
-
-def test_another_instances_disk_is_refused_and_calls_go_on() -> None:
-    first = OneDesk()
-    first.stands(1)
+        bench.establish(n)
+    bench.service.ended("origin", 3, 1, "released")
+    bench.loop.advance(3)
+    bench.disk.full = False
+    bench.loop.advance(8)
+    entries = bench.entries()
+    gaps = [entry for entry in entries if isinstance(entry, EntriesLost)]
+    assert len(gaps) == 1 and gaps[0].count > 10 and bench.service.status()["state"] == "well"
+    assert [entry for entry in entries if isinstance(entry, Ended)][0].duration == 500_000
+
+
+def test_another_instances_disk_is_refused_and_calls_continue() -> None:
+    first = ServiceBench()
+    first.establish(1)
     first.loop.advance(1)
-    other = OneDesk(first.disk.after_kill(), number=4, roster=(4,))
-    other.stands(2)
-    assert "ledger_refused" in other.words and "call server 3, not 4" in other.desk.status()["state"]
-    assert len([entry for entry in other.entries() if isinstance(entry, Restarted)]) == 1  # the first one's
+    other = ServiceBench(first.disk.after_kill(), number=4, roster=(4,))
+    other.establish(2)
+    assert "ledger_refused" in other.log_events and "call server 3, not 4" in other.service.status()["state"]
+    # The only one is that of the first instance.
+    assert len([entry for entry in other.entries() if isinstance(entry, Restarted)]) == 1
 
 
 def test_the_same_call_server_started_twice_on_one_disk_keeps_one_chain() -> None:
-    first = OneDesk()
+    first = ServiceBench()
     second = SettlementService(
         first.loop, first.disk, 3, (3,), NumberKeys({}), lambda now: DECEMBER + now, lambda to, data: False,
-        lambda event, **facts: first.words.append(event), random.Random(2),
+        lambda event, **facts: first.log_events.append(event), random.Random(2),
     )  # fmt: skip
     second.start()
     first.loop.advance(1)
-    assert second.status()["state"] == "in_use" and first.desk.status()["state"] == "well"
+    assert second.status()["state"] == "in_use" and first.service.status()["state"] == "well"
 
 
 def test_a_restart_on_a_disk_whose_month_has_ended_still_states_that_month() -> None:
-    first = OneDesk()
-    first.stands(1)
+    first = ServiceBench()
+    first.establish(1)
     first.loop.advance(2)
-    again = OneDesk(first.disk.after_kill())
+    again = ServiceBench(first.disk.after_kill())
     again.ahead = period_end("2026-12") - DECEMBER + CLOCK_MARGIN_US
     again.loop.advance(12)
-    assert again.desk.agreements["2026-12"].state == "closed"  # alone on the roster, it is a majority
+    # Alone on the roster, the instance is a majority.
+    assert again.service.agreements["2026-12"].state == "closed"
 
 
-def test_power_cut_at_every_write_of_a_desks_life_keeps_the_chain_whole() -> None:
-    def lived(cut_at: int | None) -> tuple[EmulatedDisk, int]:
+def test_a_power_cut_at_every_write_of_a_service_keeps_the_chain_intact() -> None:
+    def run(cut_at: int | None) -> tuple[EmulatedDisk, int]:
         disk = EmulatedDisk(1)
         disk.cut_at = cut_at
-        one = OneDesk(disk)
+        bench = ServiceBench(disk)
         for n in range(6):
-            one.stands(n)
-            one.loop.advance(0.3)
+            bench.establish(n)
+            bench.loop.advance(0.3)
             if n > 1:
-                one.desk.ended("origin", 3, n - 2, "released")
+                bench.service.ended("origin", 3, n - 2, "released")
         return disk, disk.ops
 
-    _, ops = lived(None)
+    _, ops = run(None)
     assert ops > 60
     for at in range(0, ops, 2):
-        disk, _ = lived(at)
-        next_life = disk.after_power_cut(at, (at % 5) / 4)
-        one = OneDesk(next_life)
-        one.loop.advance(0.5)
-        assert ledger_day.verified(next_life) == []
-        said = one.entries()
-        # Whatever stood and is not over was ended by the restart, and nothing was ended twice.
-        overs = Counter(entry.dialogue for entry in said if isinstance(entry, Ended))
-        stood = {entry.dialogue for entry in said if getattr(entry, "answer", "") == "stands"}
-        assert set(overs) == stood and set(overs.values()) <= {1}
+        disk, _ = run(at)
+        restarted_disk = disk.after_power_cut(at, (at % 5) / 4)
+        bench = ServiceBench(restarted_disk)
+        bench.loop.advance(0.5)
+        assert ledger_day.verified(restarted_disk) == []
+        entries = bench.entries()
+        # Every established dialogue has ended, at the latest by the restart, and none has ended twice.
+        ends = Counter(entry.dialogue for entry in entries if isinstance(entry, Ended))
+        established = {entry.dialogue for entry in entries if getattr(entry, "answer", "") == "stands"}
+        assert set(ends) == established and set(ends.values()) <= {1}
 
 
-def test_operators_words_are_checked() -> None:
-    one = OneDesk()
-    assert "whole microseconds" in _refused(one, "correct 3/1 x ana reason")
-    assert "15 digits" in _refused(one, f"correct 3/1 {'9' * 150} ana reason")
-    assert "15 digits" in _refused(one, f"correct 3/{'9' * 150} 5 ana reason")
-    assert "15 digits" in _refused(one, "correct ³/1 5 ana reason")
-    assert "must be corrected at call server 4" in _refused(one, "correct 4/1 5 ana reason")
-    assert "such as 2026-12" in _refused(one, "close 2026-13x")
-    assert "the open one is 2026-12" in _refused(one, "close 2030-01")
-    assert "a name in the ledger's folder" in _refused(one, "snapshot ../x")
-    assert "close PERIOD" in _refused(one, "open")
-    assert "corrected by -5 us" in one.desk.run_command("correct 3/1 -5 ana 'wrong number'")
+def test_operator_commands_are_validated() -> None:
+    bench = ServiceBench()
+    assert "whole microseconds" in _error_of(bench, "correct 3/1 x ana reason")
+    assert "15 digits" in _error_of(bench, f"correct 3/1 {'9' * 150} ana reason")
+    assert "15 digits" in _error_of(bench, f"correct 3/{'9' * 150} 5 ana reason")
+    assert "15 digits" in _error_of(bench, "correct ³/1 5 ana reason")
+    assert "must be corrected at call server 4" in _error_of(bench, "correct 4/1 5 ana reason")
+    assert "such as 2026-12" in _error_of(bench, "close 2026-13x")
+    assert "the open one is 2026-12" in _error_of(bench, "close 2030-01")
+    assert "a name in the ledger's folder" in _error_of(bench, "snapshot ../x")
+    assert "close PERIOD" in _error_of(bench, "open")
+    assert "corrected by -5 us" in bench.service.run_command("correct 3/1 -5 ana 'wrong number'")
 
 
-def _refused(one: OneDesk, what: str) -> str:
-    with pytest.raises(ValueError) as fault:
-        one.desk.run_command(what)
-    return str(fault.value)
+def _error_of(bench: ServiceBench, command: str) -> str:
+    with pytest.raises(ValueError) as raised:
+        bench.service.run_command(command)
+    return str(raised.value)
 
 
-# ---- export: cut at every byte, answered in every wrong way ----
+# ---- export: cut at every byte, answered with every fault ----
 
 
 def settled(dialogue: int, billed: int = 5 * SECOND, state: str = "billed", **more: Any) -> Settled:
@@ -275,8 +278,8 @@
     return make_file(KEY, 3, sequence, "2026-12", made, before)
 
 
-def accounting(disk: EmulatedDisk, ills: Ills | None = None, seed: int = 1) -> Accounting:
-    return Accounting(disk.open("books"), {3: KEY}, ills or Ills(), random.Random(seed))
+def accounting(disk: EmulatedDisk, faults: Ills | None = None, seed: int = 1) -> Accounting:
+    return Accounting(disk.open("books"), {3: KEY}, faults or Ills(), random.Random(seed))
 
 
 def test_a_file_cut_at_each_byte_is_refused_and_booked_once_when_whole() -> None:
@@ -286,7 +289,7 @@
         with pytest.raises(InvalidFileError):
             read_file(KEY, data[:cut])
     first = side.hand_over(3, data)
-    assert side.hand_over(3, data) == first  # again: the same receipt, not booked again
+    assert side.hand_over(3, data) == first  # handed over again: the same receipt, no second booking
     assert {one.lines for one in side.booked().values()} == {1} and len(side.booked()) == 3
 
 
@@ -306,17 +309,17 @@
 
 
 @given(st.binary(max_size=100))
-def test_any_bytes_are_a_file_a_receipt_or_a_named_error(data: bytes) -> None:
+def test_any_bytes_are_a_file_a_receipt_or_an_invalid_file_error(data: bytes) -> None:
     for read in (read_file, read_receipt):
         with pytest.raises(InvalidFileError):
             read(KEY, data)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_each_line_is_booked_once_whatever_either_side_does(seed: int) -> None:
-    """Files handed over in turn, with both sides dying at random moments: the accounting side loses power, the sender
-    begins again from what it kept."""
-    chance = random.Random(seed)
+def test_each_line_is_booked_once_whatever_fails_on_either_side(seed: int) -> None:
+    """Files are handed over in sequence while both sides fail at random moments: the accounting side loses power, the
+    sender restarts from what it stored."""
+    rng = random.Random(seed)
     disk = EmulatedDisk(seed)
     files, before = {}, INITIAL_MAC
     for sequence in range(1, 6):
@@ -324,37 +327,37 @@
         before = read_file(KEY, files[sequence]).mac
     sender, now = Sender(KEY, 3, ExportProgress(5), dict(files)), 0
     side = accounting(disk, ALL_ILLS, seed)
-    deaths = 0
+    cuts = 0
     while sender.files:
         now += RETRY_INTERVAL_US
         data = sender.next_file(now)
         if data is None:
             continue
-        if chance.random() < 0.7:
-            disk.cut_at = disk.ops + chance.randrange(8)
+        if rng.random() < 0.7:
+            disk.cut_at = disk.ops + rng.randrange(8)
         back: list[bytes] = []
         try:
             back = side.hand_over(3, data)
         except (PowerCut, StoreError):
             assert disk.dead
         if disk.dead:
-            deaths += 1
-            disk = disk.after_power_cut(chance.randrange(1000), chance.random())
-            side = accounting(disk, ALL_ILLS, chance.randrange(1000))
+            cuts += 1
+            disk = disk.after_power_cut(rng.randrange(1000), rng.random())
+            side = accounting(disk, ALL_ILLS, rng.randrange(1000))
             back = []
         for receipt in back:
             sender.accept_receipt(receipt)
-        if chance.random() < 0.3:
-            # The sender dies: the receipt it had heard may not be on its disk.
+        if rng.random() < 0.3:
+            # The sender restarts: the last receipt it received may not be on its disk.
             left = {
-                n: one for n, one in files.items() if n >= min(sender.files, default=6) - chance.randrange(2)
+                n: one for n, one in files.items() if n >= min(sender.files, default=6) - rng.randrange(2)
             }
             sender = Sender(KEY, 3, ExportProgress(5), left)
-    assert deaths and all(one.lines == 1 and one.billed == 5 * SECOND for one in side.booked().values())
+    assert cuts and all(one.lines == 1 and one.billed == 5 * SECOND for one in side.booked().values())
     assert len(side.booked()) == 15
 
 
-def test_a_file_out_of_turn_or_that_does_not_follow_is_refused() -> None:
+def test_a_file_out_of_sequence_or_with_a_wrong_previous_mac_is_refused() -> None:
     side = accounting(EmulatedDisk(1))
     assert side.hand_over(3, a_file(2)) == []
     side.hand_over(3, a_file(1))
@@ -368,7 +371,7 @@
     side.hand_over(3, second)
     other = make_file(KEY, 3, 1, "2026-12", export_lines("2026-12", [settled(900)], {}), INITIAL_MAC)
     assert side.hand_over(3, other) == [first, second] and len(side.booked()) == 6
-    # The sender takes them as its own, one after the other, and what it made in their place is void.
+    # The sender adopts them one after the other; the files it made in their place are void.
     sent = ExportProgress(1, read_file(KEY, other).mac)
     sender = Sender(KEY, 3, sent, {1: other})
     assert sender.adopt_returned_file(second) is None and sender.adopt_returned_file(first[:-1]) is None
@@ -405,15 +408,17 @@
 )
 
 
-def test_a_price_is_the_latest_begun_and_a_tenants_own_goes_before() -> None:
+def test_the_latest_price_in_force_applies_and_a_tenants_own_takes_precedence() -> None:
     south = settled(1, 7 * SECOND, tenant="south")
-    assert dialogue_cost(TARIFF, south) == 100_000 + 12_000  # two steps of six seconds at a thousand a second
+    # Two steps of six seconds at 1,000 micros a second.
+    assert dialogue_cost(TARIFF, south) == 100_000 + 12_000
     assert (
         dialogue_cost(TARIFF, settled(1, 7 * SECOND, tenant="south", ended=DECEMBER + 10 * 86_400 * SECOND))
         == 207_000
     )
     assert dialogue_cost(TARIFF, settled(1, 7 * SECOND, tenant="south", width=3)) == 3 * 112_000
-    assert dialogue_cost(TARIFF, settled(1, SECOND)) == 1  # a part of a micro is rounded up, once a dialogue
+    # A fraction of a micro is rounded up, once per dialogue.
+    assert dialogue_cost(TARIFF, settled(1, SECOND)) == 1
     assert dialogue_cost(TARIFF, settled(1, 0, tenant="south")) == 0
     assert find_price(TARIFF, settled(1, ended=DECEMBER + 20 * 86_400 * SECOND)).tenant == "north"
     with pytest.raises(MissingPriceError, match="no price for other on 2026-12-01"):
@@ -422,10 +427,10 @@
 
 @settings(max_examples=300)
 @given(st.dictionaries(st.text(max_size=3), st.integers(-(10**9), 10**9), max_size=30))
-def test_the_sum_of_the_lines_is_the_whole_to_the_cent(parts: dict[str, int]) -> None:
+def test_the_lines_add_up_to_the_total_to_the_cent(parts: dict[str, int]) -> None:
     cents = to_cents(parts)
     assert sum(cents.values()) == (sum(parts.values()) + CENT_MICROS // 2) // CENT_MICROS
-    # No line is off by a cent or more, and none passes one that had more.
+    # No line is off by a cent or more, and the order of the lines is kept.
     assert all(abs(cents[name] * CENT_MICROS - micros) < CENT_MICROS for name, micros in parts.items())
     order = sorted(parts, key=lambda name: (parts[name], cents[name]))
     assert all(cents[a] <= cents[b] for a, b in pairwise(order))
@@ -441,40 +446,40 @@
     assert unrated == ["dialogue 3/3: no price for x on 2026-12-01"]
 
 
-def test_what_is_wrong_with_a_tariff_is_told() -> None:
+def test_the_errors_of_a_tariff_are_reported() -> None:
     wrong = Tariff("BRL", [Price("a", "soon", -1, 0, 7), Price("a", "2026-01-01"), Price("a", "2026-01-01")])
-    told = " ".join(tariff_errors(wrong))
-    for what in ("prices[0].from_day = 'soon'", "set_up = -1", "step_s = 7", "prices[2]: a from"):
-        assert what in told
+    errors = " ".join(tariff_errors(wrong))
+    for error in ("prices[0].from_day = 'soon'", "set_up = -1", "step_s = 7", "prices[2]: a from"):
+        assert error in errors
     assert tariff_errors(TARIFF) == [] and ChainId(1, 2) < ChainId(1, 3)
 
 
-def test_what_a_stranger_says_is_neither_answered_nor_kept() -> None:
-    """An agreement was kept, and its words sent again every 5 s, for each month that anybody named."""
-    one = OneDesk(number=3, roster=(3, 4))
+def test_messages_from_outside_the_roster_are_neither_answered_nor_kept() -> None:
+    """An agreement was kept, and its messages were repeated every 5 s, for each month that any sender named."""
+    bench = ServiceBench(number=3, roster=(3, 4))
     for year in range(2027, 2060):
-        one.desk.receive(9, msgspec.msgpack.encode(Prepare(f"{year}-01", (1, 9))))
-    one.desk.receive(
+        bench.service.receive(9, msgspec.msgpack.encode(Prepare(f"{year}-01", (1, 9))))
+    bench.service.receive(
         9, msgspec.msgpack.encode(CompareRanges("all/2026-12", (RangeSummary(b"", b"", 0, b""),)))
     )
-    assert not one.desk.agreements and one.desk.counts["ledger_strange_message"] == 34
-    assert not one.desk.counts["ledger_bytes_sent"]
-    one.desk.receive(4, msgspec.msgpack.encode(Prepare("2027-01", (1, 4))))
-    assert list(one.desk.agreements) == ["2027-01"]
+    assert not bench.service.agreements and bench.service.counts["ledger_strange_message"] == 34
+    assert not bench.service.counts["ledger_bytes_sent"]
+    bench.service.receive(4, msgspec.msgpack.encode(Prepare("2027-01", (1, 4))))
+    assert list(bench.service.agreements) == ["2027-01"]
 
 
 @pytest.mark.parametrize("day", ["20261201", "2026-W49-2", "2026-12-1", "soon", ""])
-def test_a_day_of_a_price_is_written_in_one_way(day: str) -> None:
-    """Days are compared as text: 20261201 was taken for a day, and its price never began."""
+def test_a_price_accepts_only_one_format_of_day(day: str) -> None:
+    """Days are compared as text: 20261201 was accepted as a day, and its price never came into force."""
     assert any("from_day" in line for line in tariff_errors(Tariff("BRL", [Price("a", day, 1)])))
 
 
-def test_records_found_damaged_at_the_start_are_said() -> None:
-    """They were passed over without a word: what stood there was neither ended nor billed."""
-    first = OneDesk()
-    first.stands(1)
+def test_records_found_damaged_at_the_start_are_logged() -> None:
+    """They were skipped silently: the dialogues in them were neither ended nor billed."""
+    first = ServiceBench()
+    first.establish(1)
     first.loop.advance(1)
-    first.desk.kill()
+    first.service.kill()
     disk = first.disk.after_kill()
     engine = disk.open("ledger")
     with engine.db:
@@ -483,28 +488,30 @@
         )
     engine.close()
     disk.locked.clear()
-    again = OneDesk(disk)
-    assert "ledger_damaged" in again.words and again.desk.counts["ledger_damaged"] == 1
+    again = ServiceBench(disk)
+    assert "ledger_damaged" in again.log_events and again.service.counts["ledger_damaged"] == 1
 
 
-# Known red (KNOWN-RED.txt): a statement is said once and for ever, and the wall clock is believed when a process
-# starts; to doubt it needs the other instances' clocks.
+# Known to fail (KNOWN-RED.txt): a statement is final, and the wall clock is trusted when a process starts; checking it
+# needs the other instances' clocks.
 def test_a_clock_that_is_a_decade_ahead_states_no_month_that_has_not_begun() -> None:
-    first = OneDesk()
-    first.desk.close()
+    first = ServiceBench()
+    first.service.close()
     first.loop.advance(1)
-    again = OneDesk(first.disk.after_kill())
+    again = ServiceBench(first.disk.after_kill())
     again.ahead = 10 * 365 * 86_400 * SECOND
     again.loop.advance(3)
-    assert len(again.desk.agreements) < 2
+    assert len(again.service.agreements) < 2
 
 
-def test_the_export_folders_files_cut_at_each_byte(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_files_in_the_export_folders_cut_at_each_byte(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The process dies at each byte of a file that it hands over, and the accounting side at each byte of a receipt
-    that it writes without care: nothing is taken for whole that is not, and one more try ends it."""
+    that it does not write atomically: no partial file is accepted, and one more attempt completes the exchange."""
     data = a_file(lines=1)
     receipt = make_receipt(KEY, read_file(KEY, data))
-    box, out = FolderOutbox(tmp_path, 3), tmp_path / "out"
+    outbox, out = FolderOutbox(tmp_path, 3), tmp_path / "out"
     (tmp_path / "back").mkdir()
 
     class Dies(BaseException):
@@ -528,21 +535,21 @@
         with monkeypatch.context() as patch, pytest.raises(Dies):
             patch.setattr(Path, "open", lambda path, mode, at=at: Half(path, at) if mode == "wb" else None)
             patch.setattr(Path, "write_bytes", lambda path, some: os.close(_written(path, some)))
-            box.put(1, data)
+            outbox.put(1, data)
         assert not list(out.glob("*-*.wh"))
-    box.put(1, data)
+    outbox.put(1, data)
     assert [path.read_bytes() for path in out.glob("*-*.wh")] == [data] and len(list(out.iterdir())) == 1
     sender = Sender(KEY, 3, ExportProgress(1), {1: data})
     for cut in range(len(receipt)):
         (tmp_path / "back" / "3-1.wr").write_bytes(receipt[:cut])
-        [found] = box.take_receipts()
+        [found] = outbox.take_receipts()
         assert (
             sender.accept_receipt(found) is None
             and sender.adopt_returned_file(found) is None
-            and box.take_receipts() == []
+            and outbox.take_receipts() == []
         )
     (tmp_path / "back" / "3-1.wr").write_bytes(receipt)
-    assert [sender.accept_receipt(found) for found in box.take_receipts()] == [1] and not sender.files
+    assert [sender.accept_receipt(found) for found in outbox.take_receipts()] == [1] and not sender.files
 
 
 def _written(path: Path, some: bytes) -> int:
