--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 import pytest
-from platform_world import DRAINING, GONE, READY, SECOND, UNIX_START_US, World, configuration, invite, row
+from platform_world import DRAINING, READY, REMOVED, SECOND, UNIX_START_US, World, configuration, invite, row
 
 from wellhitch.board import codec as board_codec
-from wellhitch.board.codec import Notice
+from wellhitch.board.codec import Update
 from wellhitch.deciding import runner as runner_module
 from wellhitch.interface import events as ev
 from wellhitch.platform.service import descriptor_shares
@@ -29,13 +29,13 @@
     world = World()
     caller = world.establish(A)
     [new] = world.offices[1].said("new")
-    assert (new.ref, new.f["class"], new.f["key"], new.d) == (
+    assert (new.call_id, new.fields["class"], new.fields["key"], new.description) == (
         A,
         "cheap",
         "7f3a9c21e0b4d655",
         "caller's own\r\n",
     )
-    assert 900 <= int(str(new.f["left"])) < 1000
+    assert 900 <= int(str(new.fields["left"])) < 1000
     [answer] = [one for _, one in caller.heard]
     assert answer.body == b"office's own\r\n" and answer.headers["cseq"] == "1 INVITE"
     world.offices[1].down(A, 16)
@@ -51,7 +51,9 @@
     first, other = world.establish(A), world.caller()
     other.say(plain("BYE", A))
     world.run(0.1)
-    assert other.statuses(A, "BYE") == [200] and [line.c for line in world.offices[1].said("down")] == [16]
+    assert other.statuses(A, "BYE") == [200] and [line.cause for line in world.offices[1].said("down")] == [
+        16
+    ]
     assert not first.byes(A) and not other.byes(A) and not world.core.exchange.dialogues
 
 
@@ -206,7 +208,7 @@
     world.offices[1].raw(A, f'{{"t":"up","ref":"{A}","f":{{}}}}\n'.encode())
     world.run(0.02)
     assert world.counts["ending.reset"] == 1 and caller.statuses(A) == []
-    assert [line.c for line in world.offices[1].said("down")] == [16]
+    assert [line.cause for line in world.offices[1].said("down")] == [16]
 
 
 # ---- cancellation ----
@@ -221,7 +223,7 @@
     caller.say(plain("CANCEL", A))
     world.run(0.1)
     assert caller.statuses(A, "CANCEL") == [200] and caller.statuses(A) == [487]
-    assert [line.c for line in world.offices[1].said("down")] == [16]
+    assert [line.cause for line in world.offices[1].said("down")] == [16]
     world.offices[1].up(A)
     world.run(3)
     assert caller.statuses(A) == [487] and not caller.byes(A) and not world.core.pending_calls
@@ -232,7 +234,7 @@
     caller = world.establish(A)
     caller.say(plain("CANCEL", A))
     world.run(0.1)
-    assert len(caller.byes(A)) == 1 and [line.c for line in world.offices[1].said("down")] == [16]
+    assert len(caller.byes(A)) == 1 and [line.cause for line in world.offices[1].said("down")] == [16]
     assert not world.core.calls
 
 
@@ -282,7 +284,7 @@
     assert world.run_until(1, lambda: call_id(2) in world.offices[1].by_ref)
     caller.close()
     world.run(0.1)
-    assert [line.ref for line in world.offices[1].said("down")] == [call_id(2)] and A in world.core.calls
+    assert [line.call_id for line in world.offices[1].said("down")] == [call_id(2)] and A in world.core.calls
 
 
 def test_simultaneous_releases_from_both_ends_end_the_call_once() -> None:
@@ -496,7 +498,7 @@
     world.discovery.tell(row(1, DRAINING))
     world.run(3)
     assert A in world.core.calls
-    world.discovery.tell(row(1, GONE))
+    world.discovery.tell(row(1, REMOVED))
     world.run(1)
     assert len(caller.byes(A)) == 1 and "s-00000001" not in world.core.offices
 
@@ -504,7 +506,7 @@
 def test_new_office_at_the_address_of_a_removed_one_is_distinct() -> None:
     world = World()
     caller = world.establish(A)
-    world.discovery.tell(row(1, GONE), row(1, READY, 0x77, host="10.1.0.1"))
+    world.discovery.tell(row(1, REMOVED), row(1, READY, 0x77, host="10.1.0.1"))
     world.run(1)
     assert len(caller.byes(A)) == 1
     world.establish(call_id(2), caller)
@@ -543,7 +545,7 @@
     caller.say(invite(call_id(2), 2, more=";transit:1"))
     world.run(0.1)
     assert caller.statuses(A) == [503] and caller.statuses(call_id(2)) == [200]
-    assert not [line for line in world.offices[2].said("new") if line.ref == A]
+    assert not [line for line in world.offices[2].said("new") if line.call_id == A]
 
 
 # ---- discovery ----
@@ -551,7 +553,7 @@
 
 def _cut_within_a_frame(world: World) -> None:
     update = world.discovery.tell(row(1, DRAINING), loud=False)
-    world.discovery.raw(board_codec.frame(update)[:20])
+    world.discovery.raw(board_codec.encode_update(update)[:20])
     world.run(0.05)
     world.discovery.cut()
 
@@ -564,7 +566,7 @@
 
 def _duplicate_update(world: World) -> None:
     update = world.discovery.tell(row(1, DRAINING))
-    world.discovery.raw(board_codec.frame(update))
+    world.discovery.raw(board_codec.encode_update(update))
 
 
 def _missing_update(world: World) -> None:
@@ -587,7 +589,7 @@
     fault(world)
     world.run(3.5)
     assert world.core.offices["s-00000001"].state is ev.OfficeState.DRAINING
-    assert world.service.discovery.revision == world.discovery.events[-1].number
+    assert world.service.discovery.revision == world.discovery.events[-1].revision
     draining_events = [
         facts for event, facts in world.log if event == "office" and facts["standing"] == "DRAINING"
     ]
@@ -596,8 +598,8 @@
 
 def test_missing_revision_is_requested_once() -> None:
     world = World()
-    world.discovery.events.append(Notice(5, False, (row(1, DRAINING),)))
-    world.discovery.raw(board_codec.frame(world.discovery.events[-1]))
+    world.discovery.events.append(Update(5, False, (row(1, DRAINING),)))
+    world.discovery.raw(board_codec.encode_update(world.discovery.events[-1]))
     world.run(1)
     assert world.service.discovery.revision == 5 and len(world.discovery.asked) == 2
 
@@ -809,7 +811,7 @@
     received: list[tuple[int, bytes]] = []
     world.core.peer_message = lambda peer, text, now: received.append((peer, text))  # type: ignore[method-assign]
     for host, port in (("10.3.0.2", 7946), ("10.3.0.9", 7946)):
-        world.net.at(host).datagrams(f"{host}:{port}", lambda data, address: None, lambda sender: None)
+        world.net.at(host).open_datagrams(f"{host}:{port}", lambda data, address: None, lambda sender: None)
         world.net.datagram(f"{host}:{port}", "10.0.0.1:7946", b"hello")
     world.net.datagram("10.3.0.1:7946", "10.0.0.1:7946", b"x" * 257)
     world.run(0.1)
@@ -819,7 +821,7 @@
 def test_peer_message_is_sent_to_all_peers() -> None:
     world = World()
     got: list[bytes] = []
-    world.net.at("10.3.255.1").datagrams(
+    world.net.at("10.3.255.1").open_datagrams(
         "10.3.255.1:7946", lambda data, address: got.append(data), lambda sender: None
     )
     world.service.send_to_peers(b"word")
@@ -845,7 +847,7 @@
     assert late_caller.statuses(call_id(3)) == [200]
     world.run(3)
     assert world.stopped and len(caller.statuses(call_id(2))) == 1
-    assert not caller.byes(A) and not [line for line in world.offices[1].said("down") if line.ref == A]
+    assert not caller.byes(A) and not [line for line in world.offices[1].said("down") if line.call_id == A]
 
 
 def test_shutdown_ends_before_the_kill() -> None:
@@ -913,7 +915,7 @@
     for n in range(20):
         office = 0x100 + n
         world.discovery.tell(
-            row(1, GONE, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1")
+            row(1, REMOVED, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1")
         )
         world.run(0.3)
     assert len(world.core.offices) == 3 and len(world.service.office_connections.pools) == 2
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -23,10 +23,17 @@
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.service import AccountingChannel, SettlementService
 from wellhitch.net.transport import LoopbackNetwork
-from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
-from wellhitch.server.switch import Outlet, Switch
+from wellhitch.server.daemon import Daemon, Log, MakeSettlement, ServerAddresses
+from wellhitch.server.switch import ServerIO, Switch
 from wellhitch.settings.day import Day
-from wellhitch.settings.sheet import DoorLine, LedgerLine, Sheet, UseCaseLine, opened, span
+from wellhitch.settings.server import (
+    LedgerSettings,
+    ListenerSettings,
+    ServerSettings,
+    TrafficClassSettings,
+    duration_us,
+    start_event,
+)
 from wellhitch.stand_ins.troubles import CannotPlay
 
 
@@ -55,14 +62,14 @@
         return known
 
 
-def sheet_of(day: Day, number: int, addresses: HostAddresses | LoopbackAddresses) -> Sheet:
+def sheet_of(day: Day, number: int, addresses: HostAddresses | LoopbackAddresses) -> ServerSettings:
     """The sheet of one call server of a day."""
     host = f"server-{number}"
     cases = [
-        UseCaseLine(**{name: getattr(case, name) for name in UseCaseLine.__struct_fields__})
+        TrafficClassSettings(**{name: getattr(case, name) for name in TrafficClassSettings.__struct_fields__})
         for case in day.use_cases
     ]
-    return Sheet(
+    return ServerSettings(
         number=number,
         seed=day.seed * 1000 + number,
         peers=len(day.exchanges) - 1,
@@ -70,8 +77,10 @@
         rules=day.rules,
         limits=day.limits,
         hooks=day.hooks,
-        ledger=LedgerLine(f"ledger-{number}", [one.number for one in day.exchanges]) if day.ledger else None,
-        doors=DoorLine(
+        ledger=LedgerSettings(f"ledger-{number}", [one.number for one in day.exchanges])
+        if day.ledger
+        else None,
+        doors=ListenerSettings(
             callers=addresses.of(host, "callers"),
             register=addresses.of("register", "list"),
             peers=addresses.of(host, "peers"),
@@ -81,15 +90,15 @@
     )
 
 
-def doors_of(sheet: Sheet) -> Doors:
+def doors_of(sheet: ServerSettings) -> ServerAddresses:
     """The doors of a sheet, as the daemon takes them."""
     d = sheet.doors
-    return Doors(d.callers, d.peers, d.operators, d.register, d.centre)
+    return ServerAddresses(d.callers, d.peers, d.operators, d.register, d.centre)
 
 
 def zone_delay(day: Day) -> Callable[[str, str], int]:
     """One-way times between the hosts of a day."""
-    here, same, cross = span(day.net.here), span(day.net.same), span(day.net.cross)
+    here, same, cross = duration_us(day.net.here), duration_us(day.net.same), duration_us(day.net.cross)
     zones = {one.number: one.zone for one in day.exchanges}
     known: dict[tuple[str, str], int] = {}
 
@@ -121,7 +130,7 @@
     daemons: dict[int, Daemon] = field(default_factory=dict)
     boots: dict[int, int] = field(default_factory=dict)
     parties: dict[int, PartyLoop] = field(default_factory=dict)
-    make_switch: Callable[[ServerStarted, int, Outlet], Switch] = Switch
+    make_switch: Callable[[ServerStarted, int, ServerIO], Switch] = Switch
     clocks: dict[int, float] = field(default_factory=dict)  # seconds that a call server's clock is ahead
     disks: dict[int, EmulatedDisk] = field(default_factory=dict)
     accounting_channels: dict[int, AccountingChannel] = field(
@@ -148,18 +157,18 @@
         daemon = self.daemons[number] = Daemon(
             loop,
             network,
-            opened(sheet),
+            start_event(sheet),
             doors_of(sheet),
             sheet.limits.max_open,
             boot,
             self.log(number),
             self.make_switch,
             hooks=sheet.hooks,
-            ledger=self._desk(number) if self.day.ledger else None,
+            make_settlement=self._desk(number) if self.day.ledger else None,
         )
         daemon.start()
 
-    def _desk(self, number: int) -> MakeDesk:
+    def _desk(self, number: int) -> MakeSettlement:
         """A ledger on an emulated disk that outlives the process."""
         roster = tuple(one.number for one in self.day.exchanges)
         keys = NumberKeys({1: bytes([number % 256]) * 32})
@@ -197,14 +206,14 @@
         host = f"server-{number}"
         self.parties[number].gone = True
         daemon.stopped = True
-        if daemon.desk:
+        if daemon.settlement:
             keep = self.power_cut(number)
             if keep is None:
-                daemon.desk.kill()
+                daemon.settlement.kill()
                 self.disks[number] = self.disks[number].after_kill()
             else:
                 self.disks[number] = self.disks[number].after_power_cut(self.boots[number], keep)
-                daemon.desk.kill()
+                daemon.settlement.kill()
         for listener in daemon.listeners.values():
             listener.close()
         self.net.reset_host(host)
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 
 from wellhitch.adapter.codec import read_report
-from wellhitch.board.codec import DRAINING, GONE, Notice, Row
+from wellhitch.board.codec import DRAINING, REMOVED, DiscoveryEntry, Update
 from wellhitch.deciding.runner import Runner
 from wellhitch.interface import actions as act
 from wellhitch.interface import events as ev
@@ -78,7 +78,7 @@
             traffic_class.name: traffic_class for traffic_class in opened.traffic_classes
         }
 
-    def start(self, known_updates: Iterable[Notice], now: int) -> None:
+    def start(self, known_updates: Iterable[Update], now: int) -> None:
         """Begin with the settings and the discovery updates known so far. Connections are opened after all updates are
         applied. Draining offices are connected too: they may hold calls from before a restart, and send the releases of
         these on the first connection."""
@@ -301,7 +301,9 @@
         """Send the one final answer of a set-up that is not established, and forget the set-up."""
         self.counts[f"answer.{answer}"] += 1
         self._forget(pending)
-        sent = self.io.send_to_caller(pending.connection, sip.response(status, pending.echo, more=headers))
+        sent = self.io.send_to_caller(
+            pending.connection, sip.response(status, pending.echo, extra_headers=headers)
+        )
         self.io.log(
             "set_up_refused",
             call=pending.call_id,
@@ -359,7 +361,7 @@
         dial.timer = self.io.start_timer(
             max(0, timeout_us), lambda fired_at: self._dial_timed_out(dial, fired_at)
         )
-        line = lines.new(
+        line = lines.set_up(
             pending.call_id,
             pending.traffic_class,
             pending.called_number,
@@ -384,7 +386,7 @@
         if self._forget_dial(dial) or connection is None:
             return
         dial.office.remember_ended(dial.call.call_id, now)
-        self.io.send_to_office(dial.office, lines.down(dial.call.call_id, CAUSE_NORMAL), connection)
+        self.io.send_to_office(dial.office, lines.release(dial.call.call_id, CAUSE_NORMAL), connection)
 
     def _forget_dial(self, dial: PendingDial) -> bool:
         """Mark a dial as ended; True where its set-up was never sent."""
@@ -406,7 +408,7 @@
         self._forget_dial(dial)
         if sent and dial.office.state is not ev.OfficeState.GONE:
             dial.office.remember_ended(dial.call.call_id, now)
-            self.io.send_to_office(dial.office, lines.down(dial.call.call_id, CAUSE_NORMAL), None)
+            self.io.send_to_office(dial.office, lines.release(dial.call.call_id, CAUSE_NORMAL), None)
         ending = ev.DialResult.RESET if sent else ev.DialResult.UNREACHABLE
         self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
 
@@ -457,7 +459,7 @@
         self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
     ) -> None:
         """Handle a complete line from an office."""
-        match line.t:
+        match line.type:
             case "up":
                 self._office_answered(office, connection, line, now)
             case "down":
@@ -474,17 +476,17 @@
     def _office_answered(
         self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
     ) -> None:
-        dial = office.dials.get(line.ref)
+        dial = office.dials.get(line.call_id)
         if dial is None or dial.connection is None:
-            if line.ref in office.ended_here and line.ref not in office.calls:
+            if line.call_id in office.ended_here and line.call_id not in office.calls:
                 # The dial was ended here while its answer was on the way: the call is released at the office.
                 self.counts["late_answers_released"] += 1
-                self.io.send_to_office(office, lines.down(line.ref, CAUSE_NORMAL), None)
+                self.io.send_to_office(office, lines.release(line.call_id, CAUSE_NORMAL), None)
             else:
                 self.counts["strays.up"] += 1
             return
-        body = None if line.d is None else line.d.encode("utf-8", "replace")
-        if body is None or len(body) + len(dial.call.echo) + 256 > sip.MAX_MESSAGE:
+        body = None if line.description is None else line.description.encode("utf-8", "replace")
+        if body is None or len(body) + len(dial.call.echo) + 256 > sip.MAX_MESSAGE_BYTES:
             self.counts["answers_unreadable"] += 1
             self._abandon_dial(dial, ev.DialResult.RESET, now)
             return
@@ -513,8 +515,8 @@
     def _office_released(
         self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
     ) -> None:
-        dial, call = office.dials.get(line.ref), office.calls.get(line.ref)
-        cause = CAUSE_CUT if line.c is None else line.c
+        dial, call = office.dials.get(line.call_id), office.calls.get(line.call_id)
+        cause = CAUSE_CUT if line.cause is None else line.cause
         if dial is not None and dial.connection is not None and cause == CAUSE_NORMAL:
             # The call was established and has ended normally, but its answer was lost, so the dialogue is over.
             # Dialling again would establish a second call with the same Call-ID while the caller is owed a release of
@@ -536,12 +538,12 @@
         elif dial is not None and dial.connection is not None:
             self._forget_dial(dial)
             ending = ENDINGS.get(cause, ev.DialResult.RESET)
-            blame = BLAMES.get(str(line.f.get("note", "")), ev.ReleaseCause.NONE)
+            blame = BLAMES.get(str(line.fields.get("note", "")), ev.ReleaseCause.NONE)
             self._dial_ended(dial, ending, blame, _report(line), now)
         elif call is not None:
             self.established.released_by_office(call, connection, cause, _report(line), now)
-        elif line.ref not in office.ended_here:
-            self.established.unknown_released(line.ref, cause, now)
+        elif line.call_id not in office.ended_here:
+            self.established.unknown_released(line.call_id, cause, now)
 
     def office_refused_connection(self, office: OfficeRecord) -> None:
         """An office without a connection refused a new one."""
@@ -574,31 +576,31 @@
 
     # ---- discovery ----
 
-    def discovery_update(self, update: Notice, now: int) -> None:
+    def discovery_update(self, update: Update, now: int) -> None:
         """Apply an update from discovery."""
-        if update.empty:
+        if update.heartbeat:
             return
         self._apply_update(update, ev.ListKind.FULL, now)
         for office in list(self.offices.values()):
             self._apply_state(office, now)
 
-    def _apply_update(self, update: Notice, whole: ev.ListKind, now: int) -> None:
+    def _apply_update(self, update: Update, whole: ev.ListKind, now: int) -> None:
         """Update the office records and tell the decision module. `whole` is what the module is told about the source
         of a complete list."""
-        for row in update.rows:
+        for row in update.entries:
             self._apply_row(row, now)
-        if update.whole:
-            listed = {row.id for row in update.rows}
+        if update.full:
+            listed = {row.id for row in update.entries}
             for office in self.offices.values():
                 if office.id not in listed:
                     office.state = ev.OfficeState.GONE
-        offices = [self.offices[row.id] for row in update.rows]
+        offices = [self.offices[row.id] for row in update.entries]
         entries = tuple(
             ev.OfficeEntry(office.id, office.number, office.state, office.started) for office in offices
         )
-        self.feed(ev.OfficeListReceived(whole if update.whole else ev.ListKind.CHANGES, entries), now)
+        self.feed(ev.OfficeListReceived(whole if update.full else ev.ListKind.CHANGES, entries), now)
 
-    def _apply_row(self, row: Row, now: int) -> None:
+    def _apply_row(self, row: DiscoveryEntry, now: int) -> None:
         state = OFFICE_STATES[row.state]
         # The offset is fixed at the start, so that the same start time always gives the same loop time.
         started = max(1, row.started_ms * 1000 - self.loop_epoch_us) if row.started_ms else None
@@ -607,18 +609,18 @@
             tests_allowed = self.opened.permissions.may_probe
             self.offices[row.id] = OfficeRecord(
                 row.id,
-                row.cell,
+                row.exchange,
                 row.address,
                 state,
                 started,
                 liveness=OfficeLiveness(tests_allowed, now),
             )
-            self.io.log("office", office=row.id, number=row.cell, standing=state.name, started=started)
+            self.io.log("office", office=row.id, number=row.exchange, standing=state.name, started=started)
             return
         if state is not office.state:
-            self.io.log("office", office=row.id, number=row.cell, standing=state.name, started=started)
+            self.io.log("office", office=row.id, number=row.exchange, standing=state.name, started=started)
         restarted = started is not None and started != office.started
-        office.state, office.started, office.number = state, started, row.cell
+        office.state, office.started, office.number = state, started, row.exchange
         if restarted:
             self.established.office_restarted(office, now)
         if office.address != row.address:
@@ -679,14 +681,14 @@
 
 
 KNOWN_METHODS = frozenset(("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "NOTIFY"))
-assert (DRAINING, GONE) == (1, 2)  # OFFICE_STATES is indexed by the states of discovery
+assert (DRAINING, REMOVED) == (1, 2)  # OFFICE_STATES is indexed by the states of discovery
 
 
 EMPTY_REPORT = ev.OfficeReport()
 
 
 def _report(line: lines.Line) -> ev.OfficeReport:
-    load = line.f.get("load")
+    load = line.fields.get("load")
     if load is None:
         return EMPTY_REPORT
     return (
@@ -699,4 +701,4 @@
 @lru_cache(maxsize=1024)
 def _read_load(load: str) -> ev.OfficeReport:
     """The values of a load report. Cached, as offices send fourteen reports per dialogue with few different texts."""
-    return read_report(lines.figures(load))
+    return read_report(lines.parse_load(load))
