--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,4 @@
-"""Every file that is read: a directory, a pipe, garbage, an empty file or a missing file in its place is reported as one
+"""Every file that is read: a directory, a pipe, garbage, an empty or a missing file in its place is reported as one
 clear error that names it."""
 
 import json
--- a/wellhitch/ledger/periods.py
+++ b/wellhitch/ledger/periods.py
@@ -11,7 +11,7 @@
 instances on the roster is enough, and no two lists are ever chosen, whatever is lost. An instance that stated nothing
 for `ABSENCE_TIMEOUT_US` after the end is left out of the list; its later rows count as corrections in the next period.
 
-Whatever is promised, accepted or stated must be on disk before the message that tells it is sent: `Outcome.persist`
+Whatever is promised, accepted or stated must be on disk before the message that announces it is sent: `Outcome.persist`
 before `Outcome.send`."""
 
 from dataclasses import dataclass, field
--- a/wellhitch/ledger/service.py
+++ b/wellhitch/ledger/service.py
@@ -61,9 +61,8 @@
 DIGESTS_PER_READ = 1_000  # rows read at once; takes 15 ms of processor time
 DIGEST_READ_INTERVAL_S = 0.05  # between two reads; loading takes at most a third of a processor
 DIGEST_READ_RETRY_S = 1.0
-MAX_EARLY_EVENTS = (
-    20_000  # events held until the store is open: 20 s of 520 dialogues a second, two events each
-)
+# Events held until the store is open: 20 s of 520 dialogues a second, two events each.
+MAX_EARLY_EVENTS = 20_000
 MAX_CHANGES_PER_EVENT = 6  # changes that one event makes, with a record of lost entries before it
 
 Message = periods.Message | reconcile.Message
