--- a/tests/test_ledger_tools.py
+++ b/tests/test_ledger_tools.py
@@ -130,8 +130,8 @@
     said = told("show", sheet).output
     for why in (
         "4: named twice",
-        "this call server, 3, is not in it",
-        "ledger.export and ledger.export_key: both",
+        "this call server, 3, is missing",
+        "ledger.export and ledger.export_key: set both, or neither",
     ):
         assert why in said
     sheet.write_text(SHEET)
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -133,7 +133,7 @@
 ) -> None:
     with pytest.raises(InvalidSettings, match=message) as caught:
         read_configuration(write_configuration(tmp_path, value))
-    assert len(caught.value.lines) == 1 and str(tmp_path) in str(caught.value)
+    assert len(caught.value.errors) == 1 and str(tmp_path) in str(caught.value)
 
 
 # ---- the process ----
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -47,7 +47,7 @@
     del bad["rules"]["release_wait"]
     with pytest.raises(InvalidSettings) as faults:
         checked.read(bad, server.ServerSettings, "x.jsonnet")
-    lines = faults.value.lines
+    lines = faults.value.errors
     assert len(lines) == 5
     for start in (
         "colour = 'red'",
@@ -64,8 +64,8 @@
     [
         ({"use_cases": []}, "use_cases = []"),
         ({"use_cases": [USES[0], USES[0]]}, "named twice"),
-        ({"use_cases": [{**USES[0], "agreed_time": "0s"}]}, "1ms at least"),
-        ({"use_cases": [{**USES[0], "agreed_time": "10s"}]}, "over the outer limit"),
+        ({"use_cases": [{**USES[0], "agreed_time": "0s"}]}, "must be at least 1ms"),
+        ({"use_cases": [{**USES[0], "agreed_time": "10s"}]}, "longer than outer_limit"),
         ({"doors": {**DOORS, "register": ""}}, "doors.register"),
         ({"doors": {**DOORS, "callers": "10.0.0.1:70"}}, "a loopback address"),
         ({"doors": {**DOORS, "callers": "127.0.0.1:99999"}}, "not host:port"),
@@ -80,8 +80,8 @@
 @pytest.mark.parametrize(
     ("change", "said_so"),
     [
-        ({"groups": [{"ends": [0, 9], "size": 1}]}, "two exchanges of the day"),
-        ({"groups": [{"ends": [0, 1], "size": 1}, {"ends": [1, 0], "size": 1}]}, "stands twice"),
+        ({"groups": [{"ends": [0, 9], "size": 1}]}, "must be two different exchanges of the day"),
+        ({"groups": [{"ends": [0, 1], "size": 1}, {"ends": [1, 0], "size": 1}]}, "this pair is listed twice"),
         ({"troubles": [{"kind": "plague", "at": "1s"}]}, "'plague'"),
         ({"troubles": [{"kind": "slow", "at": "1s", "on": [7]}]}, "no such exchange"),
     ],
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -9,7 +9,7 @@
 from wellhitch.board import codec as board
 from wellhitch.interface.events import ServerStarted
 from wellhitch.net.transport import only_numeric, split
-from wellhitch.settings.checked import InvalidSettings, read_lenient, shown
+from wellhitch.settings.checked import InvalidSettings, read_lenient, short_repr
 
 # A file with hundreds of updates under `known` has some tens of thousands of bytes.
 MAX_FILE_BYTES = 4 * 1024 * 1024
@@ -146,7 +146,7 @@
     try:
         seed = int(decoded.seed, 16)
     except ValueError:
-        raise InvalidSettings(path, [f"seed = {shown(decoded.seed)}: not hexadecimal"]) from None
+        raise InvalidSettings(path, [f"seed = {short_repr(decoded.seed)}: not hexadecimal"]) from None
     if decoded.limits.sockets < MIN_DESCRIPTORS:
         raise InvalidSettings(
             path, [f"limits.sockets = {decoded.limits.sockets}: less than {MIN_DESCRIPTORS}"]
@@ -189,4 +189,4 @@
     try:
         only_numeric(split(address)[0])
     except ValueError as error:
-        raise InvalidSettings(path, [f"{field} = {shown(address)}: {error}"]) from None
+        raise InvalidSettings(path, [f"{field} = {short_repr(address)}: {error}"]) from None
--- a/wellhitch/settings/__init__.py
+++ b/wellhitch/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: Jsonnet templates, read into typed records and checked as a whole."""
+"""Settings: Jsonnet templates that are read into typed records and checked as a whole."""
--- a/wellhitch/settings/day.py
+++ b/wellhitch/settings/day.py
@@ -1,4 +1,7 @@
-"""A day as a file: the fleet, its traffic, its callers and what goes wrong. One seed gives one day."""
+"""The settings file of a day, one simulated run: the fleet, its traffic, its callers and the injected faults.
+
+The same seed gives the same day.
+"""
 
 from typing import Annotated
 
@@ -21,14 +24,14 @@
 
 
 class TrafficClassLoad(TrafficClassSettings, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A use case with its share of the traffic."""
+    """A traffic class with its share of the traffic."""
 
     share: Positive
 
 
 class ExchangeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One exchange: where it stands, how long a set-up takes there, and how often its callers call each other
-    exchange, a second, by number."""
+    """One exchange: its zone, how long a set-up takes its office, and how many calls a second its callers make to each
+    other exchange, by number."""
 
     number: Annotated[int, msgspec.Meta(ge=0, lt=MAX_EXCHANGES)]
     setup: Duration
@@ -37,14 +40,14 @@
 
 
 class TrunkGroupSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One trunk group."""
+    """One trunk group: the two exchanges it connects, and its number of circuits."""
 
     ends: Annotated[list[int], msgspec.Meta(min_length=2, max_length=2)]
     size: Count
 
 
 class NetworkSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One-way times: within an exchange, within a zone, between zones; jitter as a share on top."""
+    """One-way delays within an exchange, within a zone and between zones. `jitter` is the largest share added."""
 
     here: Duration = "50us"
     same: Duration = "1ms"
@@ -53,7 +56,9 @@
 
 
 class CallerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How callers behave."""
+    """How callers behave. `patience` is the share of the deadline for which one try is waited for, `pause` the delay
+    before the next try, which `doubles` makes exponential. `heeds` is the share of callers that honour a retry-after
+    time, and `impatient` the share that hang up at a random time before their patience ends."""
 
     retries: Count = 2
     patience: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.35
@@ -65,7 +70,8 @@
 
 
 class OfficeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What all processors have in common; work is in set-ups, each piece drawn with the variation `noise`."""
+    """What all offices have in common. Work (`look`, `reject`, `follow`, `word`) is in multiples of the work of one
+    set-up. Each piece of work is drawn with `noise` as its coefficient of variation."""
 
     queue: Duration = "2s"
     look: Annotated[float, msgspec.Meta(ge=0)] = 0.2
@@ -84,7 +90,8 @@
 
 
 class RegisterSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How late the register tells: of drains and starts, of deaths; spread over the call servers."""
+    """The delay with which the register reports drains (`notice`), crashes (`silent_notice`) and starts (`add`).
+    `spread` is the largest delay added for each call server."""
 
     notice: Duration = "1s"
     silent_notice: Duration = "5s"
@@ -93,15 +100,15 @@
 
 
 class DriftSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Something is drawn anew each `every`, around its usual value with this coefficient of variation: of a
-    drift each destination's share, of bursts each exchange's rate."""
+    """A value that is drawn again every `every`, around its usual value with the coefficient of variation `cv`: the
+    share of each destination (drift), or the rate of each exchange (bursts)."""
 
     every: Duration
     cv: Positive
 
 
 class CentreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How often the centre looks, and how old its advice is when told."""
+    """How often the centre computes its advice, and how old the advice is on arrival."""
 
     period: Duration = "2s"
     late: Duration = "500ms"
@@ -115,11 +122,12 @@
     "answer_reordered", "words_lost", "words_late", "list_goes_back", "register_restart",
     "server_paused", "server_killed", "server_stalls",
 )  # fmt: skip
-"""Every kind of trouble that a day may hold; docs/operate/call-server.md tells each."""
+"""Every kind of injected fault; docs/operate/call-server.md describes each."""
 
 
 class FaultSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One trouble: when, how long, at which exchanges (none: all), how much; `extra` is the kind's own."""
+    """One injected fault: its kind, start, length, exchanges (without any: all) and size. The meaning of `extra`
+    depends on the kind."""
 
     kind: str
     at: Duration
@@ -131,7 +139,8 @@
 
 
 class Day(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """All of one day. `shape`: from each second on, how many times the usual traffic."""
+    """All settings of one day. `shape` is a list of (second, factor): from that second on, the traffic is `factor`
+    times the usual one."""
 
     name: str
     seed: Count
@@ -156,34 +165,38 @@
 
 
 def check(day: Day, where: str) -> None:
-    """What holds between fields. Raises InvalidSettings."""
-    lines = []
-    numbers = [one.number for one in day.exchanges]
+    """Check what must hold between fields. Raises InvalidSettings."""
+    errors = []
+    numbers = [exchange.number for exchange in day.exchanges]
     known = set(numbers)
-    names = {str(n) for n in known}
+    names = {str(number) for number in known}
     if not numbers:
-        lines.append("exchanges = []: one at least")
-    lines += traffic_class_errors(day.use_cases)
-    lines += [f"exchanges: number {n} stands twice" for n in sorted(known) if numbers.count(n) > 1]
-    for at, one in enumerate(day.exchanges):
-        if duration_us(one.setup) <= 0:
-            lines.append(f"exchanges[{at}].setup = {one.setup!r}: over 0")
-        lines += [
-            f"exchanges[{at}].calls.{to[:40]} = {rate}: no such exchange"
-            for to, rate in one.calls.items()
+        errors.append("exchanges = []: at least one is required")
+    errors += traffic_class_errors(day.use_cases)
+    errors += [
+        f"exchanges: number {number} is used twice" for number in sorted(known) if numbers.count(number) > 1
+    ]
+    for index, exchange in enumerate(day.exchanges):
+        if duration_us(exchange.setup) <= 0:
+            errors.append(f"exchanges[{index}].setup = {exchange.setup!r}: must be greater than 0")
+        errors += [
+            f"exchanges[{index}].calls.{to[:40]} = {rate}: no such exchange"
+            for to, rate in exchange.calls.items()
             if to not in names
         ]
     pairs = set()
-    for at, group in enumerate(day.groups):
+    for index, group in enumerate(day.groups):
         a, b = sorted(group.ends)
         if a == b or a not in known or b not in known:
-            lines.append(f"groups[{at}].ends = {group.ends}: two exchanges of the day")
+            errors.append(f"groups[{index}].ends = {group.ends}: must be two different exchanges of the day")
         elif (a, b) in pairs:
-            lines.append(f"groups[{at}].ends = {group.ends}: this pair stands twice")
+            errors.append(f"groups[{index}].ends = {group.ends}: this pair is listed twice")
         pairs.add((a, b))
-    for at, trouble in enumerate(day.troubles):
-        if trouble.kind not in FAULT_KINDS:
-            lines.append(f"troubles[{at}].kind = {trouble.kind!r}: one of {', '.join(FAULT_KINDS)}")
-        lines += [f"troubles[{at}].on = {n}: no such exchange" for n in trouble.on if n not in known]
-    if lines:
-        raise InvalidSettings(where, lines)
+    for index, fault in enumerate(day.troubles):
+        if fault.kind not in FAULT_KINDS:
+            errors.append(f"troubles[{index}].kind = {fault.kind!r}: must be one of {', '.join(FAULT_KINDS)}")
+        errors += [
+            f"troubles[{index}].on = {number}: no such exchange" for number in fault.on if number not in known
+        ]
+    if errors:
+        raise InvalidSettings(where, errors)
--- a/wellhitch/settings/server.py
+++ b/wellhitch/settings/server.py
@@ -1,4 +1,4 @@
-"""The sheet of one call server: what `wellhitch serve` reads. Times are whole microseconds once read."""
+"""The settings file of one call server, which `wellhitch serve` reads. Durations become whole microseconds."""
 
 import re
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.trunk.frames import MAX_EXCHANGES, MAX_WIDTH
 
-# Up to eleven days, whatever the unit: longer ones mean nothing here, and what they add up to must fit a frame.
+# At most eleven days, whatever the unit: longer ones are of no use, and sums of durations must fit a frame.
 Duration = Annotated[
     str,
     msgspec.Meta(
@@ -27,15 +27,16 @@
 
 
 def duration_us(text: str) -> int:
-    """Whole microseconds of a span such as `1.5s`. Raises ValueError."""
+    """Convert a duration such as `1.5s` to whole microseconds. Raises ValueError."""
     match = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)(us|ms|s)", text)
     if not match:
-        raise ValueError(f"{text!r} is no span of time, such as 250ms or 1.5s")
+        raise ValueError(f"{text!r} is not a duration such as 250ms or 1.5s")
     return round(float(match[1]) * _UNITS[match[2]])
 
 
 class TrafficClassSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One use case, as `interface.facts.UseCase` words it."""
+    """One traffic class. The fields are those of `interface.facts.TrafficClass`, with `payoff` for its value,
+    `agreed_time` for its target latency and `outer_limit` for its deadline."""
 
     name: Annotated[str, msgspec.Meta(max_length=64)]
     payoff: Annotated[float, msgspec.Meta(ge=0, le=1e9)]
@@ -49,7 +50,7 @@
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What this deployment lets a call server do."""
+    """What a call server is permitted to do in this deployment."""
 
     most_dials: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 5
     may_cancel: bool = True
@@ -61,7 +62,7 @@
 
 
 class RuleSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The figures of the five rules."""
+    """The parameters of the five rules."""
 
     release_wait: Duration
     drain_grace: Duration
@@ -72,7 +73,8 @@
 
 
 class ListenerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where to listen and whom to follow, host:port on loopback; port 0 takes a free one."""
+    """The addresses to listen at (callers, peers, operators) and to connect to (register, centre), as host:port on
+    loopback. Port 0 selects a free port."""
 
     callers: Address
     register: Address
@@ -82,11 +84,11 @@
 
 
 class LedgerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The ledger. `folder`: where it is kept, relative to the sheet's. `roster`: the numbers of all call servers that
-    keep one, which close its periods together. `number_keys`: a file of keys for called numbers,
-    `{"1": "64 hex digits"}`, the highest in use; empty: no called number is kept. `export`: the folder that the
-    accounting side reaches too; `export_key`: a file with the key that only both sides have, 64 hex digits; empty:
-    nothing is exported."""
+    """The ledger. `folder` is where it is stored, relative to the folder of the settings file. `roster` has the numbers
+    of all call servers with a ledger, which close its periods together. `number_keys` names a file with the keys for
+    called numbers, `{"1": "64 hex digits"}`, of which the highest is used for new entries; without it, no called number
+    is stored. `export` names the folder shared with the accounting system, and `export_key` a file with the key that
+    only both sides have, 64 hex digits; without them, nothing is exported."""
 
     folder: str
     roster: list[Count]
@@ -96,8 +98,9 @@
 
 
 class ServerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All of one call server. `hooks`: files of the hooks' language by name, their order by name the standing.
-    `hooks_state`: a file for what they remember, relative to the sheet's; empty: it is lost with the process."""
+    """All settings of one call server. `hooks` has the texts of the hook files, which run in the order of their names.
+    `hooks_state` names the file for the state of the hooks, relative to the folder of the settings file; without it,
+    the state is lost when the process ends."""
 
     number: Annotated[int, msgspec.Meta(ge=0, lt=MAX_EXCHANGES)]
     seed: Count
@@ -111,74 +114,77 @@
     ledger: LedgerSettings | None = None
 
 
-def check(sheet: ServerSettings, where: str) -> None:
-    """What holds between fields. Raises InvalidSettings."""
-    lines = traffic_class_errors(sheet.use_cases)
-    if sheet.ledger:
-        roster = sheet.ledger.roster
-        lines += [f"ledger.roster = {n}: named twice" for n in sorted(set(roster)) if roster.count(n) > 1]
-        if sheet.number not in roster:
-            lines.append(f"ledger.roster = {roster}: this call server, {sheet.number}, is not in it")
-        if bool(sheet.ledger.export) != bool(sheet.ledger.export_key):
-            lines.append("ledger.export and ledger.export_key: both, or neither")
-        if not sheet.ledger.folder:
-            lines.append("ledger.folder = '': a folder")
-        if not sheet.doors.peers and len(roster) > 1:
-            lines.append("doors.peers = '': ledgers talk to each other there")
+def check(settings: ServerSettings, where: str) -> None:
+    """Check what must hold between fields. Raises InvalidSettings."""
+    errors = traffic_class_errors(settings.use_cases)
+    if settings.ledger:
+        roster = settings.ledger.roster
+        errors += [f"ledger.roster = {n}: named twice" for n in sorted(set(roster)) if roster.count(n) > 1]
+        if settings.number not in roster:
+            errors.append(f"ledger.roster = {roster}: this call server, {settings.number}, is missing")
+        if bool(settings.ledger.export) != bool(settings.ledger.export_key):
+            errors.append("ledger.export and ledger.export_key: set both, or neither")
+        if not settings.ledger.folder:
+            errors.append("ledger.folder = '': must name a folder")
+        if not settings.doors.peers and len(roster) > 1:
+            errors.append("doors.peers = '': required for the ledgers to exchange messages")
     for name in ("callers", "register", "peers", "operators", "centre"):
-        address = getattr(sheet.doors, name)
+        address = getattr(settings.doors, name)
         if not address:
             if name in ("callers", "register"):
-                lines.append(f"doors.{name} = '': an address, host:port")
+                errors.append(f"doors.{name} = '': must be an address, host:port")
             continue
         try:
             host, _ = split(address)
-        except ValueError as fault:
-            lines.append(f"doors.{name} = {address!r}: {fault}")
+        except ValueError as error:
+            errors.append(f"doors.{name} = {address!r}: {error}")
             continue
         if not is_loopback(host):
-            lines.append(f"doors.{name} = {address!r}: a loopback address, such as 127.0.0.1:7000")
-    if lines:
-        raise InvalidSettings(where, lines)
-
-
-def traffic_class_errors(uses: Sequence[TrafficClassSettings]) -> list[str]:
-    """What is wrong with a list of use cases, beyond each field alone."""
-    lines = [] if uses else ["use_cases = []: one at least"]
-    names = [use.name for use in uses]
-    lines += [f"use_cases = {name!r}: named twice" for name in sorted(set(names)) if names.count(name) > 1]
-    for at, use in enumerate(uses):
-        if duration_us(use.agreed_time) < 1000:
-            # The decisions take a quarter of the shortest one as the bound of a delay, and divide by it.
-            lines.append(f"use_cases[{at}].agreed_time = {use.agreed_time!r}: 1ms at least")
-        if duration_us(use.agreed_time) > duration_us(use.outer_limit):
-            lines.append(
-                f"use_cases[{at}].agreed_time = {use.agreed_time!r}: over the outer limit {use.outer_limit!r}"
+            errors.append(f"doors.{name} = {address!r}: must be a loopback address, such as 127.0.0.1:7000")
+    if errors:
+        raise InvalidSettings(where, errors)
+
+
+def traffic_class_errors(traffic_classes: Sequence[TrafficClassSettings]) -> list[str]:
+    """The errors of a list of traffic classes that concern more than one field."""
+    errors = [] if traffic_classes else ["use_cases = []: at least one is required"]
+    names = [traffic_class.name for traffic_class in traffic_classes]
+    errors += [f"use_cases = {name!r}: named twice" for name in sorted(set(names)) if names.count(name) > 1]
+    for index, traffic_class in enumerate(traffic_classes):
+        if duration_us(traffic_class.agreed_time) < 1000:
+            # A quarter of the shortest target latency bounds a delay in the decisions, which also divide by it.
+            errors.append(
+                f"use_cases[{index}].agreed_time = {traffic_class.agreed_time!r}: must be at least 1ms"
             )
-    return lines
+        if duration_us(traffic_class.agreed_time) > duration_us(traffic_class.outer_limit):
+            errors.append(
+                f"use_cases[{index}].agreed_time = {traffic_class.agreed_time!r}: "
+                f"longer than outer_limit = {traffic_class.outer_limit!r}"
+            )
+    return errors
 
 
-def start_event(sheet: ServerSettings) -> events.ServerStarted:
-    """The start facts that the decisions are told."""
-    limits, rules = sheet.limits, sheet.rules
+def start_event(settings: ServerSettings) -> events.ServerStarted:
+    """Return the event with which the decision module starts."""
+    limits, rules = settings.limits, settings.rules
     return events.ServerStarted(
-        seed=sheet.seed,
+        seed=settings.seed,
         traffic_classes=tuple(
             facts.TrafficClass(
-                name=use.name,
-                value=use.payoff,
-                late_share=use.late_share,
-                target_latency=duration_us(use.agreed_time),
-                deadline=duration_us(use.outer_limit),
-                width=use.width,
-                hold=duration_us(use.hold),
+                name=traffic_class.name,
+                value=traffic_class.payoff,
+                late_share=traffic_class.late_share,
+                target_latency=duration_us(traffic_class.agreed_time),
+                deadline=duration_us(traffic_class.outer_limit),
+                width=traffic_class.width,
+                hold=duration_us(traffic_class.hold),
                 pools=(),
-                repeatable=use.repeatable,
-                repeat_within=duration_us(use.repeat_within),
+                repeatable=traffic_class.repeatable,
+                repeat_within=duration_us(traffic_class.repeat_within),
             )
-            for use in sheet.use_cases
+            for traffic_class in settings.use_cases
         ),
-        topology=facts.ServerTopology(sheet.number, sheet.peers, False, 0, bool(sheet.doors.centre)),
+        topology=facts.ServerTopology(settings.number, settings.peers, False, 0, bool(settings.doors.centre)),
         permissions=facts.Permissions(
             limits.most_dials,
             limits.may_cancel,
