--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -811,7 +811,7 @@
     received: list[tuple[int, bytes]] = []
     world.core.peer_message = lambda peer, text, now: received.append((peer, text))  # type: ignore[method-assign]
     for host, port in (("10.3.0.2", 7946), ("10.3.0.9", 7946)):
-        world.net.at(host).datagrams(f"{host}:{port}", lambda data, address: None, lambda sender: None)
+        world.net.at(host).open_datagrams(f"{host}:{port}", lambda data, address: None, lambda sender: None)
         world.net.datagram(f"{host}:{port}", "10.0.0.1:7946", b"hello")
     world.net.datagram("10.3.0.1:7946", "10.0.0.1:7946", b"x" * 257)
     world.run(0.1)
@@ -821,7 +821,7 @@
 def test_peer_message_is_sent_to_all_peers() -> None:
     world = World()
     got: list[bytes] = []
-    world.net.at("10.3.255.1").datagrams(
+    world.net.at("10.3.255.1").open_datagrams(
         "10.3.255.1:7946", lambda data, address: got.append(data), lambda sender: None
     )
     world.service.send_to_peers(b"word")
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -22,7 +22,7 @@
 from wellhitch.ledger.service import AccountingChannel, SettlementService
 from wellhitch.net.collector import freeze_startup_objects
 from wellhitch.net.transport import LoopbackNetwork, now_us
-from wellhitch.server.daemon import Daemon, Doors, Log, MakeDesk
+from wellhitch.server.daemon import Daemon, Log, MakeSettlement, ServerAddresses
 from wellhitch.server.hook_runner import WallClock
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.settings.server import ServerSettings, start_event
@@ -91,7 +91,7 @@
     keys: NumberKeys,
     epoch: float,
     accounting: AccountingChannel | None,
-) -> MakeDesk:
+) -> MakeSettlement:
     """The desk of a sheet's ledger. `epoch`: the wall clock's seconds when the loop's were nought."""
     line = sheet.ledger
     assert line
@@ -129,7 +129,7 @@
     """Write what hooks remember now and then, off the loop: no dialogue waits for a disk."""
     while True:
         await asyncio.sleep(KEEP_EVERY_S)
-        await asyncio.to_thread(_write, state, daemon.hooks_state(), log)
+        await asyncio.to_thread(_write, state, daemon.dump_hooks_state(), log)
 
 
 def read_state(state: Path, log: Log) -> bytes:
@@ -173,7 +173,7 @@
     d = sheet.doors
     # A mark that is new with each start: the process id and the loop's clock, which nothing else reads.
     boot = (now_us(loop) << 16 | os.getpid() & 0xFFFF) & ((1 << 62) - 1)
-    doors = Doors(d.callers, d.peers, d.operators, d.register, d.centre)
+    doors = ServerAddresses(d.callers, d.peers, d.operators, d.register, d.centre)
     disk = SystemDisk(loop, file.parent / sheet.ledger.folder) if sheet.ledger else None
     make_desk = _ledger(sheet, disk, keys, time.time() - now_us(loop) / 1e6, accounting) if disk else None
     daemon = Daemon(
@@ -186,8 +186,8 @@
         log,
         hooks=sheet.hooks,
         clock=wall_clock(time.time(), now_us(loop)),
-        reread=lambda: read_server_settings(file).hooks,
-        ledger=make_desk,
+        read_hooks=lambda: read_server_settings(file).hooks,
+        make_settlement=make_desk,
     )
     loop.set_exception_handler(trouble)
     # Before anything can end: set only at the end, it was said to nobody on a SIGTERM, which closes the ledger itself.
@@ -195,7 +195,7 @@
     daemon.ledger_closed = closed.set  # type: ignore[method-assign]
     state = file.parent / sheet.hooks_state if sheet.hooks_state else None
     if state is not None:
-        daemon.take_hooks_state(read_state(state, log))
+        daemon.restore_hooks_state(read_state(state, log))
     keeping = loop.create_task(_keep(daemon, state, log)) if state is not None else None
 
     def stop() -> None:
@@ -215,7 +215,7 @@
     code = await over
     if keeping is not None and state is not None:
         keeping.cancel()
-        _write(state, daemon.hooks_state(), log)
+        _write(state, daemon.dump_hooks_state(), log)
     daemon.kill()
     if disk:
         try:
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -129,14 +129,14 @@
         fleet.wall_at_start += period_end(next_period(PERIOD)) - period_end(PERIOD)
         loop.advance(after_s)
         exported = {
-            number: daemon.desk.export_progress.completed_period
+            number: daemon.settlement.export_progress.completed_period
             for number, daemon in fleet.daemons.items()
-            if daemon.desk
+            if daemon.settlement
         }
         counts: Counter[str] = Counter()
         for daemon in fleet.daemons.values():
-            if daemon.desk:
-                counts += daemon.desk.counts
+            if daemon.settlement:
+                counts += daemon.settlement.counts
         fleet.power_cut = lambda number: None
         fleet.close()
         town.close()
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from wellhitch.adapter.codec import read_opened
+from wellhitch.adapter.codec import read_server_started
 from wellhitch.board import codec as board
 from wellhitch.interface.events import ServerStarted
-from wellhitch.net.transport import only_numeric, split
+from wellhitch.net.transport import require_ip_address, split_address
 from wellhitch.settings.checked import InvalidSettings, read_lenient, short_repr
 
 # A file with hundreds of updates under `known` has some tens of thousands of bytes.
@@ -152,7 +152,7 @@
             path, [f"limits.sockets = {decoded.limits.sockets}: less than {MIN_DESCRIPTORS}"]
         )
     settings = read_lenient({"settings": decoded.settings}, _SettingsWrapper, path).settings
-    opened = read_opened(seed, msgspec.to_builtins(settings))
+    opened = read_server_started(seed, msgspec.to_builtins(settings))
     if not opened.traffic_classes:
         raise InvalidSettings(path, ["settings.classes = []: at least one traffic class is required"])
     revision, known_updates = board.read_known_updates(decoded.known, path)
@@ -187,6 +187,6 @@
 
 def _check_address(path: str, field: str, address: str) -> None:
     try:
-        only_numeric(split(address)[0])
+        require_ip_address(split_address(address)[0])
     except ValueError as error:
         raise InvalidSettings(path, [f"{field} = {short_repr(address)}: {error}"]) from None
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -1,4 +1,4 @@
-"""The shell of a call server: its listeners, links and timers. It decides nothing; `Switch` is told what came."""
+"""The transport layer of a call server: listeners, connections and timers. All events go to `Switch`, which decides."""
 
 import asyncio
 import random
@@ -16,36 +16,37 @@
 from wellhitch.interface import events as ev
 from wellhitch.ledger.service import SettlementService
 from wellhitch.net.transport import Listener, Network, now_us
-from wellhitch.server.hook_runner import NO_CLOCK, Hooked, WallClock
+from wellhitch.server.hook_runner import LOOP_TIME_CLOCK, HookRunner, WallClock
 from wellhitch.server.metrics import exposition
-from wellhitch.server.switch import Outlet, Switch
+from wellhitch.server.switch import ServerIO, Switch
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel, PersistentChannel
 
-MAX_LINE = (
-    2_000  # bytes of an operator's request: a correction with who and why of 200 characters has up to 1,700
+# Of an operator's request: a correction whose author and reason have 200 characters each takes up to 1,700 bytes.
+MAX_REQUEST_BYTES = 2_000
+REQUEST_TIMEOUT_S = (
+    10.0  # for an operator to send a request and read the reply; over loopback both are immediate
 )
-ASK_WITHIN_S = 10.0  # for an operator to ask and to read the answer; over loopback a moment is enough
-MOST_LINKS = (
-    500  # from callers and peers together: half of the 1,024 descriptors that a process has by default; the
-)
-# others are for its own links to offices, guides and peers, and for files
-STOP_EVERY = 0.02  # s between looks at what is still owed while stopping
+# From callers and peers together: half of the 1,024 descriptors that a process has by default. The others are for
+# outgoing connections to offices, register, centre and peers, and for files.
+MAX_CONNECTIONS = 500
+STOP_POLL_INTERVAL_S = 0.02  # between checks for unanswered dialogues during shutdown
 
 
 class Log(Protocol):
-    """Takes one event of the log with its facts."""
+    """Writes one event with its fields to the log."""
 
     def __call__(self, event: str, **facts: Any) -> None: ...
 
 
-MakeDesk = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], SettlementService]
+MakeSettlement = Callable[[asyncio.AbstractEventLoop, Callable[[int, bytes], bool], Log], SettlementService]
 
 
 @dataclass(frozen=True, slots=True)
-class Doors:
-    """Where a call server listens and whom it follows, as host:port; empty for none."""
+class ServerAddresses:
+    """Addresses, as host:port, at which a call server listens (callers, peers, operators) and to which it connects
+    (register, centre). An empty one is not used."""
 
     callers: str
     peers: str
@@ -55,527 +56,558 @@
 
 
 class Daemon:
-    """One running call server on a loop and a network, real or emulated."""
+    """One running call server on an event loop and a network, real or emulated."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         network: Network,
-        opened: ev.ServerStarted,
-        doors: Doors,
+        configuration: ev.ServerStarted,
+        addresses: ServerAddresses,
         max_open: int,
         boot: int,
         log: Log,
-        make_switch: Callable[[ev.ServerStarted, int, Outlet], Switch] = Switch,
+        make_switch: Callable[[ev.ServerStarted, int, ServerIO], Switch] = Switch,
         hooks: Mapping[str, str] | None = None,
-        clock: WallClock = NO_CLOCK,
-        reread: Callable[[], Mapping[str, str]] | None = None,
-        ledger: MakeDesk | None = None,
+        clock: WallClock = LOOP_TIME_CLOCK,
+        read_hooks: Callable[[], Mapping[str, str]] | None = None,
+        make_settlement: MakeSettlement | None = None,
     ) -> None:
-        self.loop, self.network, self.doors, self.write_log = loop, network, doors, log
-        self.chance = random.Random(opened.seed ^ boot)
-        self.switch = make_switch(opened, max_open, self)
-        self.switch.life = boot % (1 << 30)
+        self.loop, self.network, self.addresses, self.write_log = loop, network, addresses, log
+        self.rng = random.Random(configuration.seed ^ boot)
+        self.switch = make_switch(configuration, max_open, self)
+        self.switch.id_epoch = boot % (1 << 30)
         self.hello = frames.Hello("call_server", self.switch.number, boot)
-        self.callers = _Callers(self)
-        self.peers_in = _Peers(self)
-        self.guides = _Guides(self)
-        self.offices: dict[str, _OfficeLink] = {}
-        self.peer_links: dict[str, PersistentChannel] = {}
-        self.peer_numbers: dict[int, str] = {}
-        self.peers_here: dict[int, Channel] = {}
+        self.caller_channels = _CallerChannels(self)
+        self.peer_channels = _PeerChannels(self)
+        self.control_channels = _ControlChannels(self)
+        self.office_channels: dict[str, _OfficeChannel] = {}
+        self.peer_connections: dict[str, PersistentChannel] = {}
+        self.peer_addresses: dict[int, str] = {}
+        self.channels_by_peer: dict[int, Channel] = {}
         self.listeners: dict[str, Listener] = {}
-        self.kept: list[PersistentChannel] = []
-        self.ports: dict[Channel, None] = {}
-        self.operators: dict[asyncio.Transport, None] = {}
-        self.reread = reread
+        self.control_connections: list[PersistentChannel] = []
+        self.accepted_channels: dict[Channel, None] = {}
+        self.operator_transports: dict[asyncio.Transport, None] = {}
+        self.read_hooks = read_hooks
         self.parser: Parser | None = None
-        self.past: list[Version] = []
+        self.previous_versions: list[Version] = []
         if hooks:
             self.parser = Parser()
-            use_cases = frozenset(use.name for use in opened.traffic_classes)
-            made = Hooks(load_version(hooks, self.parser), use_cases, log, self.switch.counts)
-            self.switch.hooked = Hooked(made, self.switch.exchange, self.switch.number, clock)
-        self.tells = opened.permissions.may_message_peers and not opened.topology.has_centre
+            use_cases = frozenset(use.name for use in configuration.traffic_classes)
+            hook_service = Hooks(load_version(hooks, self.parser), use_cases, log, self.switch.counts)
+            self.switch.hook_runner = HookRunner(
+                hook_service, self.switch.exchange, self.switch.number, clock
+            )
+        self.sends_peer_messages = (
+            configuration.permissions.may_message_peers and not configuration.topology.has_centre
+        )
         self.stopped = False
-        self.desk = ledger(loop, self.ledger_send, log) if ledger else None
-        self.switch.witness = self.desk
+        self.settlement = make_settlement(loop, self.send_ledger_message, log) if make_settlement else None
+        self.switch.ledger = self.settlement
 
     def start(self) -> None:
-        """Listen, follow the register, begin to decide."""
+        """Open the listeners, connect to register and centre, start the decision function."""
         self.write_log(
-            "started", number=self.switch.number, boot=self.hello.boot, seed=self.switch.opened.seed
+            "started", number=self.switch.number, boot=self.hello.boot, seed=self.switch.configuration.seed
         )
-        if self.desk:
-            self.desk.start()
+        if self.settlement:
+            self.settlement.start()
         self.switch.start(self.now())
-        self._listen("callers", self.doors.callers, lambda: self._port(self.callers, ("caller",)))
-        if self.doors.peers:
-            self._listen("peers", self.doors.peers, lambda: self._port(self.peers_in, ("call_server",)))
-        if self.doors.operators:
-            self._listen("operators", self.doors.operators, lambda: _Operator(self))
-        for address, role in ((self.doors.register, "register"), (self.doors.centre, "centre")):
+        self._listen(
+            "callers", self.addresses.callers, lambda: self._make_channel(self.caller_channels, ("caller",))
+        )
+        if self.addresses.peers:
+            self._listen(
+                "peers",
+                self.addresses.peers,
+                lambda: self._make_channel(self.peer_channels, ("call_server",)),
+            )
+        if self.addresses.operators:
+            self._listen("operators", self.addresses.operators, lambda: _OperatorConnection(self))
+        for address, role in ((self.addresses.register, "register"), (self.addresses.centre, "centre")):
             if address:
-                self.kept.append(
+                self.control_connections.append(
                     PersistentChannel(
                         self.loop,
                         self.network,
                         address,
-                        self.guides,
+                        self.control_channels,
                         self.hello,
                         (role,),
-                        self._fork(address),
+                        self._fork_rng(address),
                     )
                 )
 
     def ledger_closed(self) -> None:
-        """All of the ledger that waited is on disk."""
+        """Called when all pending ledger writes are on disk. May be replaced before `start`."""
 
     def now(self) -> int:
-        """The loop's time in us."""
+        """The event loop's time in us."""
         return now_us(self.loop)
 
-    def _fork(self, what: str) -> random.Random:
-        """A generator of its own for each link, so that none disturbs another's draws."""
-        return random.Random(f"{self.switch.opened.seed} {self.hello.boot} {what}")
-
-    def _port(self, owner: Any, takes: tuple[str, ...]) -> Channel:
-        port: Channel
-        port = Channel(self.loop, owner, self.hello, takes, on_closed=lambda why: self.ports.pop(port, None))
-        if len(self.ports) >= MOST_LINKS:
-            # Guards the links that stand, and those that this call server itself must open, against one too many.
-            port.refusal_reason = f"{MOST_LINKS} links stand here already"
+    def _fork_rng(self, name: str) -> random.Random:
+        """A separate generator for each connection, so that one does not affect the sequence of another."""
+        return random.Random(f"{self.switch.configuration.seed} {self.hello.boot} {name}")
+
+    def _make_channel(self, owner: Any, accepted_roles: tuple[str, ...]) -> Channel:
+        channel: Channel
+        channel = Channel(
+            self.loop,
+            owner,
+            self.hello,
+            accepted_roles,
+            on_closed=lambda reason: self.accepted_channels.pop(channel, None),
+        )
+        if len(self.accepted_channels) >= MAX_CONNECTIONS:
+            # Guards against running out of descriptors for the open connections and for those this server must open.
+            channel.refusal_reason = f"{MAX_CONNECTIONS} links stand here already"
             self.switch.counts["links_refused"] += 1
         else:
-            self.ports[port] = None
-        return port
+            self.accepted_channels[channel] = None
+        return channel
 
-    def _listen(self, what: str, address: str, factory: Callable[[], asyncio.BufferedProtocol]) -> None:
+    def _listen(self, name: str, address: str, factory: Callable[[], asyncio.BufferedProtocol]) -> None:
         def ready(listener: Listener) -> None:
-            self.listeners[what] = listener
-            self.write_log("listening", what=what, address=listener.address)
+            self.listeners[name] = listener
+            self.write_log("listening", what=name, address=listener.address)
 
         self.network.listen(address, factory, ready)
 
-    def stop(self, within: int, done: Callable[[], None]) -> None:
-        """Take nothing more, wait `within` us at most for what is owed, then close all links."""
-        owed = self.switch.stop(self.now())
+    def stop(self, timeout: int, on_stopped: Callable[[], None]) -> None:
+        """Accept no more dialogues, wait up to `timeout` us for the answers still owed, then close everything."""
+        owed = self.switch.stop_accepting(self.now())
         self.write_log("stopping", owed=owed)
-        until = self.now() + within
+        deadline = self.now() + timeout
 
-        def look() -> None:
-            if self.switch.owed and self.now() < until:
-                self.loop.call_later(STOP_EVERY, look)
+        def check_unanswered() -> None:
+            if self.switch.unanswered and self.now() < deadline:
+                self.loop.call_later(STOP_POLL_INTERVAL_S, check_unanswered)
                 return
-            self.write_log("stopped", owed=self.switch.owed)
+            self.write_log("stopped", owed=self.switch.unanswered)
             self.kill()
-            done()
+            on_stopped()
 
-        look()
+        check_unanswered()
 
     def kill(self) -> None:
-        """Close everything at once, whatever is owed."""
+        """Close everything at once, even if answers are owed."""
         self.stopped = self.switch.stopping = True
-        if self.desk:
-            self.desk.close(self.ledger_closed)
+        if self.settlement:
+            self.settlement.close(self.ledger_closed)
         for listener in self.listeners.values():
             listener.close()
-        for link in [
-            *self.kept,
-            *self.peer_links.values(),
-            *(office.link for office in self.offices.values()),
+        for connection in [
+            *self.control_connections,
+            *self.peer_connections.values(),
+            *(office.connection for office in self.office_channels.values()),
         ]:
-            link.close()
-        for port in list(self.ports):
-            port.close()
-        for transport in list(self.operators):
+            connection.close()
+        for channel in list(self.accepted_channels):
+            channel.close()
+        for transport in list(self.operator_transports):
             transport.close()
 
-    # -- Outlet --
-
-    def to_caller(self, link: Hashable, frame: frames.AnyFrame) -> bool:
-        """As `Outlet`."""
-        return cast(Channel, link).send(frame)
-
-    def to_office(self, office: str, frame: frames.AnyFrame) -> bool:
-        """As `Outlet`."""
-        port = self._office_port(office)
-        return port.send(frame) if port else False
-
-    def _office_port(self, office: str) -> Channel | None:
-        kept = self.offices.get(office)
-        return kept.link.current if kept else None
-
-    def withdraw(self, office: str, which: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
-        """As `Outlet`."""
-        port = self._office_port(office)
-        return port.withdraw(which) if port else []
-
-    def mark(self, office: str) -> int:
-        """As `Outlet`."""
-        port = self._office_port(office)
-        return port.send_mark() if port else 0
-
-    def marked(self, office: str, n: int) -> bool:
-        """As `Outlet`."""
-        port = self._office_port(office)
-        return port is None or port.mark_confirmed(n)
-
-    def reset(self, office: str, why: str) -> None:
-        """As `Outlet`."""
-        port = self._office_port(office)
-        if port:
-            port.fail(why, notify_peer=False)
-
-    def keep_link(self, office: str, address: str) -> None:
-        """As `Outlet`."""
-        if office not in self.offices and not self.stopped:
-            self.offices[office] = _OfficeLink(self, office, address)
-
-    def drop_link(self, office: str) -> None:
-        """As `Outlet`."""
-        kept = self.offices.pop(office, None)
-        if kept:
-            kept.link.close()
-            self.switch.office_down(office, "gone from the list", self.now())
-
-    def tell_peers(self, text: bytes) -> None:
-        """As `Outlet`."""
-        word = frames.PeerMessage(text)
-        for kept in self.peer_links.values():
-            if kept.current:
-                kept.current.send(word)
-
-    def timer(self, after: int, ring: Callable[[int], None]) -> asyncio.TimerHandle:
-        """As `Outlet`."""
-        return self.loop.call_later(after / 1e6, self._ring, ring)
-
-    def _ring(self, ring: Callable[[int], None]) -> None:
+    # -- ServerIO --
+
+    def send_to_caller(self, connection: Hashable, frame: frames.AnyFrame) -> bool:
+        """See `ServerIO`."""
+        return cast(Channel, connection).send(frame)
+
+    def send_to_office(self, office_id: str, frame: frames.AnyFrame) -> bool:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        return channel.send(frame) if channel else False
+
+    def _office_channel(self, office_id: str) -> Channel | None:
+        office_channel = self.office_channels.get(office_id)
+        return office_channel.connection.current if office_channel else None
+
+    def withdraw(self, office_id: str, matches: Callable[[frames.AnyFrame], bool]) -> list[frames.AnyFrame]:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        return channel.withdraw(matches) if channel else []
+
+    def send_mark(self, office_id: str) -> int:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        return channel.send_mark() if channel else 0
+
+    def mark_confirmed(self, office_id: str, sequence: int) -> bool:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        return channel is None or channel.mark_confirmed(sequence)
+
+    def reset_connection(self, office_id: str, reason: str) -> None:
+        """See `ServerIO`."""
+        channel = self._office_channel(office_id)
+        if channel:
+            channel.fail(reason, notify_peer=False)
+
+    def keep_connection(self, office_id: str, address: str) -> None:
+        """See `ServerIO`."""
+        if office_id not in self.office_channels and not self.stopped:
+            self.office_channels[office_id] = _OfficeChannel(self, office_id, address)
+
+    def drop_connection(self, office_id: str) -> None:
+        """See `ServerIO`."""
+        office_channel = self.office_channels.pop(office_id, None)
+        if office_channel:
+            office_channel.connection.close()
+            self.switch.office_disconnected(office_id, "removed from the office list", self.now())
+
+    def send_to_peers(self, payload: bytes) -> None:
+        """See `ServerIO`."""
+        message = frames.PeerMessage(payload)
+        for connection in self.peer_connections.values():
+            if connection.current:
+                connection.current.send(message)
+
+    def start_timer(self, delay: int, callback: Callable[[int], None]) -> asyncio.TimerHandle:
+        """See `ServerIO`."""
+        return self.loop.call_later(delay / 1e6, self._run_callback, callback)
+
+    def _run_callback(self, callback: Callable[[int], None]) -> None:
         if not self.stopped:
-            ring(self.now())
+            callback(self.now())
 
     def log(self, event: str, **facts: Any) -> None:
-        """As `Outlet`."""
+        """See `ServerIO`."""
         self.write_log(event, **facts)
 
-    # -- what the register names --
+    # -- peers --
 
-    def follow_peers(self, lines: list[frames.OfficeListEntry]) -> None:
-        """Keep a link to each peer that the list names, where words are told at all or a ledger is kept."""
-        if not self.tells and not self.desk:
+    def connect_peers(self, entries: list[frames.OfficeListEntry]) -> None:
+        """Keep a connection to each peer in the office list, if peer messages are sent or a ledger is kept."""
+        if not self.sends_peer_messages and not self.settlement:
             return
-        for line in lines:
-            address = line.peer_address
+        for entry in entries:
+            address = entry.peer_address
             if address:
-                before = self.peer_numbers.get(line.number, address)
-                self.peer_numbers[line.number] = address
-                if before != address and before in self.peer_links:
-                    # Guards against links to where a peer was, each tried for ever.
-                    self.peer_links.pop(before).close()
-            if line.number != self.switch.number and address and address not in self.peer_links:
-                self.peer_links[address] = PersistentChannel(
+                previous_address = self.peer_addresses.get(entry.number, address)
+                self.peer_addresses[entry.number] = address
+                if previous_address != address and previous_address in self.peer_connections:
+                    # Guards against reconnecting for ever to a former address of the peer.
+                    self.peer_connections.pop(previous_address).close()
+            if entry.number != self.switch.number and address and address not in self.peer_connections:
+                self.peer_connections[address] = PersistentChannel(
                     self.loop,
                     self.network,
                     address,
-                    self.peers_in,
+                    self.peer_channels,
                     self.hello,
                     ("call_server",),
-                    self._fork(address),
+                    self._fork_rng(address),
                 )
 
-    def ledger_send(self, to: int, data: bytes) -> bool:
-        """Carry a message of the ledger's to another call server; False where no link stands. One that is lost is
-        asked for again."""
-        kept = self.peer_links.get(self.peer_numbers.get(to, ""))
-        port = (kept.current if kept else None) or self.peers_here.get(to)
-        return port.send(frames.LedgerMessage(data)) if port else False
-
-    def ledger_asked(self, what: str) -> str:
-        """An operator's word about the ledger: `close PERIOD` states it early, `correct DIALOGUE US WHO WHY` (names and
-        reasons without blanks, or quoted), `snapshot NAME`; else how it is."""
-        if self.desk is None:
+    def send_ledger_message(self, number: int, payload: bytes) -> bool:
+        """Send a ledger message to another call server; False where there is no connection. The ledger asks again for
+        a message that is lost."""
+        connection = self.peer_connections.get(self.peer_addresses.get(number, ""))
+        channel = (connection.current if connection else None) or self.channels_by_peer.get(number)
+        return channel.send(frames.LedgerMessage(payload)) if channel else False
+
+    def ledger_request(self, request: str) -> str:
+        """Run an operator's ledger request: `close PERIOD` states a period early, `correct DIALOGUE US WHO WHY` (names
+        and reasons without blanks, or quoted), `snapshot NAME`; any other request returns the ledger's status."""
+        if self.settlement is None:
             return "no ledger: the sheet names none"
         try:
-            return self.desk.run_command(what)
-        except ValueError as fault:
-            return f"not done: {fault}"
-
-    def hooks_state(self) -> bytes:
-        """What hooks remember, for a file."""
-        hooked = self.switch.hooked
-        return encode_state(hooked.hooks.states, self.now()) if hooked else b""
-
-    def take_hooks_state(self, data: bytes) -> None:
-        """Take what an earlier process remembered; what is damaged or too large is dropped with a word in the log."""
-        if self.switch.hooked:
-            kept, words = decode_state(data, self.now())
-            self.switch.hooked.hooks.states.update(kept)
-            for word in words:
+            return self.settlement.run_command(request)
+        except ValueError as error:
+            return f"not done: {error}"
+
+    def dump_hooks_state(self) -> bytes:
+        """The state that hooks remember, encoded for a file."""
+        hook_runner = self.switch.hook_runner
+        return encode_state(hook_runner.hooks.states, self.now()) if hook_runner else b""
+
+    def restore_hooks_state(self, data: bytes) -> None:
+        """Restore the hook state of an earlier process; what is damaged or too large is dropped and logged."""
+        if self.switch.hook_runner:
+            states, problems = decode_state(data, self.now())
+            self.switch.hook_runner.hooks.states.update(states)
+            for problem in problems:
                 self.switch.counts["hooks_state_dropped"] += 1
-                self.write_log("hooks_state_dropped", why=word)
-
-    def hooks_asked(self, what: str) -> str:
-        """An operator's word about hooks. `reload` takes the files as they are now, as a whole or not at all;
-        `shadow` runs them beside; `canary N` lets the shadow decide for N percent of called numbers; `take` makes the
-        shadow the version, `drop` lets it go; `back` returns to the version before; else what runs is shown."""
-        hooked = self.switch.hooked
-        if hooked is None or self.parser is None:
+                self.write_log("hooks_state_dropped", why=problem)
+
+    def hooks_request(self, request: str) -> str:
+        """Run an operator's hooks request. `reload` loads all files as they are now, or none if one is invalid;
+        `shadow` runs them in parallel without effect; `canary N` lets the shadow decide for N percent of called
+        numbers; `take` makes the shadow the active version, `drop` stops it; `back` returns to the previous version;
+        any other request returns the status."""
+        hook_runner = self.switch.hook_runner
+        if hook_runner is None or self.parser is None:
             return "no hooks: the sheet names none"
-        hooks, word, number = hooked.hooks, what.split(" ")[0], what.partition(" ")[2]
-        if word in ("reload", "shadow"):
+        hooks, command, argument = hook_runner.hooks, request.split(" ")[0], request.partition(" ")[2]
+        if command in ("reload", "shadow"):
             try:
-                version = load_version(self.reread(), self.parser) if self.reread else hooks.version
-            except (InvalidHooks, InvalidSettings) as bad:
-                return f"not taken, {hooks.version.digest} runs on\n{bad}"
+                version = load_version(self.read_hooks(), self.parser) if self.read_hooks else hooks.version
+            except (InvalidHooks, InvalidSettings) as error:
+                return f"not taken, {hooks.version.digest} runs on\n{error}"
             if version.digest == hooks.version.digest:
                 return f"{version.digest} runs already"
-            if word == "shadow":
+            if command == "shadow":
                 hooks.start_shadow(version)
                 return f"{version.digest} runs beside {hooks.version.digest} and decides nothing"
             return self._swap_hooks(hooks, version)
-        if word in ("canary", "take", "drop") and hooks.shadow is None:
+        if command in ("canary", "take", "drop") and hooks.shadow is None:
             return "no shadow runs: hooks shadow begins one"
-        if word == "canary":
-            if not re.fullmatch("[0-9]{1,3}", number) or int(number) > 100:
-                return f"canary {number[:20]!r}: a percentage from 0 to 100"
-            hooks.canary = int(number) * CANARY_BUCKETS // 100
-            return f"the shadow decides for {number}% of called numbers"
-        if word == "take" and hooks.shadow is not None:
+        if command == "canary":
+            if not re.fullmatch("[0-9]{1,3}", argument) or int(argument) > 100:
+                return f"canary {argument[:20]!r}: a percentage from 0 to 100"
+            hooks.canary = int(argument) * CANARY_BUCKETS // 100
+            return f"the shadow decides for {argument}% of called numbers"
+        if command == "take" and hooks.shadow is not None:
             return self._swap_hooks(hooks, hooks.shadow.version)
-        if word == "drop":
+        if command == "drop":
             hooks.drop_shadow()
             return f"{hooks.version.digest} runs alone"
-        if word == "back":
-            if not self.past:
+        if command == "back":
+            if not self.previous_versions:
                 return f"nothing before {hooks.version.digest}"
-            hooks.swap(self.past.pop())
+            hooks.swap(self.previous_versions.pop())
             return f"{hooks.version.digest} runs from now on"
-        return msgspec.json.format(msgspec.json.encode(self._hooks_shown(hooks)), indent=2).decode()
+        return msgspec.json.format(msgspec.json.encode(self._hooks_status(hooks)), indent=2).decode()
 
     def _swap_hooks(self, hooks: Hooks, version: Version) -> str:
-        self.past = [*self.past[-9:], hooks.version]
+        self.previous_versions = [*self.previous_versions[-9:], hooks.version]
         hooks.swap(version)
-        return f"{version.digest} runs from now on; hooks back returns to {self.past[-1].digest}"
+        return f"{version.digest} runs from now on; hooks back returns to {self.previous_versions[-1].digest}"
 
-    def _hooks_shown(self, hooks: Hooks) -> dict[str, Any]:
+    def _hooks_status(self, hooks: Hooks) -> dict[str, Any]:
         return {
             "version": hooks.version.digest,
             "files": [program.file.name for program in hooks.version.programs],
             "shadow": hooks.shadow.version.digest if hooks.shadow else None,
             "canary_percent": hooks.canary * 100 / CANARY_BUCKETS,
             "benched": {
-                name: {"all_until": one.all_keys.until, "keys": list(one.keys)}
-                for name, one in hooks.suspensions.items()
-                if one.all_keys.until or one.keys
+                name: {"all_until": suspension.all_keys.until, "keys": list(suspension.keys)}
+                for name, suspension in hooks.suspensions.items()
+                if suspension.all_keys.until or suspension.keys
             },
-            "remembered": {name: len(kept.values) for name, kept in hooks.states.items()},
+            "remembered": {name: len(state.values) for name, state in hooks.states.items()},
             "counts": {
                 name: count for name, count in sorted(hooks.counts.items()) if name.startswith("hooks")
             },
         }
 
     def status(self) -> dict[str, Any]:
-        """What an operator sees: state as it is."""
+        """The current state, for operators."""
         switch = self.switch
-        x = switch.exchange
+        exchange = switch.exchange
         return {
             "number": switch.number,
-            "held": len(switch.taken),
-            "owed": switch.owed,
-            "own_price": round(x.own_price, 4),
+            "held": len(switch.calls),
+            "owed": switch.unanswered,
+            "own_price": round(exchange.own_price, 4),
             "revision": switch.revision,
             "offices": [
                 {
-                    "id": end.id,
-                    "number": end.number,
-                    "standing": end.standing.name.lower(),
-                    "up": end.up,
-                    "dials": len(end.dials),
-                    "price": round(x.offices[end.id].price, 4) if end.id in x.offices else None,
+                    "id": office.id,
+                    "number": office.number,
+                    "standing": office.state.name.lower(),
+                    "up": office.connected,
+                    "dials": len(office.dials),
+                    "price": round(exchange.offices[office.id].price, 4)
+                    if office.id in exchange.offices
+                    else None,
                 }
-                for end in switch.offices.values()
+                for office in switch.offices.values()
             ],
             "groups": {
-                str(number): {"size": g.size, "free": g.free, "ours": g.local_count, "theirs": g.remote_count}
-                for number, g in sorted(switch.groups.items())
+                str(number): {
+                    "size": group.size,
+                    "free": group.free,
+                    "ours": group.local_count,
+                    "theirs": group.remote_count,
+                }
+                for number, group in sorted(switch.groups.items())
             },
             "counts": dict(sorted(switch.counts.items())),
-            **({"ledger": self.desk.status()} if self.desk else {}),
+            **({"ledger": self.settlement.status()} if self.settlement else {}),
         }
 
 
-class _Part:
-    """What the owners of links share: heartbeats without circuits."""
+class _ChannelOwnerBase:
+    """Base of channel owners without circuits: their heartbeats report none."""
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
-    def channel_opened(self, port: Channel) -> None:
-        """A link stands."""
+    def channel_opened(self, channel: Channel) -> None:
+        """A connection is up."""
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """A link is gone."""
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """A connection is closed."""
 
-    def circuits_held(self, port: Channel) -> int:
-        """Nothing is held on these links."""
+    def circuits_held(self, channel: Channel) -> int:
+        """No circuits are held on these connections."""
         return 0
 
 
-class _Callers(_Part):
-    """Links from callers."""
+class _CallerChannels(_ChannelOwnerBase):
+    """Connections from callers."""
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """A caller says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from a caller."""
         now = self.daemon.now()
         if isinstance(frame, frames.Call):
-            self.daemon.switch.call(port, frame, now)
+            self.daemon.switch.call_received(channel, frame, now)
         elif isinstance(frame, frames.HangUp):
-            self.daemon.switch.leave(port, frame.id, now)
+            self.daemon.switch.caller_hung_up(channel, frame.id, now)
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """A caller's link is gone."""
-        self.daemon.switch.caller_lost(port, self.daemon.now())
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """A caller's connection is closed."""
+        self.daemon.switch.caller_disconnected(channel, self.daemon.now())
 
 
-class _Peers(_Part):
-    """Links with other call servers."""
+class _PeerChannels(_ChannelOwnerBase):
+    """Connections with other call servers."""
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """A peer says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from a peer."""
         if isinstance(frame, frames.PeerMessage):
-            self.daemon.switch.word(port.peer.number, frame.payload, self.daemon.now())
-        elif isinstance(frame, frames.LedgerMessage) and self.daemon.desk:
-            self.daemon.desk.receive(port.peer.number, frame.payload)
+            self.daemon.switch.peer_message_received(channel.peer.number, frame.payload, self.daemon.now())
+        elif isinstance(frame, frames.LedgerMessage) and self.daemon.settlement:
+            self.daemon.settlement.receive(channel.peer.number, frame.payload)
 
-    def channel_opened(self, port: Channel) -> None:
-        """A peer is there: either end may have opened the link."""
-        self.daemon.peers_here[port.peer.number] = port
+    def channel_opened(self, channel: Channel) -> None:
+        """A connection with a peer is up; either end may have opened it."""
+        self.daemon.channels_by_peer[channel.peer.number] = channel
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """It is gone."""
-        if port.connection.peer and self.daemon.peers_here.get(port.peer.number) is port:
-            del self.daemon.peers_here[port.peer.number]
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """A connection with a peer is closed."""
+        if channel.connection.peer and self.daemon.channels_by_peer.get(channel.peer.number) is channel:
+            del self.daemon.channels_by_peer[channel.peer.number]
 
 
-class _Guides(_Part):
-    """Links to the register and the centre."""
+class _ControlChannels(_ChannelOwnerBase):
+    """Connections to the register and the centre."""
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """The register or the centre says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from the register or the centre."""
         if isinstance(frame, frames.OfficeList):
-            if self.daemon.switch.listed(frame, self.daemon.now()):
-                self.daemon.follow_peers(frame.entries)
+            if self.daemon.switch.office_list_received(frame, self.daemon.now()):
+                self.daemon.connect_peers(frame.entries)
         elif isinstance(frame, frames.Advice):
-            self.daemon.switch.advised(frame)
+            self.daemon.switch.set_tandem_advice(frame)
 
 
-class _OfficeLink:
-    """The link to one office."""
+class _OfficeChannel:
+    """The connection to one office."""
 
-    def __init__(self, daemon: Daemon, office: str, address: str) -> None:
-        self.daemon, self.office = daemon, office
-        self.link = PersistentChannel(
-            daemon.loop, daemon.network, address, self, daemon.hello, ("office",), daemon._fork(office)
+    def __init__(self, daemon: Daemon, office_id: str, address: str) -> None:
+        self.daemon, self.office_id = daemon, office_id
+        self.connection = PersistentChannel(
+            daemon.loop, daemon.network, address, self, daemon.hello, ("office",), daemon._fork_rng(office_id)
         )
 
-    def channel_opened(self, port: Channel) -> None:
-        """The office answers."""
-        peer = port.peer
-        unwanted = self.daemon.switch.office_up(self.office, peer.number, peer.boot, self.daemon.now())
-        if unwanted:
-            port.fail(unwanted)
+    def channel_opened(self, channel: Channel) -> None:
+        """The connection to the office is up."""
+        peer = channel.peer
+        refusal = self.daemon.switch.office_connected(
+            self.office_id, peer.number, peer.boot, self.daemon.now()
+        )
+        if refusal:
+            channel.fail(refusal)
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """The office is lost."""
-        if self.daemon.offices.get(self.office) is self:
-            self.daemon.switch.office_down(self.office, why, self.daemon.now())
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """The connection to the office is lost."""
+        if self.daemon.office_channels.get(self.office_id) is self:
+            self.daemon.switch.office_disconnected(self.office_id, reason, self.daemon.now())
 
-    def circuits_held(self, port: Channel) -> int:
-        """Circuits that our dials hold there."""
-        return self.daemon.switch.held_for(self.office)
+    def circuits_held(self, channel: Channel) -> int:
+        """Circuits that our dials hold at the office."""
+        return self.daemon.switch.circuits_held(self.office_id)
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """The office says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from the office."""
         switch, now = self.daemon.switch, self.daemon.now()
         match frame:
             case frames.StepProcessed():
-                switch.passed(self.office, frame, now)
+                switch.step_processed(self.office_id, frame, now)
             case frames.Answer():
-                switch.answered(self.office, frame, now)
+                switch.setup_answered(self.office_id, frame, now)
             case frames.Reject():
-                switch.pushed_back(self.office, frame, now)
-            case frames.Cut(ref):
-                switch.cut(self.office, ref, now)
+                switch.setup_rejected(self.office_id, frame, now)
+            case frames.Cut(dial_ref):
+                switch.dial_cut(self.office_id, dial_ref, now)
             case frames.Released():
-                switch.released(self.office, frame, now)
+                switch.dial_released(self.office_id, frame, now)
             case frames.Setup():
-                switch.transit(self.office, frame, now)
-            case frames.Cancel(ref) | frames.Release(ref):
-                switch.transit_over(self.office, ref, now)
+                switch.transit_setup(self.office_id, frame, now)
+            case frames.Cancel(dial_ref) | frames.Release(dial_ref):
+                switch.transit_ended(self.office_id, dial_ref, now)
             case frames.GroupState():
-                switch.group_told(self.office, frame, now)
+                switch.group_state_received(self.office_id, frame, now)
             case frames.LoadReport():
-                switch.load_told(self.office, frame, now)
+                switch.load_reported(self.office_id, frame, now)
             case frames.CarriedDialogue():
-                switch.carried(self.office, frame)
+                switch.carried_dialogue_ended(self.office_id, frame)
             case frames.Heartbeat(held):
-                switch.counts_compared(self.office, held, now)
+                switch.compare_counts(self.office_id, held, now)
 
 
-class _Operator(asyncio.BufferedProtocol):
-    """An operator's line: `status`, `metrics`, `hooks`, `hooks reload` or `hooks back`, answered and closed."""
+class _OperatorConnection(asyncio.BufferedProtocol):
+    """An operator's connection: takes one request line (`status`, `metrics`, `hooks ...`, `ledger ...`), replies and
+    closes."""
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
-        self.buffer = bytearray(MAX_LINE)
+        self.buffer = bytearray(MAX_REQUEST_BYTES)
         self.filled = 0
         self.transport: asyncio.Transport | None = None
-        self.late: asyncio.TimerHandle | None = None
+        self.timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Somebody asks."""
+        """Start the timeout of the request."""
         self.transport = cast(asyncio.Transport, transport)
-        self.daemon.operators[self.transport] = None
-        # Guards against one who asks nothing, or reads no answer: the line was kept for ever.
-        self.late = self.daemon.loop.call_later(ASK_WITHIN_S, self.transport.abort)
+        self.daemon.operator_transports[self.transport] = None
+        # Guards against clients that send no request or read no reply: their connections were kept for ever.
+        self.timeout = self.daemon.loop.call_later(REQUEST_TIMEOUT_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """They left."""
-        if self.late:
-            self.late.cancel()
+        """Forget the connection."""
+        if self.timeout:
+            self.timeout.cancel()
         if self.transport:
-            self.daemon.operators.pop(self.transport, None)
+            self.daemon.operator_transports.pop(self.transport, None)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Room for the rest of the line."""
+        """Buffer space for the rest of the request."""
         return memoryview(self.buffer)[self.filled :]
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Part of a line came."""
+        """Reply once the whole request line is here."""
         self.filled += nbytes
         line, newline, _ = bytes(self.buffer[: self.filled]).partition(b"\n")
-        if not self.transport or self.transport.is_closing() or not (newline or self.filled == MAX_LINE):
+        if (
+            not self.transport
+            or self.transport.is_closing()
+            or not (newline or self.filled == MAX_REQUEST_BYTES)
+        ):
             return
         try:
-            said = self._answer(line.strip().decode("utf-8", "replace")) if newline else TOO_LONG
-        except Exception as fault:  # one who asks is answered, whatever is wrong
-            self.daemon.write_log("operator_fault", fault=f"{type(fault).__name__}: {fault}")
-            said = f"not done: {type(fault).__name__}: {fault}\n".encode()
-        self.transport.write(said)
+            reply = self._reply_to(line.strip().decode("utf-8", "replace")) if newline else REQUEST_TOO_LONG
+        except Exception as error:  # every request gets a reply
+            self.daemon.write_log("operator_fault", fault=f"{type(error).__name__}: {error}")
+            reply = f"not done: {type(error).__name__}: {error}\n".encode()
+        self.transport.write(reply)
         self.transport.close()
 
-    def _answer(self, asked: str) -> bytes:
-        daemon, (what, _, rest) = self.daemon, asked.partition(" ")
-        if asked == "status":
+    def _reply_to(self, request: str) -> bytes:
+        daemon, (command, _, argument) = self.daemon, request.partition(" ")
+        if request == "status":
             return msgspec.json.format(msgspec.json.encode(daemon.status()), indent=2) + b"\n"
-        if asked == "metrics":
+        if request == "metrics":
             return exposition(daemon.switch)
-        if what == "hooks":
-            return daemon.hooks_asked(rest).encode() + b"\n"
-        if what == "ledger":
-            return daemon.ledger_asked(rest).encode() + b"\n"
-        return f"unknown request {asked[:40]!r}: status, metrics, hooks or ledger\n".encode()
+        if command == "hooks":
+            return daemon.hooks_request(argument).encode() + b"\n"
+        if command == "ledger":
+            return daemon.ledger_request(argument).encode() + b"\n"
+        return f"unknown request {request[:40]!r}: status, metrics, hooks or ledger\n".encode()
 
 
-TOO_LONG = f"a request over {MAX_LINE} bytes is not taken\n".encode()
-"""What was cut there used to be carried out as it stood."""
+REQUEST_TOO_LONG = f"a request over {MAX_REQUEST_BYTES} bytes is not taken\n".encode()
+"""Guards against carrying out a request that was truncated at the limit."""
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -1,5 +1,7 @@
-"""Records of the call server's own: what it has taken, and each dial from the send to the last circuit freed.
-Pure. The decisions keep their own records; these hold what carrying out needs and nothing is decided by them."""
+"""Records of the call server: accepted dialogues, and each dial from the send until its last circuit is free.
+
+Pure. The decision function keeps records of its own; these hold what is needed to execute its actions, and no decision
+depends on them."""
 
 from __future__ import annotations
 
@@ -12,79 +14,81 @@
 from wellhitch.trunk import frames
 
 
-class Step(Enum):
-    """How far a dial is."""
+class DialState(Enum):
+    """State of a dial."""
 
-    PASSING = auto()  # through the own processor, not sent yet
-    OUT = auto()  # sent, unanswered
-    ANSWERING = auto()  # answered, the answer passes the own processor
-    STANDS = auto()
-    FREEING = auto()  # over; circuits held until the far end confirms or the release wait is over
+    PROCESSING_SETUP = auto()  # queued at the own processor, not sent yet
+    SENT = auto()  # sent, unanswered
+    PROCESSING_ANSWER = auto()  # answered; the answer is queued at the own processor
+    ESTABLISHED = auto()
+    RELEASING = auto()  # over; circuits held until the far end confirms or the release wait is over
     FREE = auto()
 
 
-LEGAL: dict[Step, tuple[Step, ...]] = {
-    Step.PASSING: (Step.OUT, Step.FREE),
-    Step.OUT: (Step.ANSWERING, Step.FREEING, Step.FREE),
-    Step.ANSWERING: (Step.STANDS, Step.FREEING, Step.FREE),
-    Step.STANDS: (Step.FREEING, Step.FREE),
-    Step.FREEING: (Step.FREE,),
-    Step.FREE: (),
+ALLOWED_TRANSITIONS: dict[DialState, tuple[DialState, ...]] = {
+    DialState.PROCESSING_SETUP: (DialState.SENT, DialState.FREE),
+    DialState.SENT: (DialState.PROCESSING_ANSWER, DialState.RELEASING, DialState.FREE),
+    DialState.PROCESSING_ANSWER: (DialState.ESTABLISHED, DialState.RELEASING, DialState.FREE),
+    DialState.ESTABLISHED: (DialState.RELEASING, DialState.FREE),
+    DialState.RELEASING: (DialState.FREE,),
+    DialState.FREE: (),
 }
-"""Every way a dial may go; anything else is a defect of the server and raises."""
+"""All permitted state transitions of a dial; any other is a defect of the server and raises."""
 
 
-MOST_RECENT = 512  # ids of one link that are remembered: what is told twice comes within a few hundred frames
+# Ids remembered for each connection: a duplicate arrives within a few hundred frames.
+MAX_RECENT_IDS = 512
 
 
-class Recent:
-    """The last ids heard on a link. Guards rule 1: one that came again after its answer was taken for a new dialogue,
-    and answered a second time."""
+class RecentIds:
+    """The last ids received on a connection. Guards rule 1: an id that came again after its answer was taken for a new
+    dialogue, which was answered a second time."""
 
     def __init__(self) -> None:
         self._ids: dict[int, None] = {}
 
-    def add(self, one: int) -> None:
-        """This one was heard."""
-        self._ids[one] = None
-        if len(self._ids) > MOST_RECENT:
+    def add(self, id: int) -> None:
+        """Remember an id, and forget the oldest one over the limit."""
+        self._ids[id] = None
+        if len(self._ids) > MAX_RECENT_IDS:
             del self._ids[next(iter(self._ids))]
 
-    def __contains__(self, one: int) -> bool:
-        return one in self._ids
+    def __contains__(self, id: int) -> bool:
+        return id in self._ids
 
     def __len__(self) -> int:
         return len(self._ids)
 
 
 @dataclass(slots=True, eq=False)
-class OfficeEnd:
-    """One office as the call server reaches it."""
+class OfficeRecord:
+    """One office and the state of its connection."""
 
     id: str
     number: int
     address: str
-    standing: OfficeState
-    started: int | None
-    up: bool = False
-    boot: int = 0
-    next_ref: int = 0
-    mark: str = ""
-    dials: dict[int, DialOut] = field(default_factory=dict)
-    passing: dict[int, DialOut] = field(default_factory=dict)
-    transits: dict[int, Taken] = field(default_factory=dict)
-    heard: Recent = field(default_factory=Recent)
-    differs_since: int | None = None
-
-    def ref(self) -> int:
-        """A ref never used on this link before."""
-        self.next_ref += 1
-        return self.next_ref
+    state: OfficeState
+    started_at: int | None
+    connected: bool = False
+    boot_id: int = 0
+    last_dial_ref: int = 0
+    hook_mark: str = ""
+    dials: dict[int, PendingDial] = field(default_factory=dict)
+    processing: dict[int, PendingDial] = field(default_factory=dict)
+    transits: dict[int, PendingCall] = field(default_factory=dict)
+    recent_refs: RecentIds = field(default_factory=RecentIds)
+    counts_differ_since: int | None = None
+
+    def new_dial_ref(self) -> int:
+        """A reference that was never used on this connection before."""
+        self.last_dial_ref += 1
+        return self.last_dial_ref
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
-    """A dialogue taken: from a caller (`link` and its id there) or in transit (`home` and the ref there)."""
+class PendingCall:
+    """An accepted dialogue: from a caller (`connection` and the id on it), or in transit (`own_office` and the reference
+    on its connection)."""
 
     id: int
     use_case: str
@@ -92,56 +96,68 @@
     called: str | None
     width: int
     origin: int
-    origin_id: int
-    link: object | None = None
+    origin_dialogue: int
+    connection: object | None = None
     caller_id: int = 0
-    home: OfficeEnd | None = None
-    home_ref: int = 0
-    asked_dial: int = -1  # in transit: which dial of the origin's this is
-    owed: bool = True
+    own_office: OfficeRecord | None = None
+    own_office_ref: int = 0
+    origin_dial: int = -1  # in transit: number of the dial at the origin
+    answer_owed: bool = True
     tenant: str | None = None
     tags: tuple[str, ...] = ()
-    came: int = 0
-    until: int = 0
-    version: str = ""
-    dials: list[DialOut] = field(default_factory=list)
-    last_blame: ReleaseCause = ReleaseCause.NONE
+    arrived_at: int = 0
+    deadline: int = 0
+    hooks_version: str = ""
+    dials: list[PendingDial] = field(default_factory=list)
+    last_cause: ReleaseCause = ReleaseCause.NONE
 
     @property
-    def active(self) -> DialOut | None:
-        """The dial that is out or stands, if any."""
+    def active_dial(self) -> PendingDial | None:
+        """The dial that is pending or established, if any."""
         last = self.dials[-1] if self.dials else None
-        return last if last and last.step in (Step.PASSING, Step.OUT, Step.ANSWERING, Step.STANDS) else None
+        return (
+            last
+            if last
+            and last.state
+            in (
+                DialState.PROCESSING_SETUP,
+                DialState.SENT,
+                DialState.PROCESSING_ANSWER,
+                DialState.ESTABLISHED,
+            )
+            else None
+        )
 
     @property
-    def stands(self) -> bool:
-        """Whether it stands."""
-        return bool(self.dials) and self.dials[-1].step is Step.STANDS
+    def established(self) -> bool:
+        """Whether the dialogue is established."""
+        return bool(self.dials) and self.dials[-1].state is DialState.ESTABLISHED
 
 
 @dataclass(slots=True, eq=False)
-class DialOut:
-    """One dial. `ref` names it on the office's link, `home_ref` on the own office's, once each was used."""
+class PendingDial:
+    """One dial. `dial_ref` identifies it on the connection to the office, `own_office_ref` on that to the own office;
+    each is zero until it is used."""
 
-    taken: Taken
+    call: PendingCall
     number: int
-    office: OfficeEnd
-    home: OfficeEnd
-    sent: int
-    until: int
-    step: Step = Step.PASSING
-    ref: int = 0
-    home_ref: int = 0
+    office: OfficeRecord
+    own_office: OfficeRecord
+    sent_at: int
+    deadline: int
+    state: DialState = DialState.PROCESSING_SETUP
+    dial_ref: int = 0
+    own_office_ref: int = 0
     timer: Timer | None = None
 
-    def move(self, step: Step) -> None:
-        """Go to the next step. Raises RuntimeError where the table does not allow it."""
-        if step not in LEGAL[self.step]:
-            raise RuntimeError(f"dial {self.taken.id}.{self.number}: {self.step.name} to {step.name}")
-        self.step = step
+    def move_to(self, state: DialState) -> None:
+        """Change the state. Raises RuntimeError for a transition that the table does not permit."""
+        if state not in ALLOWED_TRANSITIONS[self.state]:
+            raise RuntimeError(f"dial {self.call.id}.{self.number}: {self.state.name} to {state.name}")
+        self.state = state
 
 
-ENDINGS: dict[str, tuple[DialResult, ReleaseCause]] = {
+REJECT_OUTCOMES: dict[str, tuple[DialResult, ReleaseCause]] = {
     "no_circuit": (DialResult.FULL, ReleaseCause.NO_CIRCUIT),
     "turned_back": (DialResult.FULL, ReleaseCause.TURNED_BACK),
     "far_processor_full": (DialResult.FULL, ReleaseCause.FAR_PROCESSOR_FULL),
@@ -150,24 +166,26 @@
     "fault": (DialResult.FAULT, ReleaseCause.NONE),
     "unreachable": (DialResult.UNREACHABLE, ReleaseCause.NONE),
 }
-"""What a PushBack's reason means to the decisions."""
+"""Result and cause of a dial, as the decision function sees them, for each reason of a Reject frame."""
 
-STANDINGS = {"ready": OfficeState.READY, "draining": OfficeState.DRAINING, "gone": OfficeState.GONE}
+OFFICE_STATES = {"ready": OfficeState.READY, "draining": OfficeState.DRAINING, "gone": OfficeState.GONE}
 
 
-def turned_back_reason(taken: Taken) -> str:
-    """Reason told upstream when a dialogue in transit was not brought on: what its last dial met beyond."""
-    if taken.last_blame in (ReleaseCause.PROCESSOR_FULL, ReleaseCause.FAR_PROCESSOR_FULL):
+def upstream_reject_reason(call: PendingCall) -> str:
+    """Reason to send upstream when a dialogue in transit was not established: the cause of its last dial."""
+    if call.last_cause in (ReleaseCause.PROCESSOR_FULL, ReleaseCause.FAR_PROCESSOR_FULL):
         return "far_processor_full"
-    return "lines_busy" if taken.last_blame is ReleaseCause.LINES_BUSY else "turned_back"
+    return "lines_busy" if call.last_cause is ReleaseCause.LINES_BUSY else "turned_back"
 
 
-def load_of(load: frames.Load | None) -> tuple[float | None, int | None, float | None, float | None]:
-    """A load report's figures, None where not told. Guards against what is no figure, or under nought: NaN is neither
-    over a bound nor under it, and made a price nought even beside 'full'."""
+def checked_load(load: frames.Load | None) -> tuple[float | None, int | None, float | None, float | None]:
+    """The values of a load report, None for those that are missing or invalid. Guards against negative and non-finite
+    values: NaN compares as neither above nor below a bound, and made the price of a full office zero."""
     if load is None:
         return None, None, None, None
-    shares = (load.utilisation, load.takes_per_s, load.hold_back)
-    utilisation, takes, hold_back = (one if one is None or 0 <= one < inf else None for one in shares)
+    values = (load.utilisation, load.takes_per_s, load.hold_back)
+    utilisation, takes_per_s, hold_back = (
+        value if value is None or 0 <= value < inf else None for value in values
+    )
     wait = load.wait if load.wait is not None and 0 <= load.wait < 1 << 53 else None
-    return utilisation, wait, takes, hold_back
+    return utilisation, wait, takes_per_s, hold_back
--- a/wellhitch/settings/server.py
+++ b/wellhitch/settings/server.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from wellhitch.interface import events, facts
-from wellhitch.net.transport import is_loopback, split
+from wellhitch.net.transport import is_loopback, split_address
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.trunk.frames import MAX_EXCHANGES, MAX_WIDTH
 
@@ -35,8 +35,8 @@
 
 
 class TrafficClassSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One traffic class. The fields are those of `interface.facts.TrafficClass`, with `payoff` for its value,
-    `agreed_time` for its target latency and `outer_limit` for its deadline."""
+    """One traffic class. `payoff` is its value, `agreed_time` its target latency and `outer_limit` its deadline;
+    `interface.facts.TrafficClass` describes the other fields."""
 
     name: Annotated[str, msgspec.Meta(max_length=64)]
     payoff: Annotated[float, msgspec.Meta(ge=0, le=1e9)]
@@ -135,7 +135,7 @@
                 errors.append(f"doors.{name} = '': must be an address, host:port")
             continue
         try:
-            host, _ = split(address)
+            host, _ = split_address(address)
         except ValueError as error:
             errors.append(f"doors.{name} = {address!r}: {error}")
             continue
