--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -13,7 +13,7 @@
 from world import day
 
 from wellhitch.cli.main import main
-from wellhitch.cli.serve import read_state
+from wellhitch.cli.serve import read_hooks_state
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.journal import open_journal
 from wellhitch.ledger.outbox import MAX_RECEIPTS_PER_READ, FolderOutbox
@@ -117,7 +117,8 @@
     place(tmp_path / "state")
     said: list[str] = []
     assert (
-        read_state(tmp_path / "state", lambda event, **facts: said.append(f"{event} {facts['why']}")) == b""
+        read_hooks_state(tmp_path / "state", lambda event, **facts: said.append(f"{event} {facts['why']}"))
+        == b""
     )
     assert len(said) == 1 and said[0].startswith("hooks_state_dropped") and "state" in said[0]
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -98,7 +98,10 @@
 
 
 def test_check_tells_well_from_ill(tmp_path: Path) -> None:
-    assert said("check", write(tmp_path, SHEET)) == (0, f"{tmp_path}/x.jsonnet: a sheet, without faults\n")
+    assert said("check", write(tmp_path, SHEET)) == (
+        0,
+        f"{tmp_path}/x.jsonnet: settings of a call server, without errors\n",
+    )
     code, text = said("check", write(tmp_path, {**SHEET, "number": "three", "seed": -1}))
     assert code == 2 and "number = 'three'" in text and "seed = -1" in text
     code, text = said("check", write(tmp_path, "{ number: 1 + }"))
--- a/wellhitch/__main__.py
+++ b/wellhitch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wellhitch`: the same as the `wellhitch` command."""
+"""`python -m wellhitch` runs the `wellhitch` command."""
 
 from wellhitch.cli.main import main
 
--- a/wellhitch/cli/__init__.py
+++ b/wellhitch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `wellhitch` command: one file a subcommand."""
+"""The `wellhitch` command, with one module for each subcommand."""
--- a/wellhitch/cli/check.py
+++ b/wellhitch/cli/check.py
@@ -1,4 +1,4 @@
-"""`wellhitch check`: every fault of a sheet or a day."""
+"""`wellhitch check`: lists every error in the settings of a call server or of a day."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """List every fault of a sheet or a day FILE, each with field, value and what is allowed.
+    """List every error in FILE, the settings of a call server or of a day, with field, value and what is allowed.
 
     \b
     Example: wellhitch check fleet/exchange-3.jsonnet
@@ -24,32 +24,34 @@
         value = evaluate(file)
         if isinstance(value, dict) and "exchanges" in value:
             read_day(file)
-            click.echo(f"{file}: a day, without faults")
+            click.echo(f"{file}: a day, without errors")
         else:
             read_server_settings(file)
-            click.echo(f"{file}: a sheet, without faults")
+            click.echo(f"{file}: settings of a call server, without errors")
 
 
 def read_server_settings(file: Path) -> server.ServerSettings:
-    """A sheet, checked as a whole. Raises InvalidSettings."""
-    made = checked.read(evaluate(file), server.ServerSettings, str(file))
-    server.check(made, str(file))
-    check_hooks(made.hooks, str(file))
-    return made
+    """Read and check the settings of a call server. Raises InvalidSettings."""
+    settings = checked.read(evaluate(file), server.ServerSettings, str(file))
+    server.check(settings, str(file))
+    check_hooks(settings.hooks, str(file))
+    return settings
 
 
 def check_hooks(texts: dict[str, str], where: str) -> None:
-    """The hooks of a sheet or day, with their own tests. Raises InvalidSettings."""
+    """Check the hooks in the settings, and run their tests. Raises InvalidSettings."""
     if texts:
         try:
             load_version(texts, Parser())
-        except InvalidHooks as bad:
-            raise checked.InvalidSettings(where, [f"hooks: {fault}" for fault in bad.diagnostics]) from None
+        except InvalidHooks as error:
+            raise checked.InvalidSettings(
+                where, [f"hooks: {diagnostic}" for diagnostic in error.diagnostics]
+            ) from None
 
 
 def read_day(file: Path) -> day.Day:
-    """A day, checked as a whole. Raises InvalidSettings."""
-    made = checked.read(evaluate(file), day.Day, str(file))
-    day.check(made, str(file))
-    check_hooks(made.hooks, str(file))
-    return made
+    """Read and check a day. Raises InvalidSettings."""
+    settings = checked.read(evaluate(file), day.Day, str(file))
+    day.check(settings, str(file))
+    check_hooks(settings.hooks, str(file))
+    return settings
--- a/wellhitch/cli/day.py
+++ b/wellhitch/cli/day.py
@@ -1,4 +1,4 @@
-"""`wellhitch day`: play a day."""
+"""`wellhitch day`: plays days, which are simulated runs of a fleet."""
 
 import sys
 import tempfile
@@ -22,64 +22,68 @@
 
 @click.group()
 def day() -> None:
-    """Days: a fleet, its traffic and its troubles in one file."""
+    """Days: a simulated fleet, its traffic and its faults in one file."""
 
 
 @day.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--virtual", is_flag=True, help="in virtual time: as fast as it goes, the same on every run")
 @click.option(
-    "--speed", type=click.FloatRange(0, min_open=True), help="of virtual time: so many times a clock's"
+    "--virtual", is_flag=True, help="in virtual time: as fast as possible, and the same on every run"
 )
-@click.option("--processes", is_flag=True, help="each call server in a process of its own")
-@click.option("--capture", type=click.Path(path_type=Path), help="folder to keep captures in")
+@click.option(
+    "--speed",
+    type=click.FloatRange(0, min_open=True),
+    help="with --virtual: so many times as fast as real time",
+)
+@click.option("--processes", is_flag=True, help="run each call server in a separate process")
+@click.option("--capture", type=click.Path(path_type=Path), help="folder in which to keep the captures")
 def play(file: Path, virtual: bool, speed: float | None, processes: bool, capture: Path | None) -> None:
-    """Play the day FILE on loopback sockets and judge it. Exit code 0 only if all five rules were kept.
+    """Play the day FILE on loopback sockets and judge it. The exit code is 0 only if all five rules were kept.
 
     \b
     Example: wellhitch day play days/bad.jsonnet --processes --capture /tmp/bad-day
     """
     if speed and not virtual:
-        raise click.UsageError("--speed needs --virtual: real sockets keep real time")
+        raise click.UsageError("--speed requires --virtual: real sockets run in real time")
     if virtual and processes:
-        raise click.UsageError("--virtual runs in one process; leave out --processes")
+        raise click.UsageError("--virtual runs in one process; omit --processes")
     with exit_on_invalid_settings():
-        made = read_day(file)
+        settings = read_day(file)
 
     def progress(done: float, held: int) -> None:
         if sys.stderr.isatty():
-            click.echo(f"\r  second {done:.0f} of {made.length}, {held} dialogues ", nl=False, err=True)
+            click.echo(f"\r  second {done:.0f} of {settings.length}, {held} dialogues ", nl=False, err=True)
 
     with tempfile.TemporaryDirectory(prefix="wellhitch-day-") as scratch:
         folder = capture or Path(scratch)
         folder.mkdir(parents=True, exist_ok=True)
         if any(folder.glob("*.capture")):
-            click.echo(f"{folder}: holds captures of another day; name an empty folder", err=True)
+            click.echo(f"{folder}: contains captures of another day; name an empty folder", err=True)
             sys.exit(2)
         try:
             if virtual:
                 played = play_virtual(
-                    made, folder if capture else None, progress=progress, speed=speed or 0.0
+                    settings, folder if capture else None, progress=progress, speed=speed or 0.0
                 )
             else:
-                played = play_sockets(made, folder, processes, progress=progress)
-        except CannotPlay as fault:
-            click.echo(f"{file}: {fault}", err=True)
+                played = play_sockets(settings, folder, processes, progress=progress)
+        except CannotPlay as error:
+            click.echo(f"{file}: {error}", err=True)
             sys.exit(2)
     if sys.stderr.isatty():
         click.echo("\r" + " " * 60 + "\r", nl=False, err=True)
-    click.echo(page(made.name, played))
+    click.echo(page(settings.name, played))
     sys.exit(1 if played.verdict.breaks or played.left_open else 0)
 
 
 @day.command("from-bench")
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--seed", type=int, default=1, show_default=True, help="the seed of our day")
+@click.option("--seed", type=int, default=1, show_default=True, help="seed of the converted day")
 @click.option(
-    "--output", "-o", type=click.Path(path_type=Path), help="where to write it (else standard output)"
+    "--output", "-o", type=click.Path(path_type=Path), help="file to write (default: standard output)"
 )
 def from_bench(file: Path, seed: int, output: Path | None) -> None:
-    """Turn a day FILE that the operators' bench draws into one of ours; what is not carried over is named.
+    """Convert a day FILE of the operators' bench to a day of this program; lists what is not carried over.
 
     \b
     Example: wellhitch day from-bench drawn.json -o drawn.jsonnet
@@ -87,15 +91,15 @@
     with exit_on_invalid_settings():
         try:
             value = msgspec.json.decode(read_file(file))
-        except OSError as fault:
-            raise InvalidSettings(str(file), [fault.strerror or "cannot be read"]) from None
-        except msgspec.DecodeError as fault:
-            raise InvalidSettings(str(file), [str(fault)]) from None
-        made, notes = convert(value, file.stem, seed)
-        check_day(checked.read(made, Day, str(file)), str(file))
+        except OSError as error:
+            raise InvalidSettings(str(file), [error.strerror or "cannot be read"]) from None
+        except msgspec.DecodeError as error:
+            raise InvalidSettings(str(file), [str(error)]) from None
+        converted, notes = convert(value, file.stem, seed)
+        check_day(checked.read(converted, Day, str(file)), str(file))
     for note in notes:
         click.echo(note, err=True)
-    text = msgspec.json.format(msgspec.json.encode(made), indent=1)
+    text = msgspec.json.format(msgspec.json.encode(converted), indent=1)
     if output:
         output.write_bytes(text + b"\n")
     else:
@@ -103,12 +107,12 @@
 
 
 def page(name: str, played: Played) -> str:
-    """All of a played day on one page."""
-    out = [f"day {name}, played in {played.seconds:.1f} s", "", verdict_page(played.verdict), ""]
-    out += [service_page(played.service), "", "call servers, by their own account"]
+    """The text report of a played day."""
+    lines = [f"day {name}, played in {played.seconds:.1f} s", "", verdict_page(played.verdict), ""]
+    lines += [service_page(played.service), "", "call servers, by their own counts"]
     for number, status in played.servers.items():
         counts = status.get("counts", {})
-        shown = {
+        selected = {
             "taken": counts.get("taken", 0),
             "stand": counts.get("answer.stands", 0),
             "pushed back": counts.get("answer.pushed_back", 0),
@@ -117,17 +121,17 @@
             "links lost": counts.get("links_lost.office", 0),
             "faults": counts.get("decision_faults", 0),
         }
-        out.append(f"  {number:4}  " + ", ".join(f"{what} {count}" for what, count in shown.items()))
-    out.append("offices")
+        lines.append(f"  {number:4}  " + ", ".join(f"{label} {count}" for label, count in selected.items()))
+    lines.append("offices")
     for office, counts in played.offices.items():
         shown_counts = ", ".join(
-            f"{what.replace('_', ' ')} {count}" for what, count in sorted(counts.items())
+            f"{label.replace('_', ' ')} {count}" for label, count in sorted(counts.items())
         )
-        out.append(f"  {office}: {shown_counts or 'nothing came'}")
+        lines.append(f"  {office}: {shown_counts or 'nothing came'}")
     if played.left_open:
-        out.append(
-            f"{played.left_open} dialogues were still open at the end: lengthen `tail`, or see what hangs"
+        lines.append(
+            f"{played.left_open} dialogues were still open at the end: lengthen `tail`, or find what blocks them"
         )
     if played.lost_circuits:
-        out.append("circuits still counted at the end: " + "; ".join(played.lost_circuits))
-    return "\n".join(out)
+        lines.append("circuits still in use at the end: " + "; ".join(played.lost_circuits))
+    return "\n".join(lines)
--- a/wellhitch/cli/errors.py
+++ b/wellhitch/cli/errors.py
@@ -1,4 +1,4 @@
-"""Bad input as one clear error and exit code 2, never a traceback."""
+"""Reports invalid input as one clear error with exit code 2, without a traceback."""
 
 import sys
 from collections.abc import Iterator
@@ -11,9 +11,9 @@
 
 @contextmanager
 def exit_on_invalid_settings() -> Iterator[None]:
-    """Turn faults of settings into lines on standard error and exit code 2."""
+    """On InvalidSettings, print its errors to standard error and exit with code 2."""
     try:
         yield
-    except InvalidSettings as faults:
-        click.echo(str(faults), err=True)
+    except InvalidSettings as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
--- a/wellhitch/cli/judge.py
+++ b/wellhitch/cli/judge.py
@@ -1,4 +1,4 @@
-"""`wellhitch judge`: the five rules from captures."""
+"""`wellhitch judge`: checks captures against the five rules."""
 
 import sys
 from pathlib import Path
@@ -6,7 +6,7 @@
 import click
 
 from wellhitch.judge.page import service_page, verdict_page
-from wellhitch.judge.rules import judge as settle
+from wellhitch.judge.rules import judge as judge_captures
 from wellhitch.judge.service import service
 from wellhitch.trunk.capture import BadCapture, read_folder
 
@@ -14,17 +14,17 @@
 @click.command()
 @click.argument("captures", type=click.Path(path_type=Path))
 def judge(captures: Path) -> None:
-    """Settle the five rules from a folder of CAPTURES, as `day play --capture` writes it.
+    """Check the folder CAPTURES, which `day play --capture` writes, against the five rules.
 
     \b
     Example: wellhitch judge /tmp/bad-day
     """
     try:
-        read = read_folder(captures)
-        verdict = settle(read)
+        records = read_folder(captures)
+        verdict = judge_captures(records)
         click.echo(verdict_page(verdict))
-        click.echo(service_page(service(read)))
-    except BadCapture as fault:
-        click.echo(f"cannot be judged: {fault}", err=True)
+        click.echo(service_page(service(records)))
+    except BadCapture as error:
+        click.echo(f"cannot be judged: {error}", err=True)
         sys.exit(2)
     sys.exit(1 if verdict.breaks else 0)
--- a/wellhitch/cli/logs.py
+++ b/wellhitch/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: key=value on a terminal, JSON elsewhere."""
+"""Structured logs: key=value on a terminal, JSON otherwise."""
 
 import sys
 import time
@@ -8,22 +8,22 @@
 
 
 def set_up(level: str) -> structlog.typing.FilteringBoundLogger:
-    """The log of this process, on standard error."""
-    shape: Any = (
+    """Configure the logger of this process, which writes to standard error."""
+    renderer: Any = (
         structlog.dev.ConsoleRenderer()
         if sys.stderr.isatty()
         else structlog.processors.JSONRenderer(sort_keys=True)
     )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, _stamp, shape],
+        processors=[structlog.processors.add_log_level, _add_time, renderer],
         wrapper_class=structlog.make_filtering_bound_logger({"debug": 10, "info": 20, "warning": 30}[level]),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
-    made: structlog.typing.FilteringBoundLogger = structlog.get_logger()
-    return made
+    logger: structlog.typing.FilteringBoundLogger = structlog.get_logger()
+    return logger
 
 
-def _stamp(_: Any, __: str, event: Any) -> Any:
-    """When, by the wall clock: for people who read logs; nothing is decided by it."""
+def _add_time(_: Any, __: str, event: Any) -> Any:
+    """Add the wall-clock time, for people who read the log. No decision depends on it."""
     event["at"] = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime())
     return event
--- a/wellhitch/cli/main.py
+++ b/wellhitch/cli/main.py
@@ -1,4 +1,4 @@
-"""The command group. Exit codes: 0 well, 1 the check failed, 2 wrong use or settings."""
+"""The command group. Exit codes: 0 for success, 1 for a failed check, 2 for invalid use or settings."""
 
 from importlib import import_module
 
@@ -7,9 +7,9 @@
 COMMANDS = ("check", "day", "hooks", "judge", "ledger", "measure", "platform", "serve")
 
 
-class _Lazy(click.Group):
-    """Subcommands are imported when one is asked for: the platform's call server must not pay for the others'
-    libraries."""
+class _LazyGroup(click.Group):
+    """Imports a subcommand only when it is run, so that `wellhitch platform` does not load the libraries of the
+    others."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(COMMANDS)
@@ -21,17 +21,17 @@
         return command
 
 
-@click.group(cls=_Lazy)
+@click.group(cls=_LazyGroup)
 def main() -> None:
     """A call router for trunk groups.
 
     \b
-    wellhitch check FILE.jsonnet     all faults of a sheet or a day, before anything starts
-    wellhitch serve FILE.jsonnet     run one exchange's call server
-    wellhitch platform               run one on the operators' platform, as LB_CONFIG says
-    wellhitch day play FILE.jsonnet  play a day against stand-ins and judge it
-    wellhitch judge FOLDER           settle the five rules from captures
-    wellhitch hooks test FOLDER      tools for those who write hooks
-    wellhitch ledger show SHEET      what was counted; verify, rate, correct, export
-    wellhitch measure server         figures of this machine, beside a baseline
+    wellhitch check FILE.jsonnet     list every error in settings or a day
+    wellhitch serve FILE.jsonnet     run the call server of one exchange
+    wellhitch platform               run a call server on the operators' platform, configured by LB_CONFIG
+    wellhitch day play FILE.jsonnet  play a day on a simulated fleet and judge it
+    wellhitch judge FOLDER           check captures against the five rules
+    wellhitch hooks test FOLDER      tools for authors of hooks
+    wellhitch ledger show SHEET      show the ledger; also verify, rate, correct, export
+    wellhitch measure server         measure this machine against a baseline
     """
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -1,4 +1,4 @@
-"""`wellhitch serve`: the daemon."""
+"""`wellhitch serve`: the call server as a daemon."""
 
 import asyncio
 import os
@@ -29,9 +29,9 @@
 from wellhitch.store.files import read_file
 from wellhitch.store.system import SystemDisk
 
-MOST_KEYS = 1 << 20  # bytes of a file of keys: over ten thousand of them
-CLOSE_WITHIN_S = 10.0  # for the ledger's last commit; a disk that takes longer is as good as lost
-STOP_WITHIN = 10_000_000  # us; longer than any outer limit seen, so that what is owed can be answered
+MAX_KEY_FILE_BYTES = 1 << 20  # over ten thousand keys
+LEDGER_CLOSE_TIMEOUT_S = 10.0  # for the ledger's last commit; a disk that takes longer is considered lost
+STOP_TIMEOUT_US = 10_000_000  # longer than any deadline seen, so that pending calls can be answered
 
 
 @click.command()
@@ -40,189 +40,205 @@
     "--log-level", type=click.Choice(["debug", "info", "warning"]), default="info", show_default=True
 )
 def serve(file: Path, log_level: str) -> None:
-    """Run one exchange's call server by the sheet FILE until SIGTERM.
+    """Run the call server of one exchange with the settings in FILE until SIGTERM.
 
-    On SIGTERM nothing more is taken, owed answers are given, then it stops, within 10 s. A second SIGTERM stops it at
-    once.
+    On SIGTERM it accepts no more calls, answers the pending ones, and stops within 10 s. A second SIGTERM stops it
+    immediately.
 
     \b
     Example: wellhitch serve fleet/exchange-3.jsonnet
     """
     with exit_on_invalid_settings():
-        sheet = read_server_settings(file)
-        keys, accounting = read_number_keys(sheet, file), read_accounting_channel(sheet, file)
-    sys.exit(asyncio.run(_serve(sheet, file, log_level, keys, accounting)))
+        settings = read_server_settings(file)
+        keys, accounting = read_number_keys(settings, file), read_accounting_channel(settings, file)
+    sys.exit(asyncio.run(_serve(settings, file, log_level, keys, accounting)))
 
 
-def read_number_keys(sheet: ServerSettings, file: Path) -> NumberKeys:
-    """The keys for called numbers that a sheet names. Raises InvalidSettings."""
-    if not sheet.ledger or not sheet.ledger.number_keys:
+def read_number_keys(settings: ServerSettings, file: Path) -> NumberKeys:
+    """Read the keys for called numbers from the file that the settings name. Raises InvalidSettings."""
+    if not settings.ledger or not settings.ledger.number_keys:
         return NumberKeys({})
-    path = file.parent / sheet.ledger.number_keys
+    path = file.parent / settings.ledger.number_keys
     try:
-        plain = msgspec.json.decode(read_file(path, MOST_KEYS), type=dict[str, str])
+        plain = msgspec.json.decode(read_file(path, MAX_KEY_FILE_BYTES), type=dict[str, str])
         return NumberKeys({int(number): bytes.fromhex(key) for number, key in plain.items()})
-    except (OSError, msgspec.MsgspecError, ValueError) as fault:
-        raise InvalidSettings(str(path), [f"ledger.number_keys: {fault}"]) from None
+    except (OSError, msgspec.MsgspecError, ValueError) as error:
+        raise InvalidSettings(str(path), [f"ledger.number_keys: {error}"]) from None
 
 
 def read_export_key(path: Path) -> bytes:
-    """The key of the two sides of the export. Raises InvalidSettings."""
+    """Read the key that the call server and the accounting system share. Raises InvalidSettings."""
     try:
-        key = bytes.fromhex(read_file(path, MOST_KEYS).decode().strip())
-    except (OSError, ValueError) as fault:
-        raise InvalidSettings(str(path), [f"ledger.export_key: {fault}"]) from None
+        key = bytes.fromhex(read_file(path, MAX_KEY_FILE_BYTES).decode().strip())
+    except (OSError, ValueError) as error:
+        raise InvalidSettings(str(path), [f"ledger.export_key: {error}"]) from None
     if len(key) != 32:
-        raise InvalidSettings(str(path), [f"ledger.export_key: {len(key)} bytes, not 32"])
+        raise InvalidSettings(str(path), [f"ledger.export_key: {len(key)} bytes, must be 32"])
     return key
 
 
-def read_accounting_channel(sheet: ServerSettings, file: Path) -> AccountingChannel | None:
-    """The way to the accounting side that a sheet names. Raises InvalidSettings."""
-    if not sheet.ledger or not sheet.ledger.export:
+def read_accounting_channel(settings: ServerSettings, file: Path) -> AccountingChannel | None:
+    """Return the channel to the accounting system that the settings name. Raises InvalidSettings."""
+    if not settings.ledger or not settings.ledger.export:
         return None
-    key = read_export_key(file.parent / sheet.ledger.export_key)
-    return AccountingChannel(key, FolderOutbox(file.parent / sheet.ledger.export, sheet.number))
+    key = read_export_key(file.parent / settings.ledger.export_key)
+    return AccountingChannel(key, FolderOutbox(file.parent / settings.ledger.export, settings.number))
 
 
-def _ledger(
-    sheet: ServerSettings,
+def _settlement_factory(
+    settings: ServerSettings,
     disk: SystemDisk,
     keys: NumberKeys,
-    epoch: float,
+    epoch_s: float,
     accounting: AccountingChannel | None,
 ) -> MakeSettlement:
-    """The desk of a sheet's ledger. `epoch`: the wall clock's seconds when the loop's were nought."""
-    line = sheet.ledger
-    assert line
+    """Return a factory of the settlement service. `epoch_s` is the wall clock, in seconds, at time 0 of the loop."""
+    ledger = settings.ledger
+    assert ledger
 
     def make(
         loop: asyncio.AbstractEventLoop, send: Callable[[int, bytes], bool], log: Log
     ) -> SettlementService:
-        def wall(now: int) -> int:
-            return now + round(epoch * 1e6)
+        def wall_us(now: int) -> int:
+            return now + round(epoch_s * 1e6)
 
-        # The mark of a new disk must differ from that of any disk of this instance before.
-        chance = random.Random(f"{sheet.seed} {os.getpid()} {epoch}")
+        # The random id of a new disk must differ from the ids of all earlier disks of this instance.
+        rng = random.Random(f"{settings.seed} {os.getpid()} {epoch_s}")
         return SettlementService(
-            loop, disk, sheet.number, line.roster, keys, wall, send, log, chance, accounting=accounting
+            loop, disk, settings.number, ledger.roster, keys, wall_us, send, log, rng, accounting=accounting
         )
 
     return make
 
 
-def wall_clock(began: float, now: int) -> WallClock:
-    """People's local time for hooks, from the epoch's seconds at a time of the loop."""
+def wall_clock(epoch_s: float, now: int) -> WallClock:
+    """Return the clock of the hooks, in local time. `epoch_s` is the wall clock at the loop's time `now`."""
 
-    def at(later: int) -> tuple[int, int, str]:
-        shown = time.localtime(began + (later - now) / 1e6)
-        second = shown.tm_hour * 3600 + shown.tm_min * 60 + shown.tm_sec
-        return second, shown.tm_wday + 1, time.strftime("%Y-%m-%d", shown)
+    def local_time(later: int) -> tuple[int, int, str]:
+        local = time.localtime(epoch_s + (later - now) / 1e6)
+        second = local.tm_hour * 3600 + local.tm_min * 60 + local.tm_sec
+        return second, local.tm_wday + 1, time.strftime("%Y-%m-%d", local)
 
-    return WallClock(at)
+    return WallClock(local_time)
 
 
-KEEP_EVERY_S = 60  # what hooks remember may be so old after a process was killed
+HOOKS_STATE_INTERVAL_S = 60  # a process that is killed loses at most the hooks' state of this time
 
 
-async def _keep(daemon: Daemon, state: Path, log: Log) -> None:
-    """Write what hooks remember now and then, off the loop: no dialogue waits for a disk."""
+async def _write_hooks_state_periodically(daemon: Daemon, state_file: Path, log: Log) -> None:
+    """Write the state of the hooks from time to time, in a thread, so that no dialogue waits for the disk."""
     while True:
-        await asyncio.sleep(KEEP_EVERY_S)
-        await asyncio.to_thread(_write, state, daemon.dump_hooks_state(), log)
+        await asyncio.sleep(HOOKS_STATE_INTERVAL_S)
+        await asyncio.to_thread(_write_hooks_state, state_file, daemon.dump_hooks_state(), log)
 
 
-def read_state(state: Path, log: Log) -> bytes:
-    """What hooks remembered, as far as it can be read; a start waits for no pipe and fails for no directory."""
+def read_hooks_state(state_file: Path, log: Log) -> bytes:
+    """Read the saved state of the hooks, if there is any. A pipe at the path does not block the start, and a directory
+    does not fail it."""
     try:
-        return read_file(state, MAX_STATE_BYTES)
+        return read_file(state_file, MAX_STATE_BYTES)
     except FileNotFoundError:
         return b""  # the first start
-    except OSError as fault:
-        log("hooks_state_dropped", why=f"{state}: {fault}")
+    except OSError as error:
+        log("hooks_state_dropped", why=f"{state_file}: {error}")
         return b""
 
 
-def _write(state: Path, data: bytes, log: Log) -> None:
-    """The whole file or the old one."""
-    beside = state.with_name(state.name + ".new")
+def _write_hooks_state(state_file: Path, data: bytes, log: Log) -> None:
+    """Replace the file atomically: it has the new content in full, or the old one."""
+    new_file = state_file.with_name(state_file.name + ".new")
     try:
-        beside.write_bytes(data)
-        beside.replace(state)
-    except OSError as fault:
-        log("hooks_state_not_kept", why=f"{state}: {fault}")
+        new_file.write_bytes(data)
+        new_file.replace(state_file)
+    except OSError as error:
+        log("hooks_state_not_kept", why=f"{state_file}: {error}")
 
 
 async def _serve(
-    sheet: ServerSettings, file: Path, log_level: str, keys: NumberKeys, accounting: AccountingChannel | None
+    settings: ServerSettings,
+    file: Path,
+    log_level: str,
+    keys: NumberKeys,
+    accounting: AccountingChannel | None,
 ) -> int:
     loop = asyncio.get_running_loop()
     logger = set_up(log_level)
-    over: asyncio.Future[int] = loop.create_future()
+    exit_code: asyncio.Future[int] = loop.create_future()
 
     def log(event: str, **facts: Any) -> None:
-        # One line a dialogue is for those who look for one: --log-level debug.
+        # The line of each dialogue is only logged with --log-level debug.
         (logger.debug if event == "dialogue" else logger.info)(event, **facts)
 
-    def trouble(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        fault = context.get("exception")
-        logger.error("fault", message=context.get("message"), fault=repr(fault))
-        if "address" in context and not over.done():
-            over.set_result(2)  # cannot listen at one of its doors: an address in use, say
-
-    d = sheet.doors
-    # A mark that is new with each start: the process id and the loop's clock, which nothing else reads.
-    boot = (now_us(loop) << 16 | os.getpid() & 0xFFFF) & ((1 << 62) - 1)
-    doors = ServerAddresses(d.callers, d.peers, d.operators, d.register, d.centre)
-    disk = SystemDisk(loop, file.parent / sheet.ledger.folder) if sheet.ledger else None
-    make_desk = _ledger(sheet, disk, keys, time.time() - now_us(loop) / 1e6, accounting) if disk else None
+    def handle_loop_error(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        error = context.get("exception")
+        logger.error("fault", message=context.get("message"), fault=repr(error))
+        if "address" in context and not exit_code.done():
+            exit_code.set_result(2)  # cannot listen at one of its addresses, for example one in use
+
+    doors = settings.doors
+    # Different with each start: made of the process id and the time of the loop's clock.
+    boot_id = (now_us(loop) << 16 | os.getpid() & 0xFFFF) & ((1 << 62) - 1)
+    addresses = ServerAddresses(doors.callers, doors.peers, doors.operators, doors.register, doors.centre)
+    disk = SystemDisk(loop, file.parent / settings.ledger.folder) if settings.ledger else None
+    make_settlement = (
+        _settlement_factory(settings, disk, keys, time.time() - now_us(loop) / 1e6, accounting)
+        if disk
+        else None
+    )
     daemon = Daemon(
         loop,
         LoopbackNetwork(loop),
-        start_event(sheet),
-        doors,
-        sheet.limits.max_open,
-        boot,
+        start_event(settings),
+        addresses,
+        settings.limits.max_open,
+        boot_id,
         log,
-        hooks=sheet.hooks,
+        hooks=settings.hooks,
         clock=wall_clock(time.time(), now_us(loop)),
         read_hooks=lambda: read_server_settings(file).hooks,
-        make_settlement=make_desk,
+        make_settlement=make_settlement,
     )
-    loop.set_exception_handler(trouble)
-    # Before anything can end: set only at the end, it was said to nobody on a SIGTERM, which closes the ledger itself.
+    loop.set_exception_handler(handle_loop_error)
+    # Assigned before the daemon starts: SIGTERM closes the ledger, and a callback set later would miss it.
     closed = asyncio.Event()
     daemon.ledger_closed = closed.set  # type: ignore[method-assign]
-    state = file.parent / sheet.hooks_state if sheet.hooks_state else None
-    if state is not None:
-        daemon.restore_hooks_state(read_state(state, log))
-    keeping = loop.create_task(_keep(daemon, state, log)) if state is not None else None
+    state_file = file.parent / settings.hooks_state if settings.hooks_state else None
+    if state_file is not None:
+        daemon.restore_hooks_state(read_hooks_state(state_file, log))
+    state_writer = (
+        loop.create_task(_write_hooks_state_periodically(daemon, state_file, log))
+        if state_file is not None
+        else None
+    )
 
     def stop() -> None:
         if daemon.switch.stopping:
             finish()
         else:
-            daemon.stop(STOP_WITHIN, finish)
+            daemon.stop(STOP_TIMEOUT_US, finish)
 
     def finish() -> None:
-        if not over.done():
-            over.set_result(0)
+        if not exit_code.done():
+            exit_code.set_result(0)
 
-    for sign in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sign, stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop)
     daemon.start()
     log("startup_objects_frozen", objects=freeze_startup_objects())
-    code = await over
-    if keeping is not None and state is not None:
-        keeping.cancel()
-        _write(state, daemon.dump_hooks_state(), log)
+    code = await exit_code
+    if state_writer is not None and state_file is not None:
+        state_writer.cancel()
+        _write_hooks_state(state_file, daemon.dump_hooks_state(), log)
     daemon.kill()
     if disk:
         try:
-            await asyncio.wait_for(closed.wait(), CLOSE_WITHIN_S)
+            await asyncio.wait_for(closed.wait(), LEDGER_CLOSE_TIMEOUT_S)
         except TimeoutError:
-            # Guards against a traceback, and a wait without end for the disk's thread, in place of a word.
-            log("ledger_not_closed", why=f"the disk took over {CLOSE_WITHIN_S} s; what waited is lost")
+            # Exit without joining the thread of the disk, which could block forever or end in a traceback.
+            log(
+                "ledger_not_closed",
+                why=f"the disk took over {LEDGER_CLOSE_TIMEOUT_S} s; uncommitted entries are lost",
+            )
             sys.stderr.flush()
             os._exit(code or 1)
         disk.close()
