--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -14,7 +14,7 @@
 from world import day
 
 from wellhitch.cli.main import main
-from wellhitch.cli.serve import read_state
+from wellhitch.cli.serve import read_hooks_state
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.journal import open_journal
 from wellhitch.ledger.outbox import MAX_RECEIPTS_PER_READ, FolderOutbox
@@ -118,7 +118,9 @@
     create(tmp_path / "state")
     log_lines: list[str] = []
     assert (
-        read_state(tmp_path / "state", lambda event, **facts: log_lines.append(f"{event} {facts['why']}"))
+        read_hooks_state(
+            tmp_path / "state", lambda event, **facts: log_lines.append(f"{event} {facts['why']}")
+        )
         == b""
     )
     assert len(log_lines) == 1 and log_lines[0].startswith("hooks_state_dropped") and "state" in log_lines[0]
