--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -5,7 +5,7 @@
 from wellhitch.net.collector import startup_objects_frozen
 
 
-def test_a_full_collection_looks_only_at_what_came_since() -> None:
+def test_a_full_collection_visits_only_objects_created_since() -> None:
     alive = len(gc.get_objects())
     with startup_objects_frozen():
         made = [[n] for n in range(100)]
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -108,14 +108,14 @@
         ("\udcff\x00\n", "unknown request"),
     ],
 )
-def test_whatever_an_operator_says_is_answered_in_one_line(text: str, said: str) -> None:
+def test_every_operator_request_gets_a_reply(text: str, said: str) -> None:
     door = DaemonFixture()
     if text.startswith("hooks canary"):
         door.daemon.switch.hook_runner.hooks.start_shadow(door.daemon.switch.hook_runner.hooks.version)  # type: ignore[union-attr]
     assert said in door.request(text.encode("utf-8", "surrogateescape")).decode()
 
 
-def test_an_operator_who_says_nothing_or_reads_nothing_is_let_go() -> None:
+def test_operator_connections_without_a_request_time_out() -> None:
     door = DaemonFixture()
     silent, dripping = door.connect_operator(), door.connect_operator()
     for _ in range(12):
@@ -124,7 +124,7 @@
     assert silent.closed and dripping.closed and not door.daemon.operator_transports
 
 
-def test_an_office_of_another_number_than_the_list_says_is_not_dialled() -> None:
+def test_an_office_whose_number_differs_from_the_list_is_not_dialled() -> None:
     """An address that was given to another office: dialogues for 1 went to 2, which handed them on."""
     door = DaemonFixture()
     wrong = door.listen_as("o1:1", frames.Hello("office", 2, 1))
@@ -137,7 +137,7 @@
     )
 
 
-def test_a_peer_that_moved_keeps_no_old_link() -> None:
+def test_the_connection_to_a_peers_old_address_is_closed() -> None:
     door = DaemonFixture(limits={"may_tell_peers": True})
     hello = frames.Hello("call_server", 1, 1)
     old, new = door.listen_as("p1:1", hello), door.listen_as("p1:2", hello)
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("kind", ["whole", "odd"])
-def test_a_malformed_list_is_not_followed_to_its_peers(kind: str) -> None:
+def test_no_connections_are_opened_to_the_peers_of_a_malformed_list(kind: str) -> None:
     door = DaemonFixture(limits={"may_tell_peers": True})
     standing = "ready" if kind == "odd" else "broken"
     door.send_list(frames.OfficeListEntry("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_any_frames_that_a_party_may_say_raise_nothing_and_stop_nobody(seed: int) -> None:
+def test_any_allowed_frames_raise_no_exception_and_the_server_keeps_running(seed: int) -> None:
     """Whatever the types let through, from every party at once, in any order."""
     chance = random.Random(seed)
     door = DaemonFixture(limits={"may_tell_peers": True}, ledger=seed % 2 == 0)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -29,7 +29,7 @@
         (b"\x01\x00\x00\x03\xc1\xc1\xc1", "no frame"),
     ],
 )
-def test_garbage_gets_one_clear_error_and_costs_that_link_alone(
+def test_garbage_gets_one_error_and_closes_only_its_connection(
     ends: ConnectedChannels, data: bytes, said: str
 ) -> None:
     other = ConnectedChannels()
@@ -42,7 +42,7 @@
     assert not other.server_owner.close_reasons
 
 
-def test_a_reset_in_mid_frame_is_a_lost_link_and_no_frame(ends: ConnectedChannels) -> None:
+def test_a_reset_in_mid_frame_closes_the_connection_without_a_frame(ends: ConnectedChannels) -> None:
     assert ends.server_channel.transport is not None
     ends.server_channel.transport.write(b"\x01\x00\x00\x40half")
     ends.server_channel.transport.abort()
@@ -58,7 +58,7 @@
     assert ends.office_owner.received == [frames.Cancel(7), frames.Release(8)]
 
 
-def test_a_half_open_link_is_found_by_both_ends(ends: ConnectedChannels) -> None:
+def test_a_half_open_connection_is_detected_by_both_ends(ends: ConnectedChannels) -> None:
     ends.net.spoil("s", "o").silent = True
     ends.loop.advance(3)
     assert not ends.server_owner.close_reasons
@@ -68,7 +68,9 @@
     ] and ends.office_owner.close_reasons == ["no data from the other end"]
 
 
-def test_a_reader_that_stops_costs_a_bounded_number_of_frames_then_its_link(ends: ConnectedChannels) -> None:
+def test_a_peer_that_stops_reading_costs_a_bounded_number_of_frames_then_its_connection(
+    ends: ConnectedChannels,
+) -> None:
     assert ends.office_channel.transport is not None
     ends.office_channel.transport.pause_reading()
     sent = 0
@@ -82,7 +84,7 @@
     assert len(ends.server_channel._unsent) <= MAX_UNSENT_FRAMES
 
 
-def test_a_mark_is_answered_once_all_before_it_was_read(ends: ConnectedChannels) -> None:
+def test_a_mark_is_confirmed_once_all_frames_before_it_were_read(ends: ConnectedChannels) -> None:
     assert ends.office_channel.transport is not None
     ends.office_channel.transport.pause_reading()
     ends.server_channel.send(frames.Cancel(1))
@@ -94,7 +96,7 @@
     assert ends.server_channel.mark_confirmed(mark) and ends.office_owner.received == [frames.Cancel(1)]
 
 
-def test_frames_that_wait_here_can_be_taken_back(ends: ConnectedChannels) -> None:
+def test_unsent_frames_can_be_withdrawn(ends: ConnectedChannels) -> None:
     ends.server_channel.pause_writing()
     ends.server_channel.send(frames.Cancel(1))
     ends.server_channel.send(frames.Release(2))
@@ -104,7 +106,7 @@
     assert ends.office_owner.received == [frames.Release(2)]
 
 
-def test_a_sender_over_the_rate_is_read_later_and_loses_nothing(ends: ConnectedChannels) -> None:
+def test_frames_over_the_rate_limit_are_read_later_and_none_is_lost(ends: ConnectedChannels) -> None:
     whole = MAX_FRAMES_PER_S + 3000
     for at in range(whole):
         ends.server_channel.send(frames.Cancel(at))
@@ -116,7 +118,7 @@
     assert len(ends.office_owner.received) == whole
 
 
-def test_silence_that_ends_in_time_loses_nothing(ends: ConnectedChannels) -> None:
+def test_a_silence_shorter_than_the_timeout_loses_no_frame(ends: ConnectedChannels) -> None:
     ends.net.spoil("s", "o").silent = True
     ends.server_channel.send(frames.Cancel(1))
     ends.loop.advance(1)
@@ -131,7 +133,7 @@
     )
 
 
-def test_an_end_whose_other_end_closed_in_the_silence_sees_a_reset_once_it_is_over(
+def test_a_close_during_a_silence_is_seen_as_a_reset_afterwards(
     ends: ConnectedChannels,
 ) -> None:
     ends.net.spoil("s", "o").silent = True
@@ -145,7 +147,9 @@
 
 
 @pytest.mark.parametrize("frame", [frames.LedgerMessage(b"x" * 70_000), frames.Final(1 << 70, "stands")])
-def test_a_frame_that_cannot_be_sent_costs_no_other(ends: ConnectedChannels, frame: frames.AnyFrame) -> None:
+def test_a_frame_that_cannot_be_encoded_does_not_affect_others(
+    ends: ConnectedChannels, frame: frames.AnyFrame
+) -> None:
     said: list[str] = []
     ends.loop.set_exception_handler(lambda loop, context: said.append(str(context.get("exception"))))
     ends.server_channel.send(frames.Release(1))
@@ -156,7 +160,7 @@
     assert len(said) == 1 and str(frame.__struct_config__.tag) in said[0]
 
 
-def test_one_that_never_says_who_it_is_is_closed_whatever_it_drips(ends: ConnectedChannels) -> None:
+def test_a_connection_without_a_hello_is_closed_even_if_bytes_arrive(ends: ConnectedChannels) -> None:
     """A byte now and then is a sign of life, but of nobody: a thousand such links would stay for ever."""
     closed: list[str] = []
     hello = frames.Hello("call_server", 0, 1)
@@ -182,7 +186,7 @@
     assert closed and closed[0].startswith("no Hello")
 
 
-def test_links_over_the_limit_are_told_and_closed_and_those_that_stand_go_on() -> None:
+def test_connections_over_the_limit_are_refused_and_the_others_stay_open() -> None:
     loop = VirtualLoop()
     net = EmulatedNetwork(loop, 1)
     doors = ServerAddresses("s:1", "", "", "r:1", "")
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -20,19 +20,19 @@
 
 
 @pytest.mark.parametrize("host", ["localhost", "::1", "127.0.0.1", "127.8.9.10"])
-def test_loopback_is_told_by_the_address(host: str) -> None:
+def test_loopback_addresses_are_recognised(host: str) -> None:
     assert is_loopback(host)
 
 
 @pytest.mark.parametrize(
     "host", ["127.evil.example", "127.0.0.1.evil.example", "127.", "10.0.0.1", "", "::", "127.1"]
 )
-def test_a_name_that_only_begins_like_loopback_is_none(host: str) -> None:
+def test_names_that_begin_like_loopback_are_not_loopback(host: str) -> None:
     assert not is_loopback(host)
 
 
 @pytest.mark.parametrize("port", ["²", "", "65536", "-1", "9" * 5000])
-def test_a_port_is_a_number(port: str) -> None:
+def test_a_port_must_be_a_number_in_range(port: str) -> None:
     with pytest.raises(ValueError, match="host:port"):
         split_address(f"127.0.0.1:{port}")
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(
     "address", ["127." + "x" * 70 + ":7000", "127.0.0.1:²", "127.evil.example:7000", "nowhere"]
 )
-def test_an_address_that_cannot_be_one_ends_in_a_word(address: str) -> None:
+def test_connecting_to_an_invalid_address_reports_a_failure(address: str) -> None:
     async def tried() -> str:
         loop = asyncio.get_running_loop()
         word: asyncio.Future[str] = loop.create_future()
@@ -50,7 +50,7 @@
     assert asyncio.run(tried())
 
 
-def test_an_address_in_use_is_told_to_who_listens() -> None:
+def test_listening_at_an_address_in_use_reports_an_error() -> None:
     async def tried() -> list[dict[str, object]]:
         loop, said = asyncio.get_running_loop(), list[dict[str, object]]()
         loop.set_exception_handler(lambda loop, context: said.append(context))
@@ -68,7 +68,7 @@
     assert isinstance(said["exception"], OSError) and "listen" in str(said["message"])
 
 
-def test_small_writes_leave_at_once_at_both_ends_of_a_connection() -> None:
+def test_nagles_algorithm_is_disabled_at_both_ends_of_a_connection() -> None:
     # Guards against Nagle's algorithm: it held answers back until the other end's delayed acknowledgement.
     class End(asyncio.BufferedProtocol):
         def __init__(self, came_up: asyncio.Future[asyncio.BaseTransport]) -> None:
@@ -130,18 +130,18 @@
     listener.close()
 
 
-def test_what_waits_at_a_paused_listener_is_read_once_it_goes_on() -> None:
+def test_connections_that_wait_at_a_paused_listener_are_read_after_resume() -> None:
     loop = asyncio.new_event_loop()
     paused_listener(LoopbackNetwork(loop), "127.0.0.1:0", lambda: loop.run_until_complete(asyncio.sleep(0.1)))
     loop.close()
 
 
-def test_an_emulated_listener_pauses_as_a_real_one() -> None:
+def test_an_emulated_listener_pauses_like_a_real_one() -> None:
     loop = VirtualLoop()
     paused_listener(EmulatedNetwork(loop, 1).at("here"), "here:0", lambda: loop.advance(0.1))
 
 
-def test_datagrams_go_both_ways_on_the_real_loop() -> None:
+def test_datagrams_are_sent_and_received_on_the_real_event_loop() -> None:
     # asyncio's own transport for them is no asyncio.DatagramTransport in Python 3.11: an assertion of it failed on the
     # platform alone.
     async def tried() -> tuple[bytes, str]:
@@ -174,6 +174,6 @@
 
 
 @pytest.mark.parametrize("host", ["board.example", "localhost", "", "10.1", "127.0.0.1.example"])
-def test_a_host_that_is_a_name_is_no_address_of_the_platform(host: str) -> None:
+def test_a_host_name_is_not_accepted_as_an_ip_address(host: str) -> None:
     with pytest.raises(ValueError, match="not an IP address"):
         require_ip_address(host)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -39,7 +39,7 @@
     assert abs(real.service.whole - virtual.service.whole) < 0.5
 
 
-def test_a_day_with_each_call_server_in_a_process_of_its_own(tmp_path: Path) -> None:
+def test_a_day_with_each_call_server_in_a_separate_process(tmp_path: Path) -> None:
     made = small_day(
         troubles=[
             fault_line("server_killed", at="1s", length="1s", on=[2]),
@@ -82,7 +82,7 @@
         return b"".join(iter(lambda: line.recv(65536), b""))
 
 
-def test_operators_ask_and_strangers_get_one_error(
+def test_operator_requests_are_answered_and_invalid_clients_get_one_error(
     served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses],
 ) -> None:
     process, log, addresses = served
@@ -97,7 +97,7 @@
     assert process.poll() is None and b"Traceback" not in log.read_bytes()
 
 
-def test_its_code_is_no_work_for_the_garbage_collector(
+def test_startup_objects_are_excluded_from_garbage_collection(
     served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses],
 ) -> None:
     # Guards against pauses longer than what is kept free before a deadline: each full collection took 25 to 43 ms.
@@ -107,14 +107,16 @@
     assert line["objects"] > 20_000
 
 
-def test_it_stops_when_told_to(served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses]) -> None:
+def test_sigterm_stops_the_call_server(
+    served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses],
+) -> None:
     process, log, _ = served
     os.kill(process.pid, signal.SIGTERM)
     assert process.wait(PATIENCE_S) == 0
     assert '"stopped"' in log.read_text()
 
 
-def test_an_address_in_use_is_one_clear_error(
+def test_an_address_in_use_ends_the_process_with_one_error(
     served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses], tmp_path: Path
 ) -> None:
     done = subprocess.run(
@@ -126,7 +128,7 @@
     assert b"address already in use" in done.stderr.lower()
 
 
-def test_one_door_in_use_is_one_clear_error_too(
+def test_one_listen_address_in_use_ends_the_process_with_one_error(
     served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses], tmp_path: Path
 ) -> None:
     """It ran on without its operators' door, and nobody could ask it anything."""
@@ -142,7 +144,7 @@
     assert f"cannot listen at {sheet['doors']['operators']}".encode() in done.stderr
 
 
-def test_damaged_hook_state_is_dropped_with_a_word_and_written_anew_at_the_end(tmp_path: Path) -> None:
+def test_damaged_hook_state_is_dropped_and_logged_and_written_again_at_exit(tmp_path: Path) -> None:
     addresses = LoopbackAddresses()
     texts = {"a": 'on tick { remember("ticks", recall("ticks", 0) + 1, 1h) }'}
     made = msgspec.structs.replace(sheet_of(small_day(hooks=texts), 0, addresses), hooks_state="kept")
@@ -165,7 +167,7 @@
     assert words == [] and "ticks" in found["a"].values
 
 
-def test_a_call_server_with_a_ledger_stops_when_told_to_and_loses_nothing(tmp_path: Path) -> None:
+def test_a_call_server_with_a_ledger_stops_in_time_and_loses_nothing(tmp_path: Path) -> None:
     """The one word that all is on disk was said to nobody: each stop took 10 s and ended in a traceback."""
     addresses = LoopbackAddresses()
     made = sheet_of(small_day(), 0, addresses)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -325,7 +325,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("stage", STAGES)
-def test_a_fault_at_a_stage_breaks_no_rule_and_leaves_nothing(stage: str, fault: str) -> None:
+def test_a_fault_at_a_stage_breaks_no_rule_and_leaves_no_state_behind(stage: str, fault: str) -> None:
     struck = FaultInjection(stage, fault)
     done = struck.play()
     assert struck.injected, "the stage was never reached"
@@ -351,7 +351,7 @@
         (0, NeverReleasesCircuits, "release", "doubled"),
     ],
 )
-def test_the_table_catches_a_server_that_is_broken_on_purpose(
+def test_deliberate_bugs_in_the_server_are_detected(
     rule: int, base: type[Switch], stage: str, fault: str
 ) -> None:
     struck = FaultInjection(stage, fault, base, setup="40ms" if rule == 4 else "10ms")
--- a/tests/test_trunk.py
+++ b/tests/test_trunk.py
@@ -24,7 +24,7 @@
 
 
 @given(st.lists(st.sampled_from(SAMPLE_FRAMES), max_size=8), st.lists(st.integers(1, 40), min_size=1))
-def test_frames_survive_any_pieces(sent: list[frames.AnyFrame], cuts: list[int]) -> None:
+def test_frames_are_decoded_from_pieces_of_any_size(sent: list[frames.AnyFrame], cuts: list[int]) -> None:
     data = b"".join(codec.encode(frame) for frame in sent)
     decoder, got, at = codec.Decoder(), [], 0
     while at < len(data):
@@ -54,13 +54,13 @@
         (b"\x01\x00\x00\x02\x91\xa0", "no frame"),
     ],
 )
-def test_each_bad_frame_is_named_and_those_before_it_stand(data: bytes, said: str) -> None:
+def test_each_bad_frame_is_described_and_the_frames_before_it_are_kept(data: bytes, said: str) -> None:
     with pytest.raises(codec.BadFrame, match=said) as bad:
         codec.Decoder().feed(codec.encode(HELLO) + data)
     assert bad.value.frames_before == [HELLO]
 
 
-def test_a_frame_too_long_is_never_sent() -> None:
+def test_a_frame_over_the_limit_is_not_encoded() -> None:
     with pytest.raises(codec.BadFrame, match="Word of"):
         codec.encode(frames.PeerMessage(bytes(codec.MAX_FRAME_BYTES)))
 
@@ -71,7 +71,7 @@
     return link
 
 
-def test_a_link_is_up_with_its_hello() -> None:
+def test_a_connection_is_up_after_the_hello() -> None:
     link = connected()
     assert link.state is ConnectionState.UP and link.peer == HELLO
     assert link.receive(codec.encode(frames.Answer(1)), 5) == [frames.Answer(1)]
@@ -86,7 +86,9 @@
         ([HELLO, frames.Call(1, "cheap", 2, None, 10)], "Call is not for a office to say"),
     ],
 )
-def test_what_is_out_of_order_closes_the_link_with_one_error(sent: list[frames.AnyFrame], said: str) -> None:
+def test_frames_out_of_order_close_the_connection_with_one_error(
+    sent: list[frames.AnyFrame], said: str
+) -> None:
     link = Connection("call_server", ("office",), 0)
     with pytest.raises(ProtocolError, match=said) as fault:
         link.receive(b"".join(codec.encode(frame) for frame in sent), 0)
@@ -94,13 +96,13 @@
     assert link.receive(codec.encode(HELLO), 0) == []
 
 
-def test_a_told_fault_is_not_answered_with_another() -> None:
+def test_a_fault_is_not_answered_with_another() -> None:
     with pytest.raises(ProtocolError) as fault:
         connected().receive(codec.encode(frames.Fault("why")), 0)
     assert not fault.value.notify_peer
 
 
-def test_silence_is_found_after_its_limit_and_not_before() -> None:
+def test_silence_is_detected_after_the_timeout_and_not_before() -> None:
     link = connected()
     assert not link.timed_out(SILENCE_TIMEOUT_US)
     assert link.timed_out(SILENCE_TIMEOUT_US + 1)
@@ -109,7 +111,7 @@
 @given(
     st.lists(st.tuples(st.integers(0, 5), st.integers(1, 3), st.booleans()), max_size=60), st.integers(0, 8)
 )
-def test_circuits_are_held_once_and_all_come_back(steps: list[tuple[int, int, bool]], size: int) -> None:
+def test_circuits_are_held_once_and_all_are_released(steps: list[tuple[int, int, bool]], size: int) -> None:
     group, held = TrunkGroup(size), {}
     for holder, width, seize in steps:
         if seize:
@@ -125,21 +127,21 @@
     assert group.free == size
 
 
-def test_the_other_sides_circuits_are_not_free_and_never_below_nought() -> None:
+def test_circuits_held_by_the_other_end_are_not_free_and_the_count_is_never_negative() -> None:
     group = TrunkGroup(4, remote_count=3)
     assert group.seize("a", 1) and not group.seize("b", 1)
     group.remote_count = 4  # glare: both seized the last
     assert group.free == 0
 
 
-def test_counts_may_differ_for_a_while_and_no_longer() -> None:
+def test_counts_may_differ_only_for_the_allowed_time() -> None:
     since, say = track_disagreement(1, 0, None, 100, 50)
     assert (since, say) == (100, False)
     assert track_disagreement(1, 0, since, 151, 50) == (100, True)
     assert track_disagreement(1, 1, since, 151, 50) == (None, False)
 
 
-def test_redials_double_to_a_limit_and_spread() -> None:
+def test_reconnect_waits_double_up_to_a_limit_with_jitter() -> None:
     waits = [
         [redial.next_wait() for _ in range(12)]
         for redial in (ReconnectBackoff(random.Random(n)) for n in range(40))
