--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -1,4 +1,4 @@
-"""The daemon's doors on the emulated network: operators, peers, offices that are not who the list says."""
+"""The daemon's listeners and connections on the emulated network: operators, peers, offices at wrong addresses."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class OperatorClient(asyncio.BufferedProtocol):
-    """An operator at the door."""
+    """A client of the operators' listener."""
 
     def __init__(self) -> None:
         self.reply = b""
@@ -45,7 +45,7 @@
 
 
 class DaemonFixture:
-    """A call server at exchange 0 whose doors are knocked at."""
+    """A daemon of exchange 0 on an emulated network, with helpers to connect to it."""
 
     def __init__(self, ledger: bool = False, **over: Any) -> None:
         self.loop = VirtualLoop()
@@ -53,11 +53,12 @@
         self.loop.set_exception_handler(lambda loop, context: self.loop_errors.append(str(context)))
         self.net = EmulatedNetwork(self.loop, 1)
         self.logged: list[str] = []
-        facts = start_event(sheet_of(day(**over), 0, HostAddresses()))
-        doors = ServerAddresses("s:1", "s:2", "s:3", "register:1", "")
+        configuration = start_event(sheet_of(day(**over), 0, HostAddresses()))
+        addresses = ServerAddresses("s:1", "s:2", "s:3", "register:1", "")
         hooks = {"a": "on arrive { return none }"}
         self.daemon = Daemon(
-            self.loop, self.net.at("s"), facts, doors, 10, 1, lambda event, **facts: self.logged.append(event),
+            self.loop, self.net.at("s"), configuration, addresses, 10, 1,
+            lambda event, **facts: self.logged.append(event),
             hooks=hooks, make_settlement=self.make_settlement if ledger else None,
         )  # fmt: skip
         self.daemon.start()
@@ -71,34 +72,34 @@
         )
 
     def connect_operator(self) -> OperatorClient:
-        asking = OperatorClient()
-        self.net.at("o").connect("s:3", lambda: asking, print)
+        client = OperatorClient()
+        self.net.at("o").connect("s:3", lambda: client, print)
         self.loop.advance(0.1)
-        return asking
+        return client
 
     def request(self, text: bytes) -> bytes:
-        asking = self.connect_operator()
-        asking.transport.write(text)
+        client = self.connect_operator()
+        client.transport.write(text)
         self.loop.advance(0.1)
-        assert asking.closed and not self.loop_errors, self.loop_errors
-        return asking.reply
+        assert client.closed and not self.loop_errors, self.loop_errors
+        return client.reply
 
     def listen_as(self, address: str, hello: frames.Hello) -> RecordingOwner:
-        """Somebody who listens at an address."""
-        hand = RecordingOwner()
+        """Listen at an address, in the role that `hello` names."""
+        owner = RecordingOwner()
         self.net.at(address.partition(":")[0]).listen(
-            address, lambda: Channel(self.loop, hand, hello, ("call_server",)), lambda listener: None
+            address, lambda: Channel(self.loop, owner, hello, ("call_server",)), lambda listener: None
         )
-        return hand
+        return owner
 
-    def send_list(self, *lines: frames.OfficeListEntry, kind: str = "whole", revision: int = 1) -> None:
-        frame = frames.OfficeList(kind, revision, list(lines))
+    def send_list(self, *entries: frames.OfficeListEntry, kind: str = "whole", revision: int = 1) -> None:
+        frame = frames.OfficeList(kind, revision, list(entries))
         self.daemon.control_channels.frame_received(cast(Channel, None), frame)
         self.loop.advance(1.0)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("hooks canary ²\n", "a percentage"),
         ("status" + " " * 5000 + "\n", "over"),
@@ -108,51 +109,55 @@
         ("\udcff\x00\n", "unknown request"),
     ],
 )
-def test_every_operator_request_gets_a_reply(text: str, said: str) -> None:
-    door = DaemonFixture()
+def test_every_operator_request_gets_a_reply(text: str, expected: str) -> None:
+    server = DaemonFixture()
     if text.startswith("hooks canary"):
-        door.daemon.switch.hook_runner.hooks.start_shadow(door.daemon.switch.hook_runner.hooks.version)  # type: ignore[union-attr]
-    assert said in door.request(text.encode("utf-8", "surrogateescape")).decode()
+        server.daemon.switch.hook_runner.hooks.start_shadow(server.daemon.switch.hook_runner.hooks.version)  # type: ignore[union-attr]
+    assert expected in server.request(text.encode("utf-8", "surrogateescape")).decode()
 
 
 def test_operator_connections_without_a_request_time_out() -> None:
-    door = DaemonFixture()
-    silent, dripping = door.connect_operator(), door.connect_operator()
+    server = DaemonFixture()
+    silent, dripping = server.connect_operator(), server.connect_operator()
     for _ in range(12):
         dripping.transport.write(b"s")
-        door.loop.advance(1.0)
-    assert silent.closed and dripping.closed and not door.daemon.operator_transports
+        server.loop.advance(1.0)
+    assert silent.closed and dripping.closed and not server.daemon.operator_transports
 
 
 def test_an_office_whose_number_differs_from_the_list_is_not_dialled() -> None:
-    """An address that was given to another office: dialogues for 1 went to 2, which handed them on."""
-    door = DaemonFixture()
-    wrong = door.listen_as("o1:1", frames.Hello("office", 2, 1))
-    door.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1"))
-    assert not door.daemon.switch.offices["o1"].connected
+    """Guards against an address that was reassigned: dialogues for 1 went to 2, which forwarded them."""
+    server = DaemonFixture()
+    wrong_office = server.listen_as("o1:1", frames.Hello("office", 2, 1))
+    server.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1"))
+    assert not server.daemon.switch.offices["o1"].connected
     assert (
-        wrong.close_reasons
-        and "office 2, not 1" in wrong.close_reasons[0]
-        and "office_not_as_listed" in door.logged
+        wrong_office.close_reasons
+        and "office 2, not 1" in wrong_office.close_reasons[0]
+        and "office_not_as_listed" in server.logged
     )
 
 
 def test_the_connection_to_a_peers_old_address_is_closed() -> None:
-    door = DaemonFixture(limits={"may_tell_peers": True})
+    server = DaemonFixture(limits={"may_tell_peers": True})
     hello = frames.Hello("call_server", 1, 1)
-    old, new = door.listen_as("p1:1", hello), door.listen_as("p1:2", hello)
-    door.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:1"))
-    assert len(old.opened) == 1
-    door.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
-    assert old.close_reasons and len(new.opened) == 1 and list(door.daemon.peer_connections) == ["p1:2"]
+    old_peer, new_peer = server.listen_as("p1:1", hello), server.listen_as("p1:2", hello)
+    server.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:1"))
+    assert len(old_peer.opened) == 1
+    server.send_list(frames.OfficeListEntry("o1", 1, "ready", None, "o1:1", "p1:2"), revision=2)
+    assert (
+        old_peer.close_reasons
+        and len(new_peer.opened) == 1
+        and list(server.daemon.peer_connections) == ["p1:2"]
+    )
 
 
 @pytest.mark.parametrize("kind", ["whole", "odd"])
 def test_no_connections_are_opened_to_the_peers_of_a_malformed_list(kind: str) -> None:
-    door = DaemonFixture(limits={"may_tell_peers": True})
-    standing = "ready" if kind == "odd" else "broken"
-    door.send_list(frames.OfficeListEntry("o1", 1, standing, None, "o1:1", "p1:1"), kind=kind)
-    assert not door.daemon.peer_connections and door.daemon.switch.counts["lists_malformed"] == 1
+    server = DaemonFixture(limits={"may_tell_peers": True})
+    state = "ready" if kind == "odd" else "broken"
+    server.send_list(frames.OfficeListEntry("o1", 1, state, None, "o1:1", "p1:1"), kind=kind)
+    assert not server.daemon.peer_connections and server.daemon.switch.counts["lists_malformed"] == 1
 
 
 INTS = [0, 1, 2, 5, -1, 63, 64, 65, 1 << 16, 1 << 31, 1 << 53, (1 << 63) - 1, -(1 << 63), (1 << 64) - 1]
@@ -161,42 +166,44 @@
 FLOATS = [0.0, 0.5, 1e308, -1.0, float("nan"), float("inf"), float("-inf")]
 
 
-def random_value(wanted: Any, chance: random.Random) -> Any:
-    """A value of a frame's field, whatever its type lets through."""
-    origin, args = typing.get_origin(wanted), typing.get_args(wanted)
+def random_value(field_type: Any, rng: random.Random) -> Any:
+    """A random value of a field, of any that its type allows."""
+    origin, args = typing.get_origin(field_type), typing.get_args(field_type)
     if origin is list:
-        return [random_value(args[0], chance) for _ in range(chance.choice([0, 1, 3]))]
+        return [random_value(args[0], rng) for _ in range(rng.choice([0, 1, 3]))]
     if args:  # a union
-        return random_value(chance.choice(args), chance)
-    if wanted is type(None):
+        return random_value(rng.choice(args), rng)
+    if field_type is type(None):
         return None
-    if isinstance(wanted, type) and issubclass(wanted, msgspec.Struct):
-        return random_frame(wanted, chance)
+    if isinstance(field_type, type) and issubclass(field_type, msgspec.Struct):
+        return random_frame(field_type, rng)
     choices: dict[Any, Callable[[], Any]] = {
-        int: lambda: chance.choice(INTS),
-        str: lambda: chance.choice(TEXTS),
-        float: lambda: chance.choice(FLOATS),
-        bool: lambda: chance.random() < 0.5,
-        bytes: lambda: chance.randbytes(chance.choice([0, 1, 2, 40])),
+        int: lambda: rng.choice(INTS),
+        str: lambda: rng.choice(TEXTS),
+        float: lambda: rng.choice(FLOATS),
+        bool: lambda: rng.random() < 0.5,
+        bytes: lambda: rng.randbytes(rng.choice([0, 1, 2, 40])),
     }
-    return choices[wanted]()
+    return choices[field_type]()
 
 
-def random_frame(kind: type[Any], chance: random.Random) -> Any:
+def random_frame(kind: type[Any], rng: random.Random) -> Any:
     hints = typing.get_type_hints(kind)
-    return kind(**{one.name: random_value(hints[one.name], chance) for one in msgspec.structs.fields(kind)})
-
-
-def valid_frame(kind: type[Any], chance: random.Random) -> Any:
-    """A frame as a party would say it."""
-    ref = chance.randrange(1, 6)
-    own: dict[type[Any], Any] = {
-        frames.Call: frames.Call(chance.randrange(1 << 20), "cheap", 1, "aa", 2_000_000, 1, False, "north"),
-        frames.HangUp: frames.HangUp(ref),
-        frames.Setup: frames.Setup(chance.randrange(1 << 20), 2, 77, 0, "cheap", 1, "aa", 2_000_000, 1),
-        frames.Answer: frames.Answer(ref, frames.Load(0.5, 1000, 5.0, 0.1)),
-        frames.Reject: frames.Reject(ref, "processor_full", 0, frames.Load(0.5, 1000)),
-        frames.StepProcessed: frames.StepProcessed(ref, "setup"),
+    return kind(
+        **{field.name: random_value(hints[field.name], rng) for field in msgspec.structs.fields(kind)}
+    )
+
+
+def valid_frame(kind: type[Any], rng: random.Random) -> Any:
+    """A frame as a real peer would send it."""
+    dial_ref = rng.randrange(1, 6)
+    frames_by_kind: dict[type[Any], Any] = {
+        frames.Call: frames.Call(rng.randrange(1 << 20), "cheap", 1, "aa", 2_000_000, 1, False, "north"),
+        frames.HangUp: frames.HangUp(dial_ref),
+        frames.Setup: frames.Setup(rng.randrange(1 << 20), 2, 77, 0, "cheap", 1, "aa", 2_000_000, 1),
+        frames.Answer: frames.Answer(dial_ref, frames.Load(0.5, 1000, 5.0, 0.1)),
+        frames.Reject: frames.Reject(dial_ref, "processor_full", 0, frames.Load(0.5, 1000)),
+        frames.StepProcessed: frames.StepProcessed(dial_ref, "setup"),
         frames.GroupState: frames.GroupState(1, 0, 20),
         frames.LoadReport: frames.LoadReport(frames.Load(0.5, 1000)),
         frames.CarriedDialogue: frames.CarriedDialogue(1, 7, "cheap", "aa", 1, "released", 5_000),
@@ -206,72 +213,74 @@
         ),
         frames.Advice: frames.Advice([-1, 1, 2]),
     }
-    return own.get(kind) or random_frame(kind, chance)
+    return frames_by_kind.get(kind) or random_frame(kind, rng)
 
 
-def with_one_odd_field(frame: Any, chance: random.Random) -> Any:
-    """The frame with one field, or one of what stands in it, whatever the type lets through."""
-    one = chance.choice(msgspec.structs.fields(frame)) if msgspec.structs.fields(frame) else None
-    if one is None:
+def with_one_odd_field(frame: Any, rng: random.Random) -> Any:
+    """The frame with one field, possibly nested, replaced by any value that its type allows."""
+    field = rng.choice(msgspec.structs.fields(frame)) if msgspec.structs.fields(frame) else None
+    if field is None:
         return frame
-    value = getattr(frame, one.name)
+    value = getattr(frame, field.name)
     if isinstance(value, msgspec.Struct):
-        new = with_one_odd_field(value, chance)
+        new_value = with_one_odd_field(value, rng)
     elif isinstance(value, list) and value and isinstance(value[0], msgspec.Struct):
-        new = [with_one_odd_field(value[0], chance), *value[1:]]
+        new_value = [with_one_odd_field(value[0], rng), *value[1:]]
     else:
-        new = random_value(typing.get_type_hints(type(frame))[one.name], chance)
-    return msgspec.structs.replace(frame, **{one.name: new})
+        new_value = random_value(typing.get_type_hints(type(frame))[field.name], rng)
+    return msgspec.structs.replace(frame, **{field.name: new_value})
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_any_allowed_frames_raise_no_exception_and_the_server_keeps_running(seed: int) -> None:
-    """Whatever the types let through, from every party at once, in any order."""
-    chance = random.Random(seed)
-    door = DaemonFixture(limits={"may_tell_peers": True}, ledger=seed % 2 == 0)
-    hands = {
-        "office": [door.listen_as(f"o{n}:1", frames.Hello("office", n, 1)) for n in range(3)],
-        "register": [door.listen_as("register:1", frames.Hello("register", -1, 1))],
-        "call_server": [door.listen_as("p1:1", frames.Hello("call_server", 1, 1))],
+    """Frames with any values that their types allow, from all roles at once, in any order."""
+    rng = random.Random(seed)
+    server = DaemonFixture(limits={"may_tell_peers": True}, ledger=seed % 2 == 0)
+    owners = {
+        "office": [server.listen_as(f"o{n}:1", frames.Hello("office", n, 1)) for n in range(3)],
+        "register": [server.listen_as("register:1", frames.Hello("register", -1, 1))],
+        "call_server": [server.listen_as("p1:1", frames.Hello("call_server", 1, 1))],
         "caller": [RecordingOwner()],
     }
     caller = frames.Hello("caller", 0, 1)
-    door.net.at("c").connect(
-        "s:1", lambda: Channel(door.loop, hands["caller"][0], caller, ("call_server",)), print
+    server.net.at("c").connect(
+        "s:1", lambda: Channel(server.loop, owners["caller"][0], caller, ("call_server",)), print
     )
-    door.loop.advance(5.0)
-    lines = [
+    server.loop.advance(5.0)
+    entries = [
         frames.OfficeListEntry(f"o{n}", n, "ready", None, f"o{n}:1", f"p{n}:1" if n else "") for n in range(3)
     ]
-    known = frames.OfficeList("whole", 1, lines)
+    office_list = frames.OfficeList("whole", 1, entries)
     for _ in range(500):
-        role = chance.choice(list(hands))
-        ports = [hand.opened[-1] for hand in hands[role] if hand.opened]
-        if role == "register" and chance.random() < 0.9:
-            frame: Any = (
-                known  # or all offices would soon be gone by an odd list, and nothing said of them heard
-            )
+        role = rng.choice(list(owners))
+        channels = [owner.opened[-1] for owner in owners[role] if owner.opened]
+        if role == "register" and rng.random() < 0.9:
+            # Otherwise an odd list would soon make all offices gone, and all frames from them would be ignored.
+            frame: Any = office_list
         else:
-            kind = chance.choice(ALLOWED_FRAMES[role, "call_server"])
-            frame = random_frame(kind, chance)
-            if chance.random() < 0.8:
-                frame = valid_frame(kind, chance)
-                if chance.random() < 0.7:
-                    frame = with_one_odd_field(frame, chance)
+            kind = rng.choice(ALLOWED_FRAMES[role, "call_server"])
+            frame = random_frame(kind, rng)
+            if rng.random() < 0.8:
+                frame = valid_frame(kind, rng)
+                if rng.random() < 0.7:
+                    frame = with_one_odd_field(frame, rng)
         if isinstance(frame, frames.OfficeList):
             frame = msgspec.structs.replace(frame, revision=1)
-        if ports:
-            (ports[0] if chance.random() < 0.5 else chance.choice(ports)).send(frame)
-        door.loop.advance(chance.choice([0.001, 0.01, 0.3]))
-    assert not door.loop_errors, door.loop_errors[0][:600]
-    assert not door.daemon.switch.counts["decision_faults"] and not door.daemon.switch.counts["ledger_faults"]
-    assert b'"number": 0' in door.request(b"status\n") and b"wellhitch_held" in door.request(b"metrics\n")
+        if channels:
+            (channels[0] if rng.random() < 0.5 else rng.choice(channels)).send(frame)
+        server.loop.advance(rng.choice([0.001, 0.01, 0.3]))
+    assert not server.loop_errors, server.loop_errors[0][:600]
+    assert (
+        not server.daemon.switch.counts["decision_faults"]
+        and not server.daemon.switch.counts["ledger_faults"]
+    )
+    assert b'"number": 0' in server.request(b"status\n") and b"wellhitch_held" in server.request(b"metrics\n")
 
 
-# Known red (KNOWN-RED.txt): roles are believed; nothing but loopback tells a peer from another process.
+# Known to fail (KNOWN-RED.txt): roles are not verified; only loopback separates peers from other processes.
 def test_a_stranger_who_says_he_is_a_call_server_is_let_go() -> None:
-    door, stranger = DaemonFixture(limits={"may_tell_peers": True}), RecordingOwner()
+    server, stranger = DaemonFixture(limits={"may_tell_peers": True}), RecordingOwner()
     hello = frames.Hello("call_server", 9, 1)
-    door.net.at("x").connect("s:2", lambda: Channel(door.loop, stranger, hello, ("call_server",)), print)
-    door.loop.advance(1.0)
+    server.net.at("x").connect("s:2", lambda: Channel(server.loop, stranger, hello, ("call_server",)), print)
+    server.loop.advance(1.0)
     assert stranger.close_reasons
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,5 +1,6 @@
-"""Every fault at every stage of a dialogue: the project's own switch, links and daemon in virtual time, struck at the
-very moment at which a dialogue reaches the stage. At the end all five rules by the captures, and nothing left over."""
+"""Injects every fault at every stage of a dialogue, into the real switch, channels and daemon in virtual time, at the
+moment when a dialogue reaches the stage. Afterwards the captures must show that all five rules were kept, and no state
+may be left over."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -21,18 +22,18 @@
 from wellhitch.stand_ins.troubles import TABLE
 from wellhitch.trunk import frames
 
-FROM = 4.0  # virtual seconds: links stand, and callers have called for one
+INJECT_FROM_S = 4.0  # of virtual time: the connections are up, and callers have called for one second
 HANG = {"troubles": [fault_line("hang", at="1s", length="3s", on=[1])]}
 DEPLOY = {"troubles": [fault_line("deploy", at="1s", on=[1], size=0.34, extra=2)]}
 SPARSE = {"groups": [{"ends": [0, 2], "size": 30}, {"ends": [1, 2], "size": 30}]}
-# Stage -> whose call server, whose office is at the other end (none: the callers), and what the day needs.
+# Stage -> call server, office at the other end (None: the callers), and settings that the day needs.
 STAGES: dict[str, tuple[int, int | None, dict[str, Any]]] = {
     "arrival": (0, None, {}),
     "decision": (0, None, {}),
     "own processor": (0, 0, {}),
-    "dial out": (0, 1, {}),
+    "dial sent": (0, 1, {}),
     "answered": (0, 1, {}),
-    "stands": (0, 1, {}),
+    "established": (0, 1, {}),
     "transit": (2, 2, SPARSE),
     "release": (0, 1, {}),
     "release wait": (0, 1, HANG),
@@ -43,84 +44,89 @@
 
 
 class FaultInjection:
-    """One day, struck once."""
+    """One day with one fault."""
 
-    def __init__(self, stage: str, fault: str, base: type[Switch] = Switch, **over: Any) -> None:
-        self.stage, self.fault, self.switch_class = stage, fault, base
-        self.number, self.office, needs = STAGES[stage]
-        more = {"ledger": True} if fault in ("disk full", "disk damaged") else {}
+    def __init__(self, stage: str, fault: str, switch_class: type[Switch] = Switch, **over: Any) -> None:
+        self.stage, self.fault, self.switch_class = stage, fault, switch_class
+        self.number, self.office, settings = STAGES[stage]
+        extra_settings = {"ledger": True} if fault in ("disk full", "disk damaged") else {}
         if fault == "hook raises":
-            more = {"hooks": {"a": "on arrive { return {favour: 1 / length([])} }"}}
-        self.day: Day = day(rate=12, length="3s", tail="12s", **needs, **more, **over)
+            extra_settings = {"hooks": {"a": "on arrive { return {favour: 1 / length([])} }"}}
+        self.day: Day = day(rate=12, length="3s", tail="12s", **settings, **extra_settings, **over)
         self.town: Town
         self.fleet: InProcess
         self.injected = False
         self.raise_in_decision = False
         self.leftovers: list[str] = []
 
-    # -- reaching the stage --
+    # -- detecting the stage --
 
     def stage_reached(self, switch: Switch, stage: str) -> None:
         town = self.town
-        if self.injected or stage != self.stage or switch.number != self.number or town.loop.time() < FROM:
+        if (
+            self.injected
+            or stage != self.stage
+            or switch.number != self.number
+            or town.loop.time() < INJECT_FROM_S
+        ):
             return
         self.injected = True
         town.loop.call_soon(FAULTS[self.fault], self)
 
-    def make_switch(self, *given: Any) -> Switch:
-        struck = self
+    def make_switch(self, *arguments: Any) -> Switch:
+        injection = self
 
-        class Staged(self.switch_class):  # type: ignore[name-defined,misc]
+        class StageReportingSwitch(self.switch_class):  # type: ignore[name-defined,misc]
             def call_received(self, *args: Any) -> None:
-                struck.stage_reached(self, "arrival")
+                injection.stage_reached(self, "arrival")
                 super().call_received(*args)
 
             def feed(self, event: ev.Event, now: int) -> None:
                 super().feed(event, now)
                 if isinstance(event, ev.DialogueArrived):
-                    struck.stage_reached(self, "decision")
+                    injection.stage_reached(self, "decision")
 
             def _send(self, *args: Any) -> None:
                 super()._send(*args)
-                struck.stage_reached(self, "own processor")
+                injection.stage_reached(self, "own processor")
 
             def _setup_processed(self, dial: PendingDial, accepted: bool, now: int) -> None:
                 super()._setup_processed(dial, accepted, now)
                 if dial.state is DialState.SENT:
-                    struck.stage_reached(self, "dial out")
+                    injection.stage_reached(self, "dial sent")
                     if dial.office.started_at is not None:
-                        struck.stage_reached(self, "cold office")
+                        injection.stage_reached(self, "cold office")
 
             def setup_answered(self, *args: Any) -> None:
                 super().setup_answered(*args)
-                struck.stage_reached(self, "answered")
+                injection.stage_reached(self, "answered")
 
             def _establish(self, *args: Any) -> None:
                 super()._establish(*args)
-                struck.stage_reached(self, "stands")
+                injection.stage_reached(self, "established")
 
             def transit_setup(self, *args: Any) -> None:
                 super().transit_setup(*args)
-                struck.stage_reached(self, "transit")
+                injection.stage_reached(self, "transit")
 
-            def _end_dial(self, dial: PendingDial, word: Any, now: int) -> None:
-                super()._end_dial(dial, word, now)
-                if isinstance(word, frames.Release):
-                    struck.stage_reached(self, "release")
+            def _end_dial(self, dial: PendingDial, message: Any, now: int) -> None:
+                super()._end_dial(dial, message, now)
+                if isinstance(message, frames.Release):
+                    injection.stage_reached(self, "release")
 
             def _dial_timed_out(self, *args: Any) -> None:
                 super()._dial_timed_out(*args)
-                struck.stage_reached(self, "release wait")
+                injection.stage_reached(self, "release wait")
 
             def office_list_received(self, frame: frames.OfficeList, now: int) -> bool:
-                followed: bool = super().office_list_received(frame, now)
-                if any(line.state == "draining" for line in frame.entries):
-                    struck.stage_reached(self, "drain")
-                return followed
+                applied: bool = super().office_list_received(frame, now)
+                if any(entry.state == "draining" for entry in frame.entries):
+                    injection.stage_reached(self, "drain")
+                return applied
 
-        return cast(Switch, Staged(*given))
+        return cast(Switch, StageReportingSwitch(*arguments))
 
-    # -- what a fault is done with --
+    # -- used by the faults --
 
     @property
     def host(self) -> str:
@@ -139,17 +145,17 @@
     def switch(self) -> Switch:
         return self.fleet.daemons[self.number].switch
 
-    def later(self, seconds: float, work: Callable[..., object], *args: Any) -> None:
-        self.town.loop.call_later(seconds, work, *args)
+    def later(self, seconds: float, callback: Callable[..., object], *args: Any) -> None:
+        self.town.loop.call_later(seconds, callback, *args)
 
     def inject(self, kind: str, seconds: float, on: int, how: str = "") -> None:
-        line = FaultSettings(kind, "0s", f"{round(seconds * 1000)}ms", [on], 1.0, how=how)
-        undo = TABLE[kind](self.town, line)
+        settings = FaultSettings(kind, "0s", f"{round(seconds * 1000)}ms", [on], 1.0, how=how)
+        undo = TABLE[kind](self.town, settings)
         if undo:
             self.later(seconds, undo)
 
     def send_bytes(self, data: bytes) -> None:
-        """Bytes from the other end."""
+        """Send bytes from the other end."""
         for pipe in self.net.links(self.peer_host, self.host):
             pipe.write(data)
 
@@ -159,13 +165,13 @@
         self.town, self.fleet = town, fleet
         status = fleet.status
 
-        def looked(number: int) -> dict[str, Any] | None:
+        def status_after_check(number: int) -> dict[str, Any] | None:
             self.leftovers += self.find_leftovers(number)
             return status(number)
 
-        fleet.status = looked  # type: ignore[method-assign]
+        fleet.status = status_after_check  # type: ignore[method-assign]
         if self.stage == "shutdown":
-            town.loop.call_later(FROM, self.shut_down)
+            town.loop.call_later(INJECT_FROM_S, self.shut_down)
 
     def shut_down(self) -> None:
         self.fleet.daemons[0].stop(2_000_000, lambda: None)
@@ -175,35 +181,37 @@
         daemon = self.fleet.daemons.get(number)
         if daemon is None or daemon.stopped:
             return []
-        switch, out = daemon.switch, []
-        for end in switch.offices.values():
+        switch, found = daemon.switch, []
+        for office in switch.offices.values():
             for name in ("dials", "processing", "transits"):
-                out += [f"{end.id}: {name}" for _ in getattr(end, name)]
-        out += [f"dialogue {taken.id}" for taken in switch.calls.values()]
-        out += [f"decided {known}" for known in switch.exchange.dialogues]
-        out += [f"group {n}: {group.local_count}" for n, group in switch.groups.items() if group.local_count]
-        out += [f"timer of {name}" for name in self.timers(switch)]
-        return [f"server {number}: {one}" for one in out]
+                found += [f"{office.id}: {name}" for _ in getattr(office, name)]
+        found += [f"dialogue {call.id}" for call in switch.calls.values()]
+        found += [f"decided {dialogue}" for dialogue in switch.exchange.dialogues]
+        found += [
+            f"group {n}: {group.local_count}" for n, group in switch.groups.items() if group.local_count
+        ]
+        found += [f"timer of {name}" for name in self.timers(switch)]
+        return [f"server {number}: {leftover}" for leftover in found]
 
     def timers(self, switch: Switch) -> Iterator[str]:
-        """Timers of dials that are still to ring."""
+        """Pending timers of dials."""
         for handle in self.town.loop._scheduled:  # type: ignore[attr-defined]
-            for ring in handle._args[1] if not handle._cancelled and len(handle._args or ()) == 3 else ():
-                name = getattr(ring, "__qualname__", "")
+            for callback in handle._args[1] if not handle._cancelled and len(handle._args or ()) == 3 else ():
+                name = getattr(callback, "__qualname__", "")
                 if (
-                    any(one in name for one in ("_send", "_end_dial", "_reset_dial"))
+                    any(method in name for method in ("_send", "_end_dial", "_reset_dial"))
                     and not handle._args[2].cancelled
                 ):
                     yield name
 
     def play(self) -> Played:
-        real = runner_module.decide
+        unpatched = runner_module.decide
 
-        def decide(x: Any, event: Any, now: int) -> Any:
-            if self.raise_in_decision and x is self.switch.exchange:
+        def decide(exchange: Any, event: Any, now: int) -> Any:
+            if self.raise_in_decision and exchange is self.switch.exchange:
                 self.raise_in_decision = False
                 raise KeyError("broken on purpose")
-            return real(x, event, now)
+            return unpatched(exchange, event, now)
 
         with patched(runner_module, "decide", decide):
             return play_day(self.day, self.make_switch, prepare=self.prepare)
@@ -211,38 +219,38 @@
 
 @contextmanager
 def patched(where: Any, name: str, value: Any) -> Iterator[None]:
-    before = getattr(where, name)
+    original = getattr(where, name)
     setattr(where, name, value)
     try:
         yield
     finally:
-        setattr(where, name, before)
+        setattr(where, name, original)
 
 
 # ---- faults ----
 
 
-def cut_off(s: FaultInjection) -> None:
-    for pipe in s.net.links(s.peer_host, s.host):
+def truncate_stream(injection: FaultInjection) -> None:
+    for pipe in injection.net.links(injection.peer_host, injection.host):
         pipe.write(b"\x01\x00\x00\x40half")
         pipe.close()
 
 
-def half_open(s: FaultInjection) -> None:
-    if s.office is not None:
-        s.inject("half_open", 5.0, s.office)
-        if s.office != s.number:
+def half_open_connection(injection: FaultInjection) -> None:
+    if injection.office is not None:
+        injection.inject("half_open", 5.0, injection.office)
+        if injection.office != injection.number:
             return
-    # The callers' link, or the own office's: no longer than an answer may take.
-    s.net.spoil(s.host, s.peer_host).silent = True
-    other = s.peer_host
-    s.later(1.0, setattr, s.net.spoil(s.host, other), "silent", False)
-    s.later(1.0, s.net.heal, s.host, other)
+    # The callers' connection, or the own office's: no longer than an answer may take.
+    injection.net.spoil(injection.host, injection.peer_host).silent = True
+    peer_host = injection.peer_host
+    injection.later(1.0, setattr, injection.net.spoil(injection.host, peer_host), "silent", False)
+    injection.later(1.0, injection.net.heal, injection.host, peer_host)
 
 
-def doubled(s: FaultInjection) -> None:
-    """What comes in the next second and a half comes twice."""
-    switch: Any = s.switch
+def duplicate_events(injection: FaultInjection) -> None:
+    """Handle each event of the next second and a half twice."""
+    switch: Any = injection.switch
     names = [
         "call_received",
         "caller_hung_up",
@@ -263,97 +271,105 @@
             return once(*args)
 
         setattr(switch, name, twice)
-        s.later(1.5, switch.__dict__.pop, name, None)
+        injection.later(1.5, switch.__dict__.pop, name, None)
 
 
-def restarted(s: FaultInjection) -> None:
-    if s.office is None:
-        port = s.town.callers[s.number].link.current
-        assert port
-        port.fail("restarts", notify_peer=False)
+def restart_other_end(injection: FaultInjection) -> None:
+    if injection.office is None:
+        channel = injection.town.callers[injection.number].link.current
+        assert channel
+        channel.fail("restarts", notify_peer=False)
     else:
-        s.inject("crash", 0.3, s.office)
+        injection.inject("crash", 0.3, injection.office)
 
 
-def disk_damaged(s: FaultInjection) -> None:
-    for blob in s.fleet.disks[s.number].files.values():
+def damage_disk(injection: FaultInjection) -> None:
+    for blob in injection.fleet.disks[injection.number].files.values():
         blob.now[4200:9000] = bytes(len(blob.now[4200:9000]))
 
 
-def disk_full(s: FaultInjection) -> None:
-    s.fleet.disks[s.number].full = True
-    s.later(2.0, setattr, s.fleet.disks[s.number], "full", False)
+def fill_disk(injection: FaultInjection) -> None:
+    injection.fleet.disks[injection.number].full = True
+    injection.later(2.0, setattr, injection.fleet.disks[injection.number], "full", False)
 
 
-def list_shut(s: FaultInjection) -> None:
-    s.net.spoil(s.host, "register").broken = True
-    s.net.cut(s.host, "register")
+def cut_register(injection: FaultInjection) -> None:
+    injection.net.spoil(injection.host, "register").broken = True
+    injection.net.cut(injection.host, "register")
 
 
 class FailingLedger:
-    """A ledger that fails at every word."""
+    """A ledger whose methods all raise."""
 
-    def answered(self, *what: Any) -> None:
+    def answered(self, *arguments: Any) -> None:
         raise OSError("broken on purpose")
 
     ended = local_dialogue_ended = answered
 
 
 FAULTS: dict[str, Callable[[FaultInjection], None]] = {
-    "malformed": lambda s: s.send_bytes(b"\x01\x00\x00\x05\xc1\xc1\xc1\xc1\xc1"),
-    "cut off": cut_off,
-    "too large": lambda s: s.send_bytes(b"\x01\x7f\xff\xff"),
-    "silent": lambda s: s.inject("hang", 2.0, 1 if s.office is None else s.office),
-    "half open": half_open,
-    "closed": lambda s: cast(None, s.net.cut(s.host, s.peer_host)),
-    "doubled": doubled,
-    "reordered": lambda s: s.inject("answer_reordered", 1.5, 1 if s.office is None else s.office),
-    "lost": lambda s: s.inject("answer_lost", 1.5, 1 if s.office is None else s.office),
-    "cut there": lambda s: s.inject("answer_lost", 1.5, 1 if s.office is None else s.office, "reset"),
-    "other side restarted": restarted,
-    "own process paused": lambda s: s.inject("server_paused", 1.5, s.number),
-    "own process killed": lambda s: s.inject("server_killed", 1.0, s.number),
-    "disk full": disk_full,
-    "disk damaged": disk_damaged,
-    "list old": lambda s: s.town.register.restart(3),
-    "list shut": list_shut,
-    "decision raises": lambda s: setattr(s, "raise_in_decision", True),
-    "hook raises": lambda s: None,  # at each dialogue of the day
-    "ledger raises": lambda s: setattr(s.switch, "ledger", FailingLedger()),
+    "malformed": lambda injection: injection.send_bytes(b"\x01\x00\x00\x05\xc1\xc1\xc1\xc1\xc1"),
+    "truncated": truncate_stream,
+    "too large": lambda injection: injection.send_bytes(b"\x01\x7f\xff\xff"),
+    "silent": lambda injection: injection.inject(
+        "hang", 2.0, 1 if injection.office is None else injection.office
+    ),
+    "half open": half_open_connection,
+    "closed": lambda injection: cast(None, injection.net.cut(injection.host, injection.peer_host)),
+    "duplicated": duplicate_events,
+    "reordered": lambda injection: injection.inject(
+        "answer_reordered", 1.5, 1 if injection.office is None else injection.office
+    ),
+    "lost": lambda injection: injection.inject(
+        "answer_lost", 1.5, 1 if injection.office is None else injection.office
+    ),
+    "cut by the other end": lambda injection: injection.inject(
+        "answer_lost", 1.5, 1 if injection.office is None else injection.office, "reset"
+    ),
+    "other side restarted": restart_other_end,
+    "own process paused": lambda injection: injection.inject("server_paused", 1.5, injection.number),
+    "own process killed": lambda injection: injection.inject("server_killed", 1.0, injection.number),
+    "disk full": fill_disk,
+    "disk damaged": damage_disk,
+    "outdated list": lambda injection: injection.town.register.restart(3),
+    "register unreachable": cut_register,
+    "decision raises": lambda injection: setattr(injection, "raise_in_decision", True),
+    "hook raises": lambda injection: None,  # raises at each dialogue of the day
+    "ledger raises": lambda injection: setattr(injection.switch, "ledger", FailingLedger()),
 }
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("stage", STAGES)
 def test_a_fault_at_a_stage_breaks_no_rule_and_leaves_no_state_behind(stage: str, fault: str) -> None:
-    struck = FaultInjection(stage, fault)
-    done = struck.play()
-    assert struck.injected, "the stage was never reached"
-    assert done.verdict.breaks == [] and done.verdict.seen["dialogues"] > 30
-    assert struck.leftovers == [] and not done.left_open and not done.lost_circuits
+    injection = FaultInjection(stage, fault)
+    played = injection.play()
+    assert injection.injected, "the stage was never reached"
+    assert played.verdict.breaks == [] and played.verdict.seen["dialogues"] > 30
+    assert injection.leftovers == [] and not played.left_open and not played.lost_circuits
 
 
 class NeverReleasesCircuits(Switch):
-    """Forgets to give circuits back when the far end has confirmed."""
+    """Does not free circuits when the far end has confirmed the release."""
 
     def _finish_release(self, dial: PendingDial, now: int) -> None:
         pass
 
 
 @pytest.mark.parametrize(
-    ("rule", "base", "stage", "fault"),
+    ("rule", "switch_class", "stage", "fault"),
     [
-        (1, AnswersTwice, "stands", "closed"),
-        (2, DialsTwoAtOnce, "dial out", "silent"),
-        (3, HearsNoDrains, "drain", "list old"),
+        (1, AnswersTwice, "established", "closed"),
+        (2, DialsTwoAtOnce, "dial sent", "silent"),
+        (3, HearsNoDrains, "drain", "outdated list"),
         (4, FloodsTheCold, "cold office", "reordered"),
-        (5, ResendsAtOnce, "dial out", "cut there"),
-        (0, NeverReleasesCircuits, "release", "doubled"),
+        (5, ResendsAtOnce, "dial sent", "cut by the other end"),
+        (0, NeverReleasesCircuits, "release", "duplicated"),
     ],
 )
 def test_deliberate_bugs_in_the_server_are_detected(
-    rule: int, base: type[Switch], stage: str, fault: str
+    rule: int, switch_class: type[Switch], stage: str, fault: str
 ) -> None:
-    struck = FaultInjection(stage, fault, base, setup="40ms" if rule == 4 else "10ms")
-    done = struck.play()
-    assert rule in broken_rules(done) if rule else struck.leftovers
+    injection = FaultInjection(stage, fault, switch_class, setup="40ms" if rule == 4 else "10ms")
+    played = injection.play()
+    assert rule in broken_rules(played) if rule else injection.leftovers
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""What whole-path tests share: small days in virtual time, and two ports on an emulated network."""
+"""Shared by the end-to-end tests: small days in virtual time, and two connected channels on an emulated network."""
 
 import random
 from collections.abc import Callable
@@ -45,9 +45,9 @@
 }
 
 
-def day(n: int = 3, rate: float = 8.0, group: int = 20, setup: str = "10ms", **over: Any) -> Day:
-    """A day of `n` exchanges, all pairs linked, `rate` dialogues a second from each."""
-    plain = {
+def day(n: int = 3, rate: float = 8.0, group: int = 20, setup: str = "10ms", **overrides: Any) -> Day:
+    """A day of `n` exchanges with trunk groups between all pairs and `rate` dialogues a second from each."""
+    settings = {
         "name": "test",
         "seed": 7,
         "length": "10s",
@@ -65,69 +65,69 @@
             for i in range(n)
         ],
         "groups": [{"ends": [a, b], "size": group} for a in range(n) for b in range(a + 1, n)],
-        **over,
+        **overrides,
     }
-    made = checked.read(plain, Day, "test")
-    check(made, "test")
-    return made
+    checked_day = checked.read(settings, Day, "test")
+    check(checked_day, "test")
+    return checked_day
 
 
-def fault_line(kind: str, at: str = "2s", length: str = "4s", **over: Any) -> dict[str, Any]:
-    """One trouble of a day."""
-    return {"kind": kind, "at": at, "length": length, **over}
+def fault_line(kind: str, at: str = "2s", length: str = "4s", **overrides: Any) -> dict[str, Any]:
+    """The settings of one fault of a day."""
+    return {"kind": kind, "at": at, "length": length, **overrides}
 
 
 def play_day(
-    made: Day,
+    day: Day,
     make_switch: Callable[..., Switch] = Switch,
     clocks: dict[int, float] | None = None,
     prepare: Callable[[Town, InProcess], None] | None = None,
 ) -> play.Played:
-    """A day in virtual time, with call servers of another make, clocks that differ, or a hand in it."""
+    """Run a day in virtual time, optionally with other call servers, with clocks that differ, or after `prepare`."""
     loop = VirtualLoop()
     try:
-        net = EmulatedNetwork(loop, made.seed, zone_delay(made), made.net.jitter)
+        net = EmulatedNetwork(loop, day.seed, zone_delay(day), day.net.jitter)
         addresses = HostAddresses()
         fleet = InProcess(
-            loop, made, addresses, net, play.quiet_log, make_switch=make_switch, clocks=clocks or {}
+            loop, day, addresses, net, play.quiet_log, make_switch=make_switch, clocks=clocks or {}
         )
-        town = Town(loop, made, net.at, addresses, fleet, play.VirtualWire(net))
+        town = Town(loop, day, net.at, addresses, fleet, play.VirtualWire(net))
         if prepare:
             prepare(town, fleet)
-        return play._run(loop, made, town, fleet, None, None, 0.0, loop.advance)
+        return play._run(loop, day, town, fleet, None, None, 0.0, loop.advance)
     finally:
         loop.close()
 
 
-def broken_rules(done: play.Played) -> list[int]:
-    """The rules that were broken."""
-    return sorted({one.rule for one in done.verdict.breaks})
+def broken_rules(played: play.Played) -> list[int]:
+    """The numbers of the rules that were broken."""
+    return sorted({violation.rule for violation in played.verdict.breaks})
 
 
 class RecordingOwner:
-    """An owner of ports that writes down what it is told."""
+    """A channel owner that records all events."""
 
     def __init__(self) -> None:
         self.opened: list[Channel] = []
         self.received: list[frames.AnyFrame] = []
         self.close_reasons: list[str] = []
 
-    def channel_opened(self, port: Channel) -> None:
-        self.opened.append(port)
+    def channel_opened(self, channel: Channel) -> None:
+        self.opened.append(channel)
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
         if not isinstance(frame, frames.Heartbeat):
             self.received.append(frame)
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        self.close_reasons.append(why)
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        self.close_reasons.append(reason)
 
-    def circuits_held(self, port: Channel) -> int:
+    def circuits_held(self, channel: Channel) -> int:
         return 0
 
 
 class ConnectedChannels:
-    """A call server's end and an office's, linked."""
+    """Two connected channels: the end of a call server and that of an office."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
@@ -147,5 +147,5 @@
 
 
 def chance() -> random.Random:
-    """A seeded generator."""
+    """A random generator with a fixed seed."""
     return random.Random(5)
