--- a/tests/test_collector.py
+++ b/tests/test_collector.py
@@ -1,4 +1,4 @@
-"""Full collections of garbage do not hold the loop up for what the start has left."""
+"""A full garbage collection does not visit the objects created at the start."""
 
 import gc
 
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -1,4 +1,4 @@
-"""The seam to the network: only loopback, and every try ends in a link or a word."""
+"""The network interface: only loopback, and each attempt ends in a connection or a reported failure."""
 
 import asyncio
 import socket
@@ -41,35 +41,35 @@
     "address", ["127." + "x" * 70 + ":7000", "127.0.0.1:²", "127.evil.example:7000", "nowhere"]
 )
 def test_connecting_to_an_invalid_address_reports_a_failure(address: str) -> None:
-    async def tried() -> str:
+    async def attempt() -> str:
         loop = asyncio.get_running_loop()
-        word: asyncio.Future[str] = loop.create_future()
-        LoopbackNetwork(loop).connect(address, asyncio.BufferedProtocol, word.set_result)
-        return await asyncio.wait_for(word, 30)
+        failure_text: asyncio.Future[str] = loop.create_future()
+        LoopbackNetwork(loop).connect(address, asyncio.BufferedProtocol, failure_text.set_result)
+        return await asyncio.wait_for(failure_text, 30)
 
-    assert asyncio.run(tried())
+    assert asyncio.run(attempt())
 
 
 def test_listening_at_an_address_in_use_reports_an_error() -> None:
-    async def tried() -> list[dict[str, object]]:
-        loop, said = asyncio.get_running_loop(), list[dict[str, object]]()
-        loop.set_exception_handler(lambda loop, context: said.append(context))
+    async def attempt() -> list[dict[str, object]]:
+        loop, errors = asyncio.get_running_loop(), list[dict[str, object]]()
+        loop.set_exception_handler(lambda loop, context: errors.append(context))
         server = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         LoopbackNetwork(loop).listen(f"127.0.0.1:{port}", asyncio.BufferedProtocol, lambda listener: None)
         for _ in range(100):
             await asyncio.sleep(0.01)
-            if said:
+            if errors:
                 break
         server.close()
-        return said
+        return errors
 
-    [said] = asyncio.run(tried())
-    assert isinstance(said["exception"], OSError) and "listen" in str(said["message"])
+    [error_context] = asyncio.run(attempt())
+    assert isinstance(error_context["exception"], OSError) and "listen" in str(error_context["message"])
 
 
 def test_nagles_algorithm_is_disabled_at_both_ends_of_a_connection() -> None:
-    # Guards against Nagle's algorithm: it held answers back until the other end's delayed acknowledgement.
+    # Guards against Nagle's algorithm, which delayed answers until the other end's delayed acknowledgement.
     class End(asyncio.BufferedProtocol):
         def __init__(self, came_up: asyncio.Future[asyncio.BaseTransport]) -> None:
             self.came_up = came_up
@@ -85,21 +85,21 @@
         address = (await asyncio.wait_for(listener, 30)).address
         network.connect(address, lambda: End(ends[1]), lambda failure: ends[1].cancel())
         transports = await asyncio.wait_for(asyncio.gather(*ends), 30)
-        options = [
+        no_delay = [
             transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             for transport in transports
         ]
         for transport in transports:
             transport.abort()
         listener.result().close()
-        return options
+        return no_delay
 
     for host in ("127.0.0.1", "::1"):
         assert all(asyncio.run(nodelay(host)))
 
 
 class Reader(asyncio.BufferedProtocol):
-    """Keeps what it reads; `greeting` is written as soon as the connection is up."""
+    """Collects what it reads; writes `greeting` as soon as the connection is up."""
 
     def __init__(self, read: bytearray, greeting: bytes = b"") -> None:
         self.read, self.greeting, self.buffer = read, greeting, bytearray(100)
@@ -142,35 +142,37 @@
 
 
 def test_datagrams_are_sent_and_received_on_the_real_event_loop() -> None:
-    # asyncio's own transport for them is no asyncio.DatagramTransport in Python 3.11: an assertion of it failed on the
-    # platform alone.
-    async def tried() -> tuple[bytes, str]:
+    # asyncio's own datagram transport is not an asyncio.DatagramTransport in Python 3.11: an assertion that it is one
+    # failed only on the platform.
+    async def attempt() -> tuple[bytes, str]:
         loop = asyncio.get_running_loop()
-        network, came = LoopbackNetwork(loop), loop.create_future()
-        faults: list[dict[str, object]] = []
-        loop.set_exception_handler(lambda loop, context: faults.append(context))
+        network, arrived = LoopbackNetwork(loop), loop.create_future()
+        errors: list[dict[str, object]] = []
+        loop.set_exception_handler(lambda loop, context: errors.append(context))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(("127.0.0.1", 0))
             other.settimeout(30)
-            there = f"127.0.0.1:{other.getsockname()[1]}"
-            made: asyncio.Future[DatagramSender] = loop.create_future()
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-                free.bind(("127.0.0.1", 0))
-                port = free.getsockname()[1]
+            other_address = f"127.0.0.1:{other.getsockname()[1]}"
+            sender_ready: asyncio.Future[DatagramSender] = loop.create_future()
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unused:
+                unused.bind(("127.0.0.1", 0))
+                port = unused.getsockname()[1]
             network.open_datagrams(
-                f"127.0.0.1:{port}", lambda data, address: came.set_result((data, address)), made.set_result
+                f"127.0.0.1:{port}",
+                lambda data, address: arrived.set_result((data, address)),
+                sender_ready.set_result,
             )
-            sender = await asyncio.wait_for(made, 30)
-            sender.send(b"to", there)
+            sender = await asyncio.wait_for(sender_ready, 30)
+            sender.send(b"to", other_address)
             data, address = await loop.run_in_executor(None, other.recvfrom, 100)
             assert data == b"to" and address[1] == port
             other.sendto(b"fro", address)
-            got: tuple[bytes, str] = await asyncio.wait_for(came, 30)
+            received: tuple[bytes, str] = await asyncio.wait_for(arrived, 30)
             sender.close()
-        assert not faults and got[1] == there
-        return got
+        assert not errors and received[1] == other_address
+        return received
 
-    assert asyncio.run(tried())[0] == b"fro"
+    assert asyncio.run(attempt())[0] == b"fro"
 
 
 @pytest.mark.parametrize("host", ["board.example", "localhost", "", "10.1", "127.0.0.1.example"])
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,5 @@
-"""A few whole paths on real loopback sockets and in real processes. No bound here is on how long a thing takes."""
+"""End-to-end tests on real loopback sockets and in real processes. None of them limits the time that something
+takes."""
 
 import json
 import os
@@ -20,40 +21,40 @@
 from wellhitch.lab.play import play_sockets
 from wellhitch.settings.server import LedgerSettings
 
-PATIENCE_S = 60.0  # a test that has waited so long has failed
+TIMEOUT_S = 60.0  # a condition that is not met by then has failed
 
 
-def small_day(**over: Any) -> Any:
-    brief = [{**use, "hold": "300ms"} for use in USE_CASES]
-    return day(n=3, rate=10, length="3s", tail="20s", use_cases=brief, **over)
+def small_day(**settings: Any) -> Any:
+    short_calls = [{**use, "hold": "300ms"} for use in USE_CASES]
+    return day(n=3, rate=10, length="3s", tail="20s", use_cases=short_calls, **settings)
 
 
 def test_the_same_day_on_sockets_and_in_virtual_time(tmp_path: Path) -> None:
-    made = small_day(troubles=[fault_line("answer_lost", at="1s", length="1s", size=0.3)])
-    real, virtual = play_sockets(made, tmp_path, processes=False), play_day(made)
+    sheet = small_day(troubles=[fault_line("answer_lost", at="1s", length="1s", size=0.3)])
+    real, virtual = play_sockets(sheet, tmp_path, processes=False), play_day(sheet)
     assert real.verdict.breaks == [] and virtual.verdict.breaks == []
     assert not real.left_open and not real.lost_circuits
-    # The callers' draws are the same, so the same dialogues are asked for, up to those at the very end.
+    # The callers' random numbers are the same, so they request the same dialogues, except at the very end.
     asked = [sum(one.asked for one in done.service.by_use_case.values()) for done in (real, virtual)]
     assert abs(asked[0] - asked[1]) <= max(asked) // 2
     assert abs(real.service.whole - virtual.service.whole) < 0.5
 
 
 def test_a_day_with_each_call_server_in_a_separate_process(tmp_path: Path) -> None:
-    made = small_day(
+    sheet = small_day(
         troubles=[
             fault_line("server_killed", at="1s", length="1s", on=[2]),
             fault_line("server_paused", at="1s", length="1s", on=[1]),
         ]
     )
-    done = play_sockets(made, tmp_path, processes=True)
+    done = play_sockets(sheet, tmp_path, processes=True)
     assert done.verdict.breaks == [] and done.verdict.seen["dialogues"] > 20
     assert not done.left_open
 
 
 @pytest.fixture
 def served(tmp_path: Path) -> Iterator[tuple[subprocess.Popen[bytes], Path, LoopbackAddresses]]:
-    """A call server alone in a process, with nobody to follow."""
+    """A single call server in a process, without a register."""
     addresses = LoopbackAddresses()
     sheet = tmp_path / "x.jsonnet"
     sheet.write_bytes(msgspec.json.encode(sheet_of(small_day(), 0, addresses)))
@@ -68,43 +69,45 @@
         process.wait()
 
 
-def wait_for(seen: Any) -> None:
-    until = time.monotonic() + PATIENCE_S
-    while not seen():
-        assert time.monotonic() < until, "it did not come"
+def wait_for(condition: Any) -> None:
+    deadline = time.monotonic() + TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.02)
 
 
 def request(address: str, text: bytes) -> bytes:
     host, _, port = address.rpartition(":")
-    with socket.create_connection((host, int(port)), timeout=PATIENCE_S) as line:
-        line.sendall(text)
-        return b"".join(iter(lambda: line.recv(65536), b""))
+    with socket.create_connection((host, int(port)), timeout=TIMEOUT_S) as connection:
+        connection.sendall(text)
+        return b"".join(iter(lambda: connection.recv(65536), b""))
 
 
 def test_operator_requests_are_answered_and_invalid_clients_get_one_error(
     served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses],
 ) -> None:
     process, log, addresses = served
-    door = addresses.of("server-0", "operators")
-    assert json.loads(request(door, b"status\n"))["number"] == 0
-    assert b"wellhitch_held 0.0" in request(door, b"metrics\n")
-    assert b"unknown request 'shutdown': status, metrics, hooks or ledger" in request(door, b"shutdown\n")
-    assert b"a request over" in request(door, b"x" * 2000)
-    told = request(addresses.of("server-0", "callers"), b"GET / HTTP/1.1\r\n\r\n")
-    assert b"version 71, not 1" in told and told.count(b"Fault") == 1
-    assert json.loads(request(door, b"status\n"))["held"] == 0  # and it goes on
+    operators = addresses.of("server-0", "operators")
+    assert json.loads(request(operators, b"status\n"))["number"] == 0
+    assert b"wellhitch_held 0.0" in request(operators, b"metrics\n")
+    assert b"unknown request 'shutdown': status, metrics, hooks or ledger" in request(
+        operators, b"shutdown\n"
+    )
+    assert b"a request over" in request(operators, b"x" * 2000)
+    reply = request(addresses.of("server-0", "callers"), b"GET / HTTP/1.1\r\n\r\n")
+    assert b"version 71, not 1" in reply and reply.count(b"Fault") == 1
+    assert json.loads(request(operators, b"status\n"))["held"] == 0  # and it still runs
     assert process.poll() is None and b"Traceback" not in log.read_bytes()
 
 
 def test_startup_objects_are_excluded_from_garbage_collection(
     served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses],
 ) -> None:
-    # Guards against pauses longer than what is kept free before a deadline: each full collection took 25 to 43 ms.
+    # Guards against pauses longer than the margin before a deadline: each full collection took 25 to 43 ms.
     _, log, _ = served
     wait_for(lambda: '"startup_objects_frozen"' in log.read_text())
-    [line] = [json.loads(line) for line in log.read_text().splitlines() if "startup_objects_frozen" in line]
-    assert line["objects"] > 20_000
+    [entry] = [json.loads(line) for line in log.read_text().splitlines() if "startup_objects_frozen" in line]
+    assert entry["objects"] > 20_000
 
 
 def test_sigterm_stops_the_call_server(
@@ -112,7 +115,7 @@
 ) -> None:
     process, log, _ = served
     os.kill(process.pid, signal.SIGTERM)
-    assert process.wait(PATIENCE_S) == 0
+    assert process.wait(TIMEOUT_S) == 0
     assert '"stopped"' in log.read_text()
 
 
@@ -122,7 +125,7 @@
     done = subprocess.run(
         [sys.executable, "-m", "wellhitch", "serve", str(tmp_path / "x.jsonnet")],
         capture_output=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 2 and b"Traceback" not in done.stderr
     assert b"address already in use" in done.stderr.lower()
@@ -131,14 +134,14 @@
 def test_one_listen_address_in_use_ends_the_process_with_one_error(
     served: tuple[subprocess.Popen[bytes], Path, LoopbackAddresses], tmp_path: Path
 ) -> None:
-    """It ran on without its operators' door, and nobody could ask it anything."""
+    """Guards against a call server that keeps running without its operators' listener and cannot be queried."""
     sheet = json.loads((tmp_path / "x.jsonnet").read_bytes())
     sheet["doors"] |= {"callers": "127.0.0.1:0", "peers": ""}
     (tmp_path / "y.jsonnet").write_text(json.dumps(sheet))
     done = subprocess.run(
         [sys.executable, "-m", "wellhitch", "serve", str(tmp_path / "y.jsonnet")],
         capture_output=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 2 and b"Traceback" not in done.stderr
     assert f"cannot listen at {sheet['doors']['operators']}".encode() in done.stderr
@@ -146,9 +149,9 @@
 
 def test_damaged_hook_state_is_dropped_and_logged_and_written_again_at_exit(tmp_path: Path) -> None:
     addresses = LoopbackAddresses()
-    texts = {"a": 'on tick { remember("ticks", recall("ticks", 0) + 1, 1h) }'}
-    made = msgspec.structs.replace(sheet_of(small_day(hooks=texts), 0, addresses), hooks_state="kept")
-    (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(made))
+    hooks = {"a": 'on tick { remember("ticks", recall("ticks", 0) + 1, 1h) }'}
+    sheet = msgspec.structs.replace(sheet_of(small_day(hooks=hooks), 0, addresses), hooks_state="kept")
+    (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(sheet))
     (tmp_path / "kept").write_bytes(b"\x00garbage")
     log = tmp_path / "log"
     with log.open("wb") as out:
@@ -156,23 +159,23 @@
         process = subprocess.Popen(command, stderr=out)
     try:
         wait_for(lambda: log.read_text().count('"listening"') >= 3)
-        door = addresses.of("server-0", "operators")
-        wait_for(lambda: json.loads(request(door, b"hooks\n"))["remembered"].get("a") == 1)
+        operators = addresses.of("server-0", "operators")
+        wait_for(lambda: json.loads(request(operators, b"hooks\n"))["remembered"].get("a") == 1)
         assert "hooks_state_dropped" in log.read_text()
         process.terminate()
-        assert process.wait(PATIENCE_S) == 0
+        assert process.wait(TIMEOUT_S) == 0
     finally:
         process.kill()
-    found, words = decode_state((tmp_path / "kept").read_bytes(), 0)
-    assert words == [] and "ticks" in found["a"].values
+    states, problems = decode_state((tmp_path / "kept").read_bytes(), 0)
+    assert problems == [] and "ticks" in states["a"].values
 
 
 def test_a_call_server_with_a_ledger_stops_in_time_and_loses_nothing(tmp_path: Path) -> None:
-    """The one word that all is on disk was said to nobody: each stop took 10 s and ended in a traceback."""
+    """Guards against a lost notification that all is on disk: each stop took 10 s and ended in a traceback."""
     addresses = LoopbackAddresses()
-    made = sheet_of(small_day(), 0, addresses)
-    made = msgspec.structs.replace(made, ledger=LedgerSettings("kept", [0]))
-    (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(made))
+    sheet = sheet_of(small_day(), 0, addresses)
+    sheet = msgspec.structs.replace(sheet, ledger=LedgerSettings("kept", [0]))
+    (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(sheet))
     log = tmp_path / "log"
     with log.open("wb") as out:
         command = [sys.executable, "-m", "wellhitch", "serve", str(tmp_path / "x.jsonnet")]
@@ -180,7 +183,7 @@
     try:
         wait_for(lambda: "store_opened" in log.read_text() and log.read_text().count('"listening"') >= 3)
         process.terminate()
-        assert process.wait(PATIENCE_S) == 0
+        assert process.wait(TIMEOUT_S) == 0
     finally:
         process.kill()
         process.wait()
