--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -10,8 +10,8 @@
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
 from wellhitch.settings.day import FAULT_KINDS, Day
-from wellhitch.stand_ins.town import Town
-from wellhitch.stand_ins.troubles import TABLE
+from wellhitch.stand_ins.faults import TABLE
+from wellhitch.stand_ins.simulated_fleet import Town
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Note
 
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -26,7 +26,7 @@
 from wellhitch.hooks.values import Duration, ListValue, Record
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
-from wellhitch.stand_ins.town import Town
+from wellhitch.stand_ins.simulated_fleet import Town
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Note
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -17,8 +17,8 @@
 from wellhitch.server.dials import DialState, PendingDial
 from wellhitch.server.switch import Switch
 from wellhitch.settings.day import Day, FaultSettings
-from wellhitch.stand_ins.town import Town
-from wellhitch.stand_ins.troubles import TABLE
+from wellhitch.stand_ins.faults import TABLE
+from wellhitch.stand_ins.simulated_fleet import Town
 from wellhitch.trunk import frames
 
 FROM = 4.0  # virtual seconds: links stand, and callers have called for one
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,7 +11,7 @@
 from wellhitch.server.switch import Switch
 from wellhitch.settings import checked
 from wellhitch.settings.day import Day, check
-from wellhitch.stand_ins.town import Town
+from wellhitch.stand_ins.simulated_fleet import Town
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel
 
--- a/wellhitch/cli/day.py
+++ b/wellhitch/cli/day.py
@@ -16,7 +16,7 @@
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.settings.day import Day
 from wellhitch.settings.day import check as check_day
-from wellhitch.stand_ins.troubles import CannotPlay
+from wellhitch.stand_ins.faults import CannotPlay
 from wellhitch.store.files import read_file
 
 
--- a/wellhitch/emulator/network.py
+++ b/wellhitch/emulator/network.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wellhitch.emulator.party import PartyLoop
+from wellhitch.emulator.pausable_loop import PartyLoop
 from wellhitch.net.transport import ConnectFailure, DatagramHandler, DatagramSender, Listener, ProtocolFactory
 
 Delay = Callable[[str, str], int]
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -17,7 +17,7 @@
 
 from wellhitch.emulator.disk import EmulatedDisk
 from wellhitch.emulator.network import EmulatedNetwork
-from wellhitch.emulator.party import PartyLoop
+from wellhitch.emulator.pausable_loop import PartyLoop
 from wellhitch.interface.events import ServerStarted
 from wellhitch.lab.loopback import own_address
 from wellhitch.ledger.entries import NumberKeys
@@ -34,7 +34,7 @@
     duration_us,
     start_event,
 )
-from wellhitch.stand_ins.troubles import CannotPlay
+from wellhitch.stand_ins.faults import CannotPlay
 
 
 class HostAddresses:
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -22,8 +22,8 @@
 from wellhitch.settings.day import Day
 from wellhitch.settings.server import duration_us
 from wellhitch.stand_ins.accounting import Accounting, Booked, Ills
-from wellhitch.stand_ins.town import Town
-from wellhitch.stand_ins.troubles import schedule
+from wellhitch.stand_ins.faults import schedule
+from wellhitch.stand_ins.simulated_fleet import Town
 from wellhitch.store.records import DamagedRecord
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Capture, Note, read_capture, read_folder
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -17,8 +17,8 @@
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
 from wellhitch.settings.server import duration_us
-from wellhitch.stand_ins.town import Town
-from wellhitch.stand_ins.troubles import schedule
+from wellhitch.stand_ins.faults import schedule
+from wellhitch.stand_ins.simulated_fleet import Town
 from wellhitch.trunk.capture import Capture, read_capture, read_folder
 
 COME_UP_S = 3.0  # until all links stand, before the first caller
--- a/wellhitch/stand_ins/troubles.py
+++ b/wellhitch/stand_ins/faults.py
@@ -9,7 +9,7 @@
 
 from wellhitch.settings.day import FaultSettings
 from wellhitch.settings.server import duration_us
-from wellhitch.stand_ins.town import Town
+from wellhitch.stand_ins.simulated_fleet import Town
 
 Undo = Callable[[], None]
 Begin = Callable[[Town, FaultSettings], Undo | None]
