--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -12,7 +12,7 @@
 from wellhitch.net.transport import now_us
 from wellhitch.platform.configuration import Addresses, Configuration
 from wellhitch.platform.service import Service
-from wellhitch.stand_ins.platform import Board, Caller, PlatformOffice, invite
+from wellhitch.stand_ins.platform import Caller, DiscoveryServer, PlatformOffice, invite
 
 SECOND = 1_000_000
 UNIX_START_US = 1_796_000_000 * SECOND  # Unix time when the loop's clock is 0
@@ -75,7 +75,7 @@
         self.log: list[tuple[str, dict[str, Any]]] = []
         self.stopped = False
         self.offices = {number: self.office(number) for number in (1, 2)}
-        self.discovery = Board(self.loop, self.net.at("10.2.0.1"), DISCOVERY)
+        self.discovery = DiscoveryServer(self.loop, self.net.at("10.2.0.1"), DISCOVERY)
         self.service = self.start_server(**over)
         self.core = self.service.core
         self.counts = self.core.counts
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -10,8 +10,8 @@
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
 from wellhitch.settings.day import FAULT_KINDS, Day
-from wellhitch.stand_ins.faults import TABLE
-from wellhitch.stand_ins.simulated_fleet import Town
+from wellhitch.stand_ins.faults import FAULT_INJECTORS
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Note
 
@@ -171,7 +171,7 @@
 
 
 def test_every_kind_of_trouble_has_its_play_and_its_proof() -> None:
-    assert set(TABLE) == set(FAULT_KINDS) == set(MORE)
+    assert set(FAULT_INJECTORS) == set(FAULT_KINDS) == set(MORE)
 
 
 @pytest.mark.parametrize("kind", FAULT_KINDS)
@@ -341,8 +341,8 @@
 def test_what_the_operators_see_is_there() -> None:
     seen: dict[str, Any] = {}
 
-    def look(town: Town, fleet: InProcess) -> None:
-        town.loop.call_later(6, lambda: seen.update(fleet.daemons[0].status()))
+    def look(simulation: SimulatedFleet, fleet: InProcess) -> None:
+        simulation.loop.call_later(6, lambda: seen.update(fleet.daemons[0].status()))
 
     played(day(), meddle=look)
     assert seen["number"] == 0 and {one["id"] for one in seen["offices"]} == {
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -26,7 +26,7 @@
 from wellhitch.hooks.values import Duration, ListValue, Record
 from wellhitch.lab.fleet import InProcess
 from wellhitch.lab.play import Played
-from wellhitch.stand_ins.simulated_fleet import Town
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Note
 
@@ -293,7 +293,7 @@
     sheet_hooks = dict(texts)
     replies: list[str] = []
 
-    def operate(town: Town, fleet: InProcess) -> None:
+    def operate(simulation: SimulatedFleet, fleet: InProcess) -> None:
         def request(command: str, text: str | None = None) -> None:
             if text:
                 sheet_hooks["a"] = text
@@ -314,7 +314,7 @@
             ("drop", None),
         ]
         for index, (command, text) in enumerate(steps):
-            town.loop.call_later(4 + index * 0.5, request, command, text)
+            simulation.loop.call_later(4 + index * 0.5, request, command, text)
 
     done = played(day(rate=30, hooks=texts), meddle=operate)
     assert done.verdict.breaks == [] and not done.left_open
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -49,7 +49,7 @@
 from wellhitch.ledger.reconcile import CompareRanges, RangeSummary
 from wellhitch.ledger.service import SettlementService
 from wellhitch.ledger.settle import Settled
-from wellhitch.stand_ins.accounting import Accounting, Ills
+from wellhitch.stand_ins.accounting import Accounting, AccountingFaults
 from wellhitch.store.engine import StoreError
 
 SECOND = 1_000_000
@@ -59,10 +59,10 @@
 # ---- whole days: totals are what stood by the captures ----
 
 TENANTS = {"tenants": ["north", "south", "east"]}
-ALL_ILLS = Ills(loses_answer=0.3, answers_twice=0.3, wrong_file=0.3, takes_half=0.3)
+ALL_ACCOUNTING_FAULTS = AccountingFaults(loses_answer=0.3, answers_twice=0.3, wrong_file=0.3, takes_half=0.3)
 
 
-def books(ills: Ills, troubles: list[dict[str, Any]], **more: Any) -> ledger_day.Books:
+def books(ills: AccountingFaults, troubles: list[dict[str, Any]], **more: Any) -> ledger_day.Books:
     made = day(ledger=True, callers=TENANTS, length="8s", rate=6.0, troubles=troubles)
     return ledger_day.play(made, ills, **more)
 
@@ -76,7 +76,7 @@
 
 
 def test_a_day_over_a_months_end_is_booked_as_it_stood() -> None:
-    found = books(Ills(), [])
+    found = books(AccountingFaults(), [])
     whole(found)
     assert {one.tenant for one in found.booked.values()} == set(TENANTS["tenants"])
     # The month's end fell into the day: some are booked in each of the two files of each call server.
@@ -85,14 +85,14 @@
 
 def test_killed_call_servers_and_an_accounting_side_that_does_all_wrong() -> None:
     killed = [trouble("server_killed", "2s", "1s", on=[1]), trouble("server_killed", "5s", "2s", on=[2])]
-    found = books(ALL_ILLS, killed)
+    found = books(ALL_ACCOUNTING_FAULTS, killed)
     whole(found, killed_us=SECOND)
     assert found.accounting["took_half"] and found.accounting["lost_answer"]
 
 
 def test_machines_that_lose_power_lose_no_more_than_is_said() -> None:
     killed = [trouble("server_killed", "3s", "1s", on=[0, 1, 2])]
-    found = books(ALL_ILLS, killed, power_cuts=lambda number: True)
+    found = books(ALL_ACCOUNTING_FAULTS, killed, power_cuts=lambda number: True)
     assert not found.verdict.breaks and not found.wrong
     lost = [one for one in ledger_day.differences(found, SECOND) if "is not booked" not in one]
     assert lost == []
@@ -101,14 +101,16 @@
 
 
 def test_clocks_minutes_apart_and_links_that_lose_all_close_the_same_period() -> None:
-    found = books(Ills(), [trouble("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0)
+    found = books(
+        AccountingFaults(), [trouble("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0
+    )
     whole(found)
 
 
 @pytest.mark.parametrize("disk", ["old", "new"])
 def test_an_instance_that_comes_back_with_an_old_disk_or_none_is_brought_level(disk: str) -> None:
     """Its rows come back from the instance that keeps them, and what it had exported from the accounting side."""
-    found = books(Ills(), [], disk=disk, after_s=120.0)
+    found = books(AccountingFaults(), [], disk=disk, after_s=120.0)
     whole(found)
     assert found.counts["ledger_rows_back"] > 20
     if disk == "new":
@@ -119,14 +121,14 @@
 
 
 def test_the_comparison_tells_a_booking_that_is_wrong_missing_or_made_up() -> None:
-    found = books(Ills(), [])
+    found = books(AccountingFaults(), [])
     name, other, third, *_ = sorted(found.booked)
     was = found.booked.pop(name)
     found.booked[0, 1] = was
-    found.booked[other] = ledger_day.Booked(
+    found.booked[other] = ledger_day.BookedTotal(
         found.booked[other].tenant, "", found.booked[other].billed + SECOND, 1
     )
-    found.booked[third] = ledger_day.Booked("nobody", "", found.booked[third].billed, 1)
+    found.booked[third] = ledger_day.BookedTotal("nobody", "", found.booked[third].billed, 1)
     assert len(ledger_day.differences(found)) == 4
 
 
@@ -275,8 +277,8 @@
     return make_file(KEY, 3, sequence, "2026-12", made, before)
 
 
-def accounting(disk: EmulatedDisk, ills: Ills | None = None, seed: int = 1) -> Accounting:
-    return Accounting(disk.open("books"), {3: KEY}, ills or Ills(), random.Random(seed))
+def accounting(disk: EmulatedDisk, ills: AccountingFaults | None = None, seed: int = 1) -> Accounting:
+    return Accounting(disk.open("books"), {3: KEY}, ills or AccountingFaults(), random.Random(seed))
 
 
 def test_a_file_cut_at_each_byte_is_refused_and_booked_once_when_whole() -> None:
@@ -323,7 +325,7 @@
         files[sequence] = a_file(sequence, before)
         before = read_file(KEY, files[sequence]).mac
     sender, now = Sender(KEY, 3, ExportProgress(5), dict(files)), 0
-    side = accounting(disk, ALL_ILLS, seed)
+    side = accounting(disk, ALL_ACCOUNTING_FAULTS, seed)
     deaths = 0
     while sender.files:
         now += RETRY_INTERVAL_US
@@ -340,7 +342,7 @@
         if disk.dead:
             deaths += 1
             disk = disk.after_power_cut(chance.randrange(1000), chance.random())
-            side = accounting(disk, ALL_ILLS, chance.randrange(1000))
+            side = accounting(disk, ALL_ACCOUNTING_FAULTS, chance.randrange(1000))
             back = []
         for receipt in back:
             sender.accept_receipt(receipt)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 from wellhitch.deciding import runner as runner_module
 from wellhitch.interface import events as ev
 from wellhitch.platform.service import descriptor_shares
-from wellhitch.stand_ins.platform import Board, Caller, plain
+from wellhitch.stand_ins.platform import Caller, DiscoveryServer, bodyless_request
 
 
 def call_id(n: int) -> str:
@@ -49,7 +49,7 @@
 def test_caller_can_release_on_any_connection() -> None:
     world = World()
     first, other = world.establish(A), world.caller()
-    other.say(plain("BYE", A))
+    other.say(bodyless_request("BYE", A))
     world.run(0.1)
     assert other.statuses(A, "BYE") == [200] and [line.cause for line in world.offices[1].said("down")] == [
         16
@@ -220,7 +220,7 @@
     caller = world.caller()
     caller.say(invite(A))
     assert world.run_until(1, lambda: A in world.offices[1].by_ref)
-    caller.say(plain("CANCEL", A))
+    caller.say(bodyless_request("CANCEL", A))
     world.run(0.1)
     assert caller.statuses(A, "CANCEL") == [200] and caller.statuses(A) == [487]
     assert [line.cause for line in world.offices[1].said("down")] == [16]
@@ -232,7 +232,7 @@
 def test_cancel_that_crosses_the_answer_releases_both_ends() -> None:
     world = World()
     caller = world.establish(A)
-    caller.say(plain("CANCEL", A))
+    caller.say(bodyless_request("CANCEL", A))
     world.run(0.1)
     assert len(caller.byes(A)) == 1 and [line.cause for line in world.offices[1].said("down")] == [16]
     assert not world.core.calls
@@ -242,7 +242,7 @@
     world = World()
     caller = world.caller()
     more = b"X-Office: s-00000001\r\nX-Load: spare:0;total:50\r\nContent-Length: 0"
-    caller.say(plain("NOTIFY", A).replace(b"Content-Length: 0", more))
+    caller.say(bodyless_request("NOTIFY", A).replace(b"Content-Length: 0", more))
     world.run(0.1)
     assert not caller.heard and world.core.exchange.offices["s-00000001"].free_circuits == 50
 
@@ -257,7 +257,7 @@
     caller.say(invite(A))
     world.run(0.05)
     if action == "cancel":
-        caller.say(plain("CANCEL", A))
+        caller.say(bodyless_request("CANCEL", A))
     else:
         caller.close()
     world.run(2)
@@ -271,7 +271,7 @@
     caller, other = world.caller(), world.caller("10.9.0.2")
     caller.say(invite(A))
     assert world.run_until(1, lambda: A in world.offices[1].by_ref)
-    other.say(plain("CANCEL", A))
+    other.say(bodyless_request("CANCEL", A))
     world.run(0.05)
     assert A in world.core.pending_by_call_id
 
@@ -291,7 +291,7 @@
     world = World()
     caller = world.establish(A)
     world.offices[1].down(A, 16)
-    caller.say(plain("BYE", A))
+    caller.say(bodyless_request("BYE", A))
     world.run(1)
     assert caller.statuses(A, "BYE") == [200] and not world.core.calls and not len(world.core.releases)
 
@@ -301,7 +301,7 @@
     world = World()
     caller = world.establish(A)
     for _ in range(times):
-        caller.say(plain("ACK", A))
+        caller.say(bodyless_request("ACK", A))
     world.run(2)
     assert caller.statuses(A) == [200] and A in world.core.calls
 
@@ -634,7 +634,7 @@
     "nothing": lambda caller: None,
     "body that is no text": _sending(invite(A, body=b"\xff\xfe\xfd")),
     "one id twice": _sending(invite(A) + invite(A, 2)),
-    "method": _sending(plain("REGISTER", A)),
+    "method": _sending(bodyless_request("REGISTER", A)),
 }
 
 
@@ -676,7 +676,7 @@
     world = World()
     not_reading = world.caller("10.9.9.9", reads=False)
     for n in range(900):
-        not_reading.say(plain("OPTIONS", call_id(n)))
+        not_reading.say(bodyless_request("OPTIONS", call_id(n)))
     world.run(1)
     world.establish(A)
     assert world.counts["door.unread"] == 1 and not_reading.closed
@@ -700,7 +700,7 @@
     for n in range(300):
         misbehaving.say(invite(call_id(n)))
     for n in range(300):
-        misbehaving.say(plain("CANCEL", call_id(n)))
+        misbehaving.say(bodyless_request("CANCEL", call_id(n)))
     world.run(0.5)
     assert not world.core.pending_calls and not any(office.dials for office in world.core.offices.values())
 
@@ -725,7 +725,7 @@
     caller = world.establish(A)
     others = [world.caller(f"10.9.8.{n % 250}") for n in range(max_callers + 20)]
     for n, one in enumerate(others):
-        one.say(plain("OPTIONS", call_id(n)))
+        one.say(bodyless_request("OPTIONS", call_id(n)))
     world.run(0.5)
     assert not caller.closed and world.service.callers.open <= max_callers
 
@@ -738,11 +738,11 @@
     first = world.caller()
     others = [world.caller(f"10.9.8.{n % 250}") for n in range(max_callers - 1)]
     for n, one in enumerate([first, *others]):
-        one.say(plain("OPTIONS", call_id(n)))
+        one.say(bodyless_request("OPTIONS", call_id(n)))
     world.run(0.6)
     first.say(invite(call_id(999), 0))  # to the own exchange: rejected at once
     for n in range(20):
-        world.caller(f"10.9.7.{n}").say(plain("OPTIONS", call_id(2000 + n)))
+        world.caller(f"10.9.7.{n}").say(bodyless_request("OPTIONS", call_id(2000 + n)))
     world.run(0.1)
     assert first.statuses(call_id(999)) == [503] and not first.closed
     assert sum(one.closed for one in others) == 20 and world.service.callers.open <= max_callers
@@ -752,7 +752,7 @@
     world = World()
     max_callers, _, _ = descriptor_shares(256)
     for n in range(max_callers):
-        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", call_id(n)))
+        world.caller(f"10.9.8.{n % 250}").say(bodyless_request("OPTIONS", call_id(n)))
     world.run(0.05)
     new = world.caller("10.9.7.1")
     world.run(0.05)
@@ -792,7 +792,7 @@
         world.offices[1].answers = False
         caller.say(invite(A))
         world.run(0.05)
-        caller.say(plain("CANCEL", A))
+        caller.say(bodyless_request("CANCEL", A))
     else:
         caller.say(invite(A))
     world.run(0.1)
@@ -867,7 +867,9 @@
     caller = world.establish(A)
     world.discovery.tell(row(2, READY))
     world.run(0.2)
-    moved = Board(world.loop, world.net.at("10.2.0.2"), "10.2.0.2:8501", list(world.discovery.events))
+    moved = DiscoveryServer(
+        world.loop, world.net.at("10.2.0.2"), "10.2.0.2:8501", list(world.discovery.events)
+    )
     current = world.service.configuration
     world.service.reconfigure(
         replace(current, addresses=replace(current.addresses, discovery="10.2.0.2:8501"))
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -11,7 +11,7 @@
 from wellhitch.platform.set_up_request import MAX_DESCRIPTION_BYTES, SetUp, read_set_up
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.sip import codec as sip
-from wellhitch.stand_ins.platform import invite, plain
+from wellhitch.stand_ins.platform import bodyless_request, invite
 
 CALL_ID = "9b1f03aa5c7e2d41"
 TRAFFIC_CLASSES = {"cheap": 0, "dear": 0}
@@ -37,9 +37,9 @@
 
 SIP_MESSAGES = (
     invite(CALL_ID)
-    + plain("ACK", CALL_ID)
+    + bodyless_request("ACK", CALL_ID)
     + b"\r\n\r\n"
-    + plain("BYE", CALL_ID)
+    + bodyless_request("BYE", CALL_ID)
     + sip.response(200, "Call-ID: x\r\n", b"abc")
 )
 
@@ -94,7 +94,7 @@
 def test_error_carries_the_valid_messages_before_it_and_the_request_to_answer() -> None:
     bad = invite(CALL_ID).replace(b"Content-Length: 14", b"Content-Length: 999999")
     with pytest.raises(sip.BadSip) as caught:
-        sip.Decoder().feed(plain("ACK", CALL_ID) + bad)
+        sip.Decoder().feed(bodyless_request("ACK", CALL_ID) + bad)
     assert [one.method for one in caught.value.before] == ["ACK"]
     assert caught.value.request is not None and caught.value.request.headers["call-id"] == CALL_ID
 
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -13,7 +13,7 @@
     Revisions,
     WatchPolicy,
 )
-from wellhitch.stand_ins.platform import Board
+from wellhitch.stand_ins.platform import DiscoveryServer
 
 SERVER, DISCOVERY_HOST = "10.0.0.1", "10.2.0.1"
 UPDATE_LIMIT_S = 6.0
@@ -97,7 +97,7 @@
 def test_rapid_address_changes_end_at_the_last_address() -> None:
     world = World()
     addresses = ["10.2.0.2:8501", "10.2.0.3:8502", DISCOVERY, "10.2.0.4:8503"]
-    last = Board(world.loop, world.net.at("10.2.0.4"), addresses[-1], list(world.discovery.events))
+    last = DiscoveryServer(world.loop, world.net.at("10.2.0.4"), addresses[-1], list(world.discovery.events))
     for address in addresses:
         world.service.discovery.change_address(address)
         world.run(0.05)
--- a/tests/test_platform_eviction.py
+++ b/tests/test_platform_eviction.py
@@ -8,7 +8,7 @@
 
 from wellhitch.platform.eviction import READ_AFTER_CLOSE_S, ConnectionTable
 from wellhitch.platform.service import descriptor_shares
-from wellhitch.stand_ins.platform import plain
+from wellhitch.stand_ins.platform import bodyless_request
 
 NOW = 100.0
 
@@ -90,7 +90,7 @@
     world = World()
     max_callers, _, _ = descriptor_shares(256)
     for n in range(max_callers + crowd):
-        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", call_id(n)))
+        world.caller(f"10.9.8.{n % 250}").say(bodyless_request("OPTIONS", call_id(n)))
     world.run(0.05)
     naming = [world.caller(f"10.9.7.{n}") for n in range(30)]
     for n, caller in enumerate(naming):
@@ -107,13 +107,13 @@
     world = World()
     max_callers, _, _ = descriptor_shares(256)
     first = world.caller()
-    first.say(plain("OPTIONS", call_id(1)))
+    first.say(bodyless_request("OPTIONS", call_id(1)))
     world.run(0.01)
     for n in range(max_callers - 1):
-        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", call_id(n)))
+        world.caller(f"10.9.8.{n % 250}").say(bodyless_request("OPTIONS", call_id(n)))
     world.run(0.6)
     new = world.caller("10.9.7.1")
-    new.say(plain("OPTIONS", call_id(2)))
+    new.say(bodyless_request("OPTIONS", call_id(2)))
     first.say(invite(A, 0))
     world.run(0.1)
     assert first.statuses(A) == [503] and not first.closed and not new.closed
--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -14,7 +14,7 @@
     LivenessTest,
     OfficeLiveness,
 )
-from wellhitch.stand_ins.platform import invite, plain
+from wellhitch.stand_ins.platform import bodyless_request, invite
 
 SECOND = 1_000_000
 OFFICE_HOST = "10.1.0.1"
@@ -386,7 +386,7 @@
     caller = world.establish(A)
     silence(world)
     world.run(0.5)
-    caller.say(plain("BYE", A))
+    caller.say(bodyless_request("BYE", A))
     world.run(0.5)
     conditions = world.net.spoil(SERVER, OFFICE_HOST)
     conditions.silent = conditions.swallowed = False
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -19,7 +19,7 @@
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.sip import codec as sip
-from wellhitch.stand_ins.platform import invite, plain
+from wellhitch.stand_ins.platform import bodyless_request, invite
 
 NOT_IMPORTED = ("lark", "apsw", "matplotlib", "_jsonnet", "structlog", "prometheus_client", "hdrh", "blake3")
 TIMEOUT_S = 60  # far more than any step takes, so that a slow machine fails no test
@@ -224,7 +224,7 @@
 def test_process_serves_reloads_on_sighup_and_ends_on_sigterm(tmp_path: Path) -> None:
     process = Process(tmp_path)
     try:
-        assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
+        assert process.ask(bodyless_request("OPTIONS", "0000000000000001")).status == 200
         assert (
             process.until("startup_objects_frozen")["objects"] > 5_000
         )  # kept out of later garbage collections
@@ -255,7 +255,7 @@
     process = Process(tmp_path)
     try:
         silent = [socket.create_connection(process.address, timeout=TIMEOUT_S) for _ in range(400)]
-        assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
+        assert process.ask(bodyless_request("OPTIONS", "0000000000000001")).status == 200
         for one in silent:
             one.close()
         assert not process.lines("loop_fault")
@@ -286,10 +286,10 @@
             crowd = [socket.create_connection(process.address, timeout=TIMEOUT_S) for _ in range(250)]
             for one in crowd:
                 with contextlib.suppress(OSError):
-                    one.sendall(plain("OPTIONS", "0000000000000002"))
+                    one.sendall(bodyless_request("OPTIONS", "0000000000000002"))
             opened += crowd
             time.sleep(0.6)  # long enough for the connections to count as unused
-        assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
+        assert process.ask(bodyless_request("OPTIONS", "0000000000000001")).status == 200
         assert not process.lines("loop_fault")
     finally:
         process.end()
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -7,7 +7,7 @@
 
 from wellhitch.net.transport import now_us
 from wellhitch.platform.shutdown import Phase, nothing_left, shutdown_schedule
-from wellhitch.stand_ins.platform import invite, plain
+from wellhitch.stand_ins.platform import bodyless_request, invite
 
 A, B, C = "00000000000000aa", "00000000000000bb", "00000000000000cc"
 SECOND = 1_000_000
@@ -66,7 +66,7 @@
     world = world_with_deadline()
     caller = world.caller()
     world.service.stop()
-    caller.say(plain("OPTIONS", A))
+    caller.say(bodyless_request("OPTIONS", A))
     caller.say(invite(B))
     world.run(0.1)
     assert caller.statuses(A, "OPTIONS") == [503] and caller.statuses(B) == [200]
@@ -75,7 +75,7 @@
 def test_draining_connection_refuses_set_ups_and_closes_with_its_last_call() -> None:
     world = world_with_deadline()
     holding, idle = world.establish(A), world.caller()
-    idle.say(plain("OPTIONS", C))
+    idle.say(bodyless_request("OPTIONS", C))
     world.run(0.05)
     world.service.stop()
     world.run(0.8)
@@ -114,7 +114,7 @@
     caller = world.establish(A)
     world.service.stop()
     world.run(3.4005)  # closing has begun; the caller has not read it yet
-    caller.say(plain("BYE", A))
+    caller.say(bodyless_request("BYE", A))
     world.run(0.1)
     assert [line.call_id for line in world.offices[1].said("down")] == [A]
 
@@ -147,7 +147,7 @@
     assert not [pipe for pipe in world.net.pipes if pipe.here == "10.0.0.1" and pipe.there == "10.2.0.8"]
 
 
-@pytest.mark.parametrize("trailing", [b"x" * 1000, plain("OPTIONS", B) * 20])
+@pytest.mark.parametrize("trailing", [b"x" * 1000, bodyless_request("OPTIONS", B) * 20])
 def test_bytes_that_arrive_as_a_connection_closes_do_not_lose_the_answer(trailing: bytes) -> None:
     world = World()
     caller = world.caller()
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -17,8 +17,8 @@
 from wellhitch.server.dials import DialState, PendingDial
 from wellhitch.server.switch import Switch
 from wellhitch.settings.day import Day, FaultSettings
-from wellhitch.stand_ins.faults import TABLE
-from wellhitch.stand_ins.simulated_fleet import Town
+from wellhitch.stand_ins.faults import FAULT_INJECTORS
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk import frames
 
 FROM = 4.0  # virtual seconds: links stand, and callers have called for one
@@ -52,7 +52,7 @@
         if fault == "hook raises":
             more = {"hooks": {"a": "on arrive { return {favour: 1 / length([])} }"}}
         self.made: Day = day(rate=12, length="3s", tail="12s", **needs, **more, **over)
-        self.town: Town
+        self.simulation: SimulatedFleet
         self.fleet: InProcess
         self.done = False
         self.raises = False
@@ -61,11 +61,11 @@
     # -- reaching the stage --
 
     def reached(self, switch: Switch, stage: str) -> None:
-        town = self.town
-        if self.done or stage != self.stage or switch.number != self.number or town.loop.time() < FROM:
+        simulation = self.simulation
+        if self.done or stage != self.stage or switch.number != self.number or simulation.loop.time() < FROM:
             return
         self.done = True
-        town.loop.call_soon(FAULTS[self.fault], self)
+        simulation.loop.call_soon(FAULTS[self.fault], self)
 
     def make_switch(self, *given: Any) -> Switch:
         struck = self
@@ -128,7 +128,7 @@
 
     @property
     def other(self) -> str:
-        return f"callers-{self.number}" if self.office is None else self.town.host_of(self.office)
+        return f"callers-{self.number}" if self.office is None else self.simulation.host_of(self.office)
 
     @property
     def net(self) -> EmulatedNetwork:
@@ -140,11 +140,11 @@
         return self.fleet.daemons[self.number].switch
 
     def later(self, seconds: float, work: Callable[..., object], *args: Any) -> None:
-        self.town.loop.call_later(seconds, work, *args)
+        self.simulation.loop.call_later(seconds, work, *args)
 
     def trouble(self, kind: str, seconds: float, on: int, how: str = "") -> None:
         line = FaultSettings(kind, "0s", f"{round(seconds * 1000)}ms", [on], 1.0, how=how)
-        undo = TABLE[kind](self.town, line)
+        undo = FAULT_INJECTORS[kind](self.simulation, line)
         if undo:
             self.later(seconds, undo)
 
@@ -155,8 +155,8 @@
 
     # -- the day --
 
-    def meddle(self, town: Town, fleet: InProcess) -> None:
-        self.town, self.fleet = town, fleet
+    def meddle(self, simulation: SimulatedFleet, fleet: InProcess) -> None:
+        self.simulation, self.fleet = simulation, fleet
         status = fleet.status
 
         def looked(number: int) -> dict[str, Any] | None:
@@ -165,7 +165,7 @@
 
         fleet.status = looked  # type: ignore[method-assign]
         if self.stage == "shutdown":
-            town.loop.call_later(FROM, self.shut)
+            simulation.loop.call_later(FROM, self.shut)
 
     def shut(self) -> None:
         self.fleet.daemons[0].stop(2_000_000, lambda: None)
@@ -187,7 +187,7 @@
 
     def timers(self, switch: Switch) -> Iterator[str]:
         """Timers of dials that are still to ring."""
-        for handle in self.town.loop._scheduled:  # type: ignore[attr-defined]
+        for handle in self.simulation.loop._scheduled:  # type: ignore[attr-defined]
             for ring in handle._args[1] if not handle._cancelled and len(handle._args or ()) == 3 else ():
                 name = getattr(ring, "__qualname__", "")
                 if (
@@ -268,7 +268,7 @@
 
 def restarted(s: Struck) -> None:
     if s.office is None:
-        port = s.town.callers[s.number].link.current
+        port = s.simulation.callers[s.number].link.current
         assert port
         port.fail("restarts", notify_peer=False)
     else:
@@ -315,7 +315,7 @@
     "own process killed": lambda s: s.trouble("server_killed", 1.0, s.number),
     "disk full": disk_full,
     "disk damaged": disk_damaged,
-    "list old": lambda s: s.town.register.restart(3),
+    "list old": lambda s: s.simulation.register.restart(3),
     "list shut": list_shut,
     "decision raises": lambda s: setattr(s, "raises", True),
     "hook raises": lambda s: None,  # at each dialogue of the day
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wellhitch.emulator.disk import SECTOR, Blob, EmulatedDisk, PowerCut
+from wellhitch.emulator.disk import SECTOR, EmulatedDisk, EmulatedFile, PowerCut
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.store.engine import Engine, ScrubProgress, StoreError
 from wellhitch.store.maintenance import (
@@ -294,7 +294,7 @@
 
 
 def test_the_emulated_disk_keeps_tears_and_loses_sectors_at_random() -> None:
-    blob = Blob()
+    blob = EmulatedFile()
     blob.write(0, b"o" * 4 * SECTOR)
     blob.sync()
     blob.write(100, b"n" * 3 * SECTOR)
@@ -320,7 +320,7 @@
     for page in range(pages):
         for at in (page * 4096 + 3, page * 4096 + 40, page * 4096 + 2100, page * 4096 + 4090):
             damaged_disk = EmulatedDisk(1)
-            damaged_disk.files["s"] = Blob(now=bytearray(whole))
+            damaged_disk.files["s"] = EmulatedFile(now=bytearray(whole))
             damaged_disk.files["s"].now[at] ^= 0x20
             read: dict[bytes, bytes] = {}
             hits = 0
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,7 +11,7 @@
 from wellhitch.server.switch import Switch
 from wellhitch.settings import checked
 from wellhitch.settings.day import Day, check
-from wellhitch.stand_ins.simulated_fleet import Town
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel
 
@@ -81,7 +81,7 @@
     made: Day,
     make_switch: Callable[..., Switch] = Switch,
     clocks: dict[int, float] | None = None,
-    meddle: Callable[[Town, InProcess], None] | None = None,
+    meddle: Callable[[SimulatedFleet, InProcess], None] | None = None,
 ) -> play.Played:
     """A day in virtual time, with call servers of another make, clocks that differ, or a hand in it."""
     loop = VirtualLoop()
@@ -91,10 +91,10 @@
         fleet = InProcess(
             loop, made, addresses, net, play.quiet_log, make_switch=make_switch, clocks=clocks or {}
         )
-        town = Town(loop, made, net.at, addresses, fleet, play.VirtualWire(net))
+        simulation = SimulatedFleet(loop, made, net.at, addresses, fleet, play.VirtualWire(net))
         if meddle:
-            meddle(town, fleet)
-        return play._run(loop, made, town, fleet, None, None, 0.0, loop.advance)
+            meddle(simulation, fleet)
+        return play._run(loop, made, simulation, fleet, None, None, 0.0, loop.advance)
     finally:
         loop.close()
 
--- a/wellhitch/cli/day.py
+++ b/wellhitch/cli/day.py
@@ -16,7 +16,7 @@
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.settings.day import Day
 from wellhitch.settings.day import check as check_day
-from wellhitch.stand_ins.faults import CannotPlay
+from wellhitch.stand_ins.faults import UnsupportedFaultError
 from wellhitch.store.files import read_file
 
 
@@ -63,7 +63,7 @@
                 )
             else:
                 played = play_sockets(made, folder, processes, progress=progress)
-        except CannotPlay as fault:
+        except UnsupportedFaultError as fault:
             click.echo(f"{file}: {fault}", err=True)
             sys.exit(2)
     if sys.stderr.isatty():
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -28,7 +28,7 @@
 from wellhitch.settings.checked import read as read_settings
 from wellhitch.settings.server import ServerSettings
 from wellhitch.settings.template import evaluate
-from wellhitch.stand_ins.accounting import Accounting, Ills
+from wellhitch.stand_ins.accounting import Accounting, AccountingFaults
 from wellhitch.store.engine import Engine, StoreError
 from wellhitch.store.files import read_file
 from wellhitch.trunk.capture import BadCapture
@@ -323,7 +323,7 @@
         except (StoreError, OSError) as fault:
             raise InvalidSettings(str(folder), [str(fault)]) from None
     (folder / "back").mkdir(exist_ok=True)
-    side = Accounting(engine, {}, Ills(loses, 0.0, 0.0, halves), random.Random(1))
+    side = Accounting(engine, {}, AccountingFaults(loses, 0.0, 0.0, halves), random.Random(1))
     count = 0
     while True:
         for path in sorted((folder / "out").glob("*-*.wh")):
--- a/wellhitch/emulator/disk.py
+++ b/wellhitch/emulator/disk.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Blob:
+class EmulatedFile:
     """One file: what is surely on the platter, what the program sees, and the writes between the two."""
 
     durable: bytes = b""
@@ -81,7 +81,7 @@
     def __init__(self, seed: int = 0, loop: asyncio.AbstractEventLoop | None = None) -> None:
         self.chance = random.Random(seed)
         self.loop = loop
-        self.files: dict[str, Blob] = {}
+        self.files: dict[str, EmulatedFile] = {}
         self.ops = 0
         self.cut_at: int | None = None
         self.dead = False
@@ -146,13 +146,15 @@
         chance = random.Random(seed)
         for name in sorted(self.files):
             kept = self.files[name].survivor(chance, keep)
-            out.files[name] = Blob(kept, bytearray(kept))
+            out.files[name] = EmulatedFile(kept, bytearray(kept))
         return out
 
     def after_kill(self) -> "EmulatedDisk":
         """The disk as the next process finds it where only the process died: the system still writes all out."""
         out = EmulatedDisk(self.chance.randrange(1 << 30), self.loop)
-        out.files = {name: Blob(bytes(one.now), bytearray(one.now)) for name, one in self.files.items()}
+        out.files = {
+            name: EmulatedFile(bytes(one.now), bytearray(one.now)) for name, one in self.files.items()
+        }
         return out
 
 
@@ -172,7 +174,7 @@
         if text not in self.disk.files:
             if not flags[0] & apsw.SQLITE_OPEN_CREATE:
                 raise apsw.CantOpenError(text)
-            self.disk.files[text] = Blob()
+            self.disk.files[text] = EmulatedFile()
         flags[1] = flags[0]
         return _File(self.disk, self.disk.files[text])
 
@@ -200,7 +202,7 @@
 
 
 class _File:
-    def __init__(self, disk: EmulatedDisk, blob: Blob) -> None:
+    def __init__(self, disk: EmulatedDisk, blob: EmulatedFile) -> None:
         self.disk, self.blob = disk, blob
 
     def xRead(self, size: int, at: int) -> bytes:  # noqa: N802
--- a/wellhitch/emulator/loop.py
+++ b/wellhitch/emulator/loop.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 
-class NothingLeft(Exception):
+class DeadlockError(Exception):
     """The loop has neither work nor a timer, and would wait for ever."""
 
 
@@ -29,7 +29,7 @@
     def select(self, timeout: float | None) -> list[Any]:
         """Move the clock instead of waiting."""
         if timeout is None:
-            raise NothingLeft
+            raise DeadlockError
         if timeout > 0:
             # Rounded up to a whole microsecond: rounded down, the timer would not be due and the loop would
             # turn on the spot.
--- a/wellhitch/emulator/network.py
+++ b/wellhitch/emulator/network.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wellhitch.emulator.pausable_loop import PartyLoop
+from wellhitch.emulator.pausable_loop import PausableLoop
 from wellhitch.net.transport import ConnectFailure, DatagramHandler, DatagramSender, Listener, ProtocolFactory
 
 Delay = Callable[[str, str], int]
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Weather:
+class LinkFaults:
     """What is wrong between two hosts now. `silent`: bytes do not arrive and nobody is told (half-open); as with
     TCP none is lost while the link lives: they come once it is over.
     `trickle`: bytes arrive one by one. `late`: us more on the way. `broken`: new links are refused.
@@ -29,7 +29,7 @@
     swallowed: bool = False
 
 
-class Pipe(asyncio.Transport):
+class EmulatedTransport(asyncio.Transport):
     """One end of a stream."""
 
     def __init__(
@@ -37,7 +37,7 @@
     ) -> None:
         super().__init__({"peername": there, "sockname": here})
         self.net, self.here, self.there, self.protocol = net, here, there, protocol
-        self.other: Pipe | None = None
+        self.other: EmulatedTransport | None = None
         self.closing = False
         self.reading = True
         self.arrived: list[bytes] = []
@@ -180,7 +180,7 @@
 
 
 @dataclass(eq=False)
-class _Listening:
+class _EmulatedListener:
     net: "EmulatedNetwork"
     address: str
     factory: ProtocolFactory
@@ -201,7 +201,7 @@
 
 
 @dataclass(eq=False)
-class _Sending:
+class _EmulatedDatagramSender:
     net: "EmulatedNetwork"
     address: str
     taken: DatagramHandler
@@ -221,24 +221,24 @@
     seed: int
     delay: Delay = lambda here, there: 1000
     jitter: float = 0.0
-    listeners: dict[str, _Listening] = field(default_factory=dict)
-    pipes: dict[Pipe, None] = field(default_factory=dict)
-    bad: dict[tuple[str, str], Weather] = field(default_factory=dict)
-    gates: dict[str, PartyLoop] = field(default_factory=dict)
-    senders: dict[str, "_Sending"] = field(default_factory=dict)
+    listeners: dict[str, _EmulatedListener] = field(default_factory=dict)
+    pipes: dict[EmulatedTransport, None] = field(default_factory=dict)
+    bad: dict[tuple[str, str], LinkFaults] = field(default_factory=dict)
+    gates: dict[str, PausableLoop] = field(default_factory=dict)
+    senders: dict[str, "_EmulatedDatagramSender"] = field(default_factory=dict)
     lost: float = 0.0  # share of datagrams that never arrive
 
     TRICKLE_S = 0.0005
     CONNECT_TIMEOUT_S = 0.5
-    _FINE = Weather()
+    _FINE = LinkFaults()
 
     def __post_init__(self) -> None:
         self._chance = random.Random(self.seed)
         self._next_port = 1000
 
-    def at(self, host: str) -> "View":
+    def at(self, host: str) -> "HostNetwork":
         """The network as `host` sees it."""
-        return View(self, host)
+        return HostNetwork(self, host)
 
     def held_up(self, host: str, callback: Callable[..., object], *args: object) -> bool:
         """Whether a host is paused; `callback` then waits until it goes on."""
@@ -248,17 +248,17 @@
         gate.enter(callback, *args)
         return True
 
-    def weather(self, here: str, there: str) -> Weather:
+    def weather(self, here: str, there: str) -> LinkFaults:
         """What is wrong from one host to another."""
         return self.bad.get((here, there), self._FINE) if self.bad else self._FINE
 
-    def spoil(self, here: str, there: str) -> Weather:
+    def spoil(self, here: str, there: str) -> LinkFaults:
         """The weather record between two hosts, both ways, to change."""
-        weather = self.bad.setdefault((here, there), Weather())
+        weather = self.bad.setdefault((here, there), LinkFaults())
         self.bad[there, here] = weather
         return weather
 
-    def due(self, pipe: Pipe) -> float:
+    def due(self, pipe: EmulatedTransport) -> float:
         """When bytes written now arrive: never before those written earlier."""
         delay = (self.delay(pipe.here, pipe.there) + self.weather(pipe.here, pipe.there).late) / 1e6
         if self.jitter:
@@ -282,7 +282,7 @@
         if sending is not None and not self.held_up(host, self._datagram_there, here, there, data):
             sending.taken(data, here)
 
-    def links(self, here: str, there: str) -> list[Pipe]:
+    def links(self, here: str, there: str) -> list[EmulatedTransport]:
         """The open ends at `here` of links with `there`."""
         return [pipe for pipe in self.pipes if pipe.here == here and pipe.there == there]
 
@@ -324,7 +324,7 @@
 
 
 @dataclass(frozen=True)
-class View:
+class HostNetwork:
     """`Network` for one host."""
 
     net: EmulatedNetwork
@@ -336,7 +336,7 @@
         full = f"{host}:{port if port != '0' else self.net.free_port()}"
         if full in self.net.listeners:
             raise OSError(f"{full} in use")
-        listening = self.net.listeners[full] = _Listening(self.net, full, factory)
+        listening = self.net.listeners[full] = _EmulatedListener(self.net, full, factory)
         self.net.loop.call_soon(ready, listening)
 
     def open_datagrams(
@@ -345,7 +345,7 @@
         """As `Network.datagrams`."""
         if address in self.net.senders:
             raise OSError(f"{address} in use")
-        sending = self.net.senders[address] = _Sending(self.net, address, taken)
+        sending = self.net.senders[address] = _EmulatedDatagramSender(self.net, address, taken)
         self.net.loop.call_soon(ready, sending)
 
     def connect(
@@ -366,8 +366,8 @@
             if listening.paused:
                 listening.waiting.append(reach)
                 return
-            far = Pipe(self.net, there, self.host, listening.factory())
-            near = Pipe(self.net, self.host, there, factory())
+            far = EmulatedTransport(self.net, there, self.host, listening.factory())
+            near = EmulatedTransport(self.net, self.host, there, factory())
             near.other, far.other = far, near
             self.net.pipes[far] = self.net.pipes[near] = None
             # Before the far end hears of the link: what it writes at once must not arrive before the near end is up.
@@ -376,7 +376,7 @@
                 far.protocol.connection_made(far)
             self.net.loop.call_later(way, opened, near)
 
-        def opened(near: Pipe) -> None:
+        def opened(near: EmulatedTransport) -> None:
             if not near.closing and not self.net.held_up(self.host, opened, near):
                 near.protocol.connection_made(near)
 
--- a/wellhitch/emulator/pausable_loop.py
+++ b/wellhitch/emulator/pausable_loop.py
@@ -6,7 +6,7 @@
 from typing import Any, cast
 
 
-class PartyLoop:
+class PausableLoop:
     """The part of an asyncio loop that the server code uses, with a gate in it. `ahead`: seconds that this
     party's clock is ahead of the others'."""
 
--- a/wellhitch/judge/rules.py
+++ b/wellhitch/judge/rules.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Break:
+class Violation:
     """One broken rule: which, when, who, and what was seen."""
 
     rule: int
@@ -28,12 +28,12 @@
 class Verdict:
     """All breaks, and how much each rule had to look at."""
 
-    breaks: list[Break] = field(default_factory=list)
+    breaks: list[Violation] = field(default_factory=list)
     seen: Counter[str] = field(default_factory=Counter)
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class RuleParameters:
     """What the rules go by, from the first lines of the captures."""
 
     drain_grace: int
@@ -83,9 +83,9 @@
     return verdict
 
 
-def _figures(world: Capture) -> Figures:
+def _figures(world: Capture) -> RuleParameters:
     try:
-        return Figures(**{name: world.facts[name] for name in Figures.__dataclass_fields__})
+        return RuleParameters(**{name: world.facts[name] for name in RuleParameters.__dataclass_fields__})
     except KeyError as missing:
         raise BadCapture(f"{world.name}: first line lacks {missing}") from None
 
@@ -121,7 +121,7 @@
     over: int | None = None
 
 
-def _one_answer(capture: Capture, figures: Figures, outages: _Outages, verdict: Verdict) -> None:
+def _one_answer(capture: Capture, figures: RuleParameters, outages: _Outages, verdict: Verdict) -> None:
     """Rule 1 at the callers' end: each Call gets one Final within `left`; after it only the end of one that
     stood. A caller that hung up, or lost its link, is owed nothing; a Final that crossed the Leave is none too
     many for twice the longest way."""
@@ -130,7 +130,7 @@
     last = 0
 
     def broken(t: int, text: str) -> None:
-        verdict.breaks.append(Break(1, t, server, text))
+        verdict.breaks.append(Violation(1, t, server, text))
 
     def missing(call_id: int, owed: _Owed, now: int) -> None:
         due = owed.t + owed.left
@@ -176,7 +176,7 @@
     owed: _Owed,
     line: CapturedFrame,
     frame: frames.Final,
-    figures: Figures,
+    figures: RuleParameters,
     outages: _Outages,
     server: int,
     broken: Callable[[int, str], None],
@@ -201,7 +201,9 @@
     owed.answered, owed.answer = line.time_us, frame.answer
 
 
-def _one_answer_in_transit(capture: Capture, figures: Figures, outages: _Outages, verdict: Verdict) -> None:
+def _one_answer_in_transit(
+    capture: Capture, figures: RuleParameters, outages: _Outages, verdict: Verdict
+) -> None:
     """Rule 1 for dialogues in transit, at the tandem's office: each Setup handed to the call server gets one
     Answer or PushBack within `left`, unless it was called off or the link was lost."""
     server = int(capture.facts["number"])
@@ -211,7 +213,7 @@
     unread = _unread(capture, figures.way)
 
     def broken(t: int, text: str) -> None:
-        verdict.breaks.append(Break(1, t, server, f"{capture.name}: {text}"))
+        verdict.breaks.append(Violation(1, t, server, f"{capture.name}: {text}"))
 
     def missing(ref: int, owed: _Owed, now: int) -> None:
         due = (
@@ -368,7 +370,7 @@
         dial.gone, dial.how = t, how
 
 
-def _dials(world: Capture, offices: list[Capture], figures: Figures, verdict: Verdict) -> None:
+def _dials(world: Capture, offices: list[Capture], figures: RuleParameters, verdict: Verdict) -> None:
     """Rule 2: of one dialogue, no dial reaches an office while an earlier one of the same sender is out.
     Rule 5: none within the release wait of one that was called off or reset. The sender's ways to two offices
     differ by `spread` at most, and so much is allowed."""
@@ -391,7 +393,7 @@
                     f"{name}: dial {after.number} at {after.office} while {before.number}"
                     f" at {before.office} is out"
                 )
-                verdict.breaks.append(Break(2, after.t, sender, text))
+                verdict.breaks.append(Violation(2, after.t, sender, text))
             elif (
                 before.gone is not None
                 and before.how in ("called off", "reset")
@@ -403,14 +405,18 @@
                         f"{name}: dial {after.number} at {after.office} {waited} us after {before.number} at"
                         f" {before.office} was {before.how}; the wait is {figures.release_wait}"
                     )
-                    verdict.breaks.append(Break(5, after.t, sender, text))
+                    verdict.breaks.append(Violation(5, after.t, sender, text))
 
 
 # ---- rule 3 ----
 
 
 def _drains(
-    registers: list[Capture], offices: list[Capture], figures: Figures, outages: _Outages, verdict: Verdict
+    registers: list[Capture],
+    offices: list[Capture],
+    figures: RuleParameters,
+    outages: _Outages,
+    verdict: Verdict,
 ) -> None:
     """Rule 3: no set-up of a call server reaches an office later than the grace, and a way, after that call
     server was told that it drains or is gone."""
@@ -448,13 +454,13 @@
             late = line.time_us - since - figures.drain_grace - 2 * figures.way
             if late > 0 and not outages.touches(line.number, since, line.time_us):
                 text = f"a set-up reached {capture.name} {line.time_us - since} us after it was told that it drains"
-                verdict.breaks.append(Break(3, line.time_us, line.number, text))
+                verdict.breaks.append(Violation(3, line.time_us, line.number, text))
 
 
 # ---- rule 4 ----
 
 
-def _cold(capture: Capture, figures: Figures, verdict: Verdict) -> None:
+def _cold(capture: Capture, figures: RuleParameters, verdict: Verdict) -> None:
     """Rule 4: while an office is cold, the set-ups that reach it within any window stay under multiple x its
     capacity then x the window; and it never falls over."""
     started, warm_after = capture.facts.get("started"), capture.facts.get("warm_after", 0)
@@ -465,7 +471,7 @@
     for line in capture.records:
         if isinstance(line, Note):
             if line.kind == "fell_over":
-                verdict.breaks.append(Break(4, line.time_us, -1, f"{capture.name} fell over"))
+                verdict.breaks.append(Violation(4, line.time_us, -1, f"{capture.name} fell over"))
             continue
         if started is None or line.direction != "in" or not isinstance(line.frame, frames.Setup):
             continue
@@ -483,4 +489,4 @@
             senders = ", ".join(str(who) for who in sorted({who for _, who in window[first:]}))
             got = len(window) - first
             text = f"{capture.name}: {got} set-ups in a window that allows {allowed:.1f}, from {senders}"
-            verdict.breaks.append(Break(4, line.time_us, -1, text))
+            verdict.breaks.append(Violation(4, line.time_us, -1, text))
--- a/wellhitch/judge/service.py
+++ b/wellhitch/judge/service.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class UseCaseService:
+class TrafficClassService:
     """What became of the cases of one use case."""
 
     payoff: float
@@ -44,7 +44,7 @@
 class Service:
     """Service of a day."""
 
-    by_use_case: dict[str, UseCaseService] = field(default_factory=dict)
+    by_use_case: dict[str, TrafficClassService] = field(default_factory=dict)
     worst_window: float = 1.0
     worst_at: int = 0
     set_up_us: list[int] = field(default_factory=list)
@@ -65,7 +65,7 @@
     """The service of all callers together."""
     world = next(capture for capture in captures if capture.party == "world")
     lines = {one["name"]: one for one in world.facts["use_cases"]}
-    out = Service({name: UseCaseService(one["payoff"]) for name, one in lines.items()})
+    out = Service({name: TrafficClassService(one["payoff"]) for name, one in lines.items()})
     wishes: list[_Wish] = []
     for capture in captures:
         if capture.party == "callers":
@@ -90,7 +90,7 @@
     return out
 
 
-def _book(wish: _Wish, line: dict[str, float], sums: UseCaseService) -> float:
+def _book(wish: _Wish, line: dict[str, float], sums: TrafficClassService) -> float:
     """Count one wish and return what it earned."""
     sums.asked += 1
     got = 0.0
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -17,7 +17,7 @@
 
 from wellhitch.emulator.disk import EmulatedDisk
 from wellhitch.emulator.network import EmulatedNetwork
-from wellhitch.emulator.pausable_loop import PartyLoop
+from wellhitch.emulator.pausable_loop import PausableLoop
 from wellhitch.interface.events import ServerStarted
 from wellhitch.lab.loopback import own_address
 from wellhitch.ledger.entries import NumberKeys
@@ -34,7 +34,7 @@
     duration_us,
     start_event,
 )
-from wellhitch.stand_ins.faults import CannotPlay
+from wellhitch.stand_ins.faults import UnsupportedFaultError
 
 
 class HostAddresses:
@@ -129,7 +129,7 @@
     log: Callable[[int], Log]
     daemons: dict[int, Daemon] = field(default_factory=dict)
     boots: dict[int, int] = field(default_factory=dict)
-    parties: dict[int, PartyLoop] = field(default_factory=dict)
+    parties: dict[int, PausableLoop] = field(default_factory=dict)
     make_switch: Callable[[ServerStarted, int, ServerIO], Switch] = Switch
     clocks: dict[int, float] = field(default_factory=dict)  # seconds that a call server's clock is ahead
     disks: dict[int, EmulatedDisk] = field(default_factory=dict)
@@ -149,7 +149,7 @@
         host = f"server-{number}"
         loop = self.loop
         if self.net is not None:
-            party = self.parties[number] = self.net.gates[host] = PartyLoop(
+            party = self.parties[number] = self.net.gates[host] = PausableLoop(
                 self.loop, self.clocks.get(number, 0.0)
             )
             loop = party.as_loop()
@@ -221,7 +221,7 @@
     def pause(self, number: int) -> None:
         """As `Servers`."""
         if self.net is None:
-            raise CannotPlay(
+            raise UnsupportedFaultError(
                 "a call server is paused only in a process of its own (--processes) or --virtual"
             )
         self.parties[number].pause()
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -21,9 +21,9 @@
 from wellhitch.server.daemon import Log
 from wellhitch.settings.day import Day
 from wellhitch.settings.server import duration_us
-from wellhitch.stand_ins.accounting import Accounting, Booked, Ills
+from wellhitch.stand_ins.accounting import Accounting, AccountingFaults, BookedTotal
 from wellhitch.stand_ins.faults import schedule
-from wellhitch.stand_ins.simulated_fleet import Town
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.store.records import DamagedRecord
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Capture, Note, read_capture, read_folder
@@ -54,7 +54,7 @@
 
     verdict: Verdict
     stood: "dict[tuple[int, int], Stood]"
-    booked: dict[tuple[int, int], Booked]
+    booked: dict[tuple[int, int], BookedTotal]
     wrong: list[ChainFault]
     accounting: Counter[str]
     exported: dict[int, str]
@@ -64,7 +64,7 @@
 
 def play(
     day: Day,
-    ills: Ills,
+    ills: AccountingFaults,
     seed: int = 1,
     power_cuts: Callable[[int], bool] = lambda number: False,
     after_s: float = 60.0,
@@ -99,22 +99,22 @@
         fleet.accounting_channels = {
             number: AccountingChannel(key, _Box(accounting, number)) for number, key in keys.items()
         }
-        town = Town(loop, day, net.at, addresses, fleet, VirtualWire(net), None)
+        simulation = SimulatedFleet(loop, day, net.at, addresses, fleet, VirtualWire(net), None)
         for one in day.exchanges:
             fleet.start(one.number)
         loop.advance(COME_UP_S)
-        town.begin()
-        schedule(town)
+        simulation.begin()
+        schedule(simulation)
         second = day.exchanges[1].number
         loop.advance(duration_us(day.length) / 2e6)
         old = fleet.disks[second].after_kill()
         loop.advance(duration_us(day.length) / 2e6)
-        town.finish()
+        simulation.finish()
         spent = 0.0
-        while town.open and spent < duration_us(day.tail) / 1e6:
+        while simulation.open and spent < duration_us(day.tail) / 1e6:
             loop.advance(0.5)
             spent += 0.5
-        for callers in town.callers.values():
+        for callers in simulation.callers.values():
             callers.hang_up()
         loop.advance(LAST_S)
         # The day's links are of no use to the books; the ledgers' own go on.
@@ -139,8 +139,8 @@
                 counts += daemon.settlement.counts
         fleet.power_cut = lambda number: None
         fleet.close()
-        town.close()
-        captures = [read_capture(recorder.held, name) for name, recorder in town.recorders.items()]
+        simulation.close()
+        captures = [read_capture(recorder.held, name) for name, recorder in simulation.recorders.items()]
         wrong = [one for disk in fleet.disks.values() for one in verified(disk)]
         return Books(
             judge(captures),
@@ -297,14 +297,14 @@
     `lost`: dialogues that stood and are not on the disk, as a process that is killed loses what came within the linger.
     Raises BadCapture, StoreFault."""
     captures = read_folder(folder)
-    booked: dict[tuple[int, int], Booked] = {}
+    booked: dict[tuple[int, int], BookedTotal] = {}
     faults: list[str] = []
     for path in sorted(folder.glob("ledger-*")):
         found = reader.read(path)
         faults += found.faults
         for one in found.settled():
             if one.state == "billed":
-                booked[one.dialogue_id] = Booked(one.tenant, one.traffic_class, one.billed, 1)
+                booked[one.dialogue_id] = BookedTotal(one.tenant, one.traffic_class, one.billed, 1)
     stood = stood_of(captures)
     notes = [line for capture in captures for line in capture.records if isinstance(line, Note)]
     killed = sum(note.kind == "server_killed" for note in notes)
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -18,7 +18,7 @@
 from wellhitch.settings.day import Day
 from wellhitch.settings.server import duration_us
 from wellhitch.stand_ins.faults import schedule
-from wellhitch.stand_ins.simulated_fleet import Town
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk.capture import Capture, read_capture, read_folder
 
 COME_UP_S = 3.0  # until all links stand, before the first caller
@@ -56,11 +56,11 @@
         self.net = net
 
     def cut(self, here: str, there: str) -> int:
-        """As `Wire`."""
+        """As `LinkFaultInjector`."""
         return self.net.cut(here, there)
 
     def spoil(self, here: str, there: str, what: str, how: bool | int) -> None:
-        """As `Wire`."""
+        """As `LinkFaultInjector`."""
         setattr(self.net.spoil(here, there), what, how)
         if what == "silent" and not how:
             self.net.heal(here, there)
@@ -80,8 +80,8 @@
         net = EmulatedNetwork(loop, day.seed, zone_delay(day), day.net.jitter)
         addresses = HostAddresses()
         fleet = InProcess(loop, day, addresses, net, log)
-        town = Town(loop, day, net.at, addresses, fleet, VirtualWire(net), folder)
-        return _run(loop, day, town, fleet, folder, progress, began, loop.advance)
+        simulation = SimulatedFleet(loop, day, net.at, addresses, fleet, VirtualWire(net), folder)
+        return _run(loop, day, simulation, fleet, folder, progress, began, loop.advance)
     finally:
         loop.close()
 
@@ -100,13 +100,15 @@
     try:
         addresses = LoopbackAddresses()
         fleet = Processes(day, addresses, folder) if processes else InProcess(loop, day, addresses, None, log)
-        town = _SocketTown(loop, day, lambda host: LoopbackNetwork(loop), addresses, fleet, None, folder)
+        simulation = _SocketFleet(
+            loop, day, lambda host: LoopbackNetwork(loop), addresses, fleet, None, folder
+        )
 
         def advance(seconds: float) -> None:
             loop.run_until_complete(asyncio.sleep(seconds))
 
         with startup_objects_frozen():  # a stand-in that is late is taken for a call server that is
-            return _run(loop, day, town, fleet, folder, progress, began, advance)
+            return _run(loop, day, simulation, fleet, folder, progress, began, advance)
     finally:
         if fleet is not None:
             fleet.close()
@@ -114,7 +116,7 @@
         loop.close()
 
 
-class _SocketTown(Town):
+class _SocketFleet(SimulatedFleet):
     def ways(self) -> tuple[int, int]:
         return LOOPBACK_WAY, LOOPBACK_WAY
 
@@ -122,7 +124,7 @@
 def _run(
     loop: asyncio.AbstractEventLoop,
     day: Day,
-    town: Town,
+    simulation: SimulatedFleet,
     fleet: InProcess | Processes,
     folder: Path | None,
     progress: Callable[[float, int], None] | None,
@@ -132,8 +134,8 @@
     for one in day.exchanges:
         fleet.start(one.number)
     advance(COME_UP_S)
-    town.begin()
-    schedule(town)
+    simulation.begin()
+    schedule(simulation)
     whole = duration_us(day.length) / 1e6
     done = 0.0
     while done < whole:
@@ -141,26 +143,28 @@
         advance(step)
         done += step
         if progress:
-            progress(done, town.open)
-    town.finish()
+            progress(done, simulation.open)
+    simulation.finish()
     tail = duration_us(day.tail) / 1e6
     spent = 0.0
-    while town.open and spent < tail:
+    while simulation.open and spent < tail:
         advance(0.5)
         spent += 0.5
-    for callers in town.callers.values():
+    for callers in simulation.callers.values():
         callers.hang_up()
     advance(LAST_S)
-    left_open = town.open
-    lost = [] if left_open else _lost_circuits(town)
+    left_open = simulation.open
+    lost = [] if left_open else _lost_circuits(simulation)
     servers = {one.number: fleet.status(one.number) or {} for one in day.exchanges}
     fleet.close()
-    town.close()
+    simulation.close()
     if folder is not None:
         captures = read_folder(folder)
     else:
-        captures = [read_capture(recorder.held, name) for name, recorder in town.recorders.items()]
-    offices = {office.name: dict(office.counts) for office in [*town.past, *town.offices.values()]}
+        captures = [read_capture(recorder.held, name) for name, recorder in simulation.recorders.items()]
+    offices = {
+        office.name: dict(office.counts) for office in [*simulation.past, *simulation.offices.values()]
+    }
     return Played(
         judge(captures),
         service(captures),
@@ -173,11 +177,11 @@
     )
 
 
-def _lost_circuits(town: Town) -> list[str]:
+def _lost_circuits(simulation: SimulatedFleet) -> list[str]:
     """Groups of which an end still counts circuits when no dialogue is left: counted at the offices' ends, of
     their own and of what the call servers told them."""
     out = []
-    for number, trunks in sorted(town.trunks.items()):
+    for number, trunks in sorted(simulation.trunks.items()):
         for other, group in sorted(trunks.groups.items()):
             if group.local_count or group.remote_count:
                 out.append(
--- a/wellhitch/lab/trials/client.py
+++ b/wellhitch/lab/trials/client.py
@@ -8,7 +8,7 @@
 from wellhitch.lab.trials.records import Record, Records, Seen
 from wellhitch.lab.trials.sockets import Connection, open_connection
 from wellhitch.sip import codec as sip
-from wellhitch.stand_ins.platform import invite, plain
+from wellhitch.stand_ins.platform import bodyless_request, invite
 
 IDLE_CLOSE_S = 4.0  # usual clients close a connection that has no call on it
 CROSSING_S = 0.05  # a set-up that crosses a close by no more is sent once more on a new connection
@@ -124,7 +124,7 @@
             return
         call = self.chance.choice(sorted(self.standing))
         line = next((line for line in self.lines if not line.connection.ended), None)
-        if line is None or not line.write(plain("BYE", call)):
+        if line is None or not line.write(bodyless_request("BYE", call)):
             return
         self._forget_call(call)
         self._note(Seen.CLIENT_RELEASED, call)
@@ -197,7 +197,9 @@
             self.loop.call_later(wait, self._give_up, line, request)
 
     def _give_up(self, line: _Line, request: _Request) -> None:
-        if line.open.pop(request.call, None) is not None and line.write(plain("CANCEL", request.call)):
+        if line.open.pop(request.call, None) is not None and line.write(
+            bodyless_request("CANCEL", request.call)
+        ):
             self._note(Seen.GIVEN_UP, request.call)
 
     def _read(self, line: _Line, data: bytes) -> None:
@@ -224,7 +226,7 @@
         request = line.open.pop(call, None)
         body = message.body.decode("utf-8", "replace").strip()
         self._note(Seen.ANSWERED, call, message.status, body)
-        line.write(plain("ACK", call))
+        line.write(bodyless_request("ACK", call))
         if message.status == 200 and request is not None:
             self.standing[call] = body.split(" ")[0]
             line.established.add(call)
--- a/wellhitch/lab/trials/fleet.py
+++ b/wellhitch/lab/trials/fleet.py
@@ -15,7 +15,7 @@
 from wellhitch.lab.trials.process import CallServer, earliest_kill_s
 from wellhitch.lab.trials.records import Lag, Record, Records, Seen
 from wellhitch.lab.trials.sockets import open_connection
-from wellhitch.stand_ins.platform import plain
+from wellhitch.stand_ins.platform import bodyless_request
 
 READY_WITHIN_S = 30.0
 TELL_LIMIT_S = 9.5  # after the last step: every call that is over has been told by then
@@ -212,7 +212,7 @@
         answered = asyncio.Event()
         connection.on_data = lambda data: answered.set()
         connection.start()
-        connection.write(plain("OPTIONS", "0000000000000001"))
+        connection.write(bodyless_request("OPTIONS", "0000000000000001"))
         try:
             async with asyncio.timeout(1.0):
                 await answered.wait()
@@ -372,7 +372,7 @@
         for connection in opened:
             if connection is not None:
                 connection.start()
-                connection.write(plain("OPTIONS", "0000000000000002"))
+                connection.write(bodyless_request("OPTIONS", "0000000000000002"))
         await asyncio.sleep(self.chance.uniform(0.5, 2.0))
         for connection in opened:
             if connection is not None:
--- a/wellhitch/stand_ins/accounting.py
+++ b/wellhitch/stand_ins/accounting.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Ills:
+class AccountingFaults:
     """What is wrong with it, as shares of the files that it is handed."""
 
     loses_answer: float = 0.0
@@ -25,14 +25,14 @@
     takes_half: float = 0.0
 
 
-class Last(msgspec.Struct, frozen=True, array_like=True):
+class LastBookedFile(msgspec.Struct, frozen=True, array_like=True):
     """The last file booked of an instance."""
 
     sequence: int
     mac: bytes
 
 
-class Booked(msgspec.Struct, frozen=True, array_like=True):
+class BookedTotal(msgspec.Struct, frozen=True, array_like=True):
     """What is booked of a dialogue: the sum of its changes, and how many lines spoke of it."""
 
     tenant: str
@@ -44,15 +44,21 @@
 class Accounting:
     """One accounting side. Its store outlives it: begin another on the same engine after it died."""
 
-    def __init__(self, engine: Engine, keys: dict[int, bytes], ills: Ills, chance: random.Random) -> None:
+    def __init__(
+        self, engine: Engine, keys: dict[int, bytes], ills: AccountingFaults, chance: random.Random
+    ) -> None:
         """`keys`: one an instance."""
         self.engine, self.keys, self.ills, self.chance = engine, keys, ills, chance
         self.counts: Counter[str] = Counter()
         self._receipts: list[bytes] = []
 
-    def _last(self, instance: int) -> Last:
+    def _last(self, instance: int) -> LastBookedFile:
         found = self.engine.get(LAST, instance.to_bytes(4, "big"))
-        return msgspec.msgpack.decode(found[1], type=Last) if found else Last(0, export.INITIAL_MAC)
+        return (
+            msgspec.msgpack.decode(found[1], type=LastBookedFile)
+            if found
+            else LastBookedFile(0, export.INITIAL_MAC)
+        )
 
     def _file(self, instance: int, sequence: int) -> bytes | None:
         found = self.engine.get(FILES, _file_key(instance, sequence))
@@ -90,17 +96,17 @@
 
     def _book(self, file: export.File, data: bytes) -> None:
         """All lines and the mark that they are booked, or nothing."""
-        held: dict[bytes, Booked] = {}
+        held: dict[bytes, BookedTotal] = {}
         for line in file.lines:
             key = line.origin.to_bytes(4, "big") + (line.dialogue & (1 << 64) - 1).to_bytes(8, "big")
             was = held.get(key)
             if was is None and (found := self.engine.get(BOOKED, key)):
-                was = msgspec.msgpack.decode(found[1], type=Booked)
+                was = msgspec.msgpack.decode(found[1], type=BookedTotal)
             had, lines = (was.billed, was.lines) if was else (0, 0)
-            held[key] = Booked(line.tenant, line.traffic_class, had + line.change, lines + 1)
+            held[key] = BookedTotal(line.tenant, line.traffic_class, had + line.change, lines + 1)
         changes = [Change(BOOKED, key, msgspec.msgpack.encode(one)) for key, one in held.items()]
         one = file.manifest
-        mark = msgspec.msgpack.encode(Last(one.sequence, file.mac))
+        mark = msgspec.msgpack.encode(LastBookedFile(one.sequence, file.mac))
         changes.append(Change(LAST, one.instance.to_bytes(4, "big"), mark))
         changes.append(Change(FILES, _file_key(one.instance, one.sequence), data))
         self.engine.commit(changes)
@@ -119,13 +125,15 @@
         self._receipts.append(receipt)
         return out
 
-    def booked(self) -> dict[tuple[int, int], Booked]:
+    def booked(self) -> dict[tuple[int, int], BookedTotal]:
         """All that is booked, by dialogue."""
         out = {}
         for one in self.engine.scan(BOOKED):
             assert isinstance(one, tuple)
             dialogue = int.from_bytes(one[0][4:], "big")
-            out[int.from_bytes(one[0][:4], "big"), dialogue] = msgspec.msgpack.decode(one[2], type=Booked)
+            out[int.from_bytes(one[0][:4], "big"), dialogue] = msgspec.msgpack.decode(
+                one[2], type=BookedTotal
+            )
         return out
 
 
--- a/wellhitch/stand_ins/callers.py
+++ b/wellhitch/stand_ins/callers.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Habits:
+class CallerBehaviour:
     """How callers behave. `patience`: share of the outer limit that one try is waited for. `pause`: us before
     the next try, doubling where `doubles`; `heeds`: share of callers that heed a named come-back time."""
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Demand:
+class TrafficDemand:
     """Who is called how often: dialogues a second to each destination, shares of use cases, and what troubles
     multiply it with. `shape`: from each second on, times the usual. `drift`: (us, cv), how often and how far
     the shares of destinations are drawn anew; `bursts` the same of the whole rate. `hot_number`, of exchange
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Case:
+class CallRequest:
     """One caller's wish, over all its tries."""
 
     number: int
@@ -82,15 +82,15 @@
         address: str,
         recorder: Recorder,
         chance: random.Random,
-        demand: Demand,
-        habits: Habits,
+        demand: TrafficDemand,
+        habits: CallerBehaviour,
         boot: int,
     ) -> None:
         self.loop, self.number, self.recorder, self.chance = loop, number, recorder, chance
         self.demand, self.habits = demand, habits
         self.counts: Counter[str] = Counter()
-        self.cases: dict[int, Case] = {}
-        self.waiting: dict[Case, None] = {}
+        self.cases: dict[int, CallRequest] = {}
+        self.waiting: dict[CallRequest, None] = {}
         self.calling = False
         self._began = 0
         self._burst_times = 1.0
@@ -176,16 +176,16 @@
         self.call(use, destination, called)
         self._schedule()
 
-    def call(self, use: TrafficClass, destination: int, called: str) -> Case:
+    def call(self, use: TrafficClass, destination: int, called: str) -> CallRequest:
         """One caller begins to try."""
         self._next_case += 1
-        case = Case(self._next_case, use, destination, called, self.now())
+        case = CallRequest(self._next_case, use, destination, called, self.now())
         case.heeds = self.chance.random() < self.habits.heeds
         self.counts["cases"] += 1
         self._try(case)
         return case
 
-    def _try(self, case: Case) -> None:
+    def _try(self, case: CallRequest) -> None:
         case.timer = None
         self.waiting.pop(case, None)
         self._next_id += 1
@@ -223,16 +223,16 @@
             waits *= self.chance.random()
         case.timer = self.loop.call_later(waits, self._impatient, case)
 
-    def _impatient(self, case: Case) -> None:
+    def _impatient(self, case: CallRequest) -> None:
         self.counts["gave_up"] += 1
         self._leave(case)
         self._unserved(case, 0)
 
-    def _leave(self, case: Case) -> None:
+    def _leave(self, case: CallRequest) -> None:
         if self.cases.pop(case.id, None) and self.link.current:
             self.link.current.send(frames.HangUp(case.id))
 
-    def _unserved(self, case: Case, come_back: int) -> None:
+    def _unserved(self, case: CallRequest, come_back: int) -> None:
         """Try again, or not."""
         if case.timer:
             case.timer.cancel()
@@ -247,7 +247,7 @@
         self.waiting[case] = None
         case.timer = self.loop.call_later(pause / 1e6, self._try, case)
 
-    def _done(self, case: Case, how: str) -> None:
+    def _done(self, case: CallRequest, how: str) -> None:
         self.counts[how] += 1
         self.cases.pop(case.id, None)
 
@@ -310,6 +310,6 @@
             self.counts[frame.answer] += 1
             self._unserved(case, frame.retry_after)
 
-    def _hang_up(self, case: Case) -> None:
+    def _hang_up(self, case: CallRequest) -> None:
         self._leave(case)
         self._done(case, "talked")
--- a/wellhitch/stand_ins/faults.py
+++ b/wellhitch/stand_ins/faults.py
@@ -1,6 +1,6 @@
 """What goes wrong on a day: each kind as a pair of what begins and what ends it, on the stand-ins alone.
 
-`TABLE` has every kind of `settings.day.FAULT_KINDS`; a test holds the two together.
+`FAULT_INJECTORS` has every kind of `settings.day.FAULT_KINDS`; a test holds the two together.
 """
 
 import math
@@ -9,49 +9,49 @@
 
 from wellhitch.settings.day import FaultSettings
 from wellhitch.settings.server import duration_us
-from wellhitch.stand_ins.simulated_fleet import Town
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 
 Undo = Callable[[], None]
-Begin = Callable[[Town, FaultSettings], Undo | None]
+Begin = Callable[[SimulatedFleet, FaultSettings], Undo | None]
 
 
-class CannotPlay(Exception):
+class UnsupportedFaultError(Exception):
     """A trouble that this way of playing the day cannot make; the text says why."""
 
 
-def schedule(town: Town) -> None:
+def schedule(simulation: SimulatedFleet) -> None:
     """Set all troubles of the day, each at its time from now on."""
-    for trouble in town.day.troubles:
-        if trouble.kind in _NEED_WIRE and town.wire is None:
-            raise CannotPlay(f"trouble {trouble.kind!r} needs the emulated network (--virtual)")
-        town.loop.call_later(duration_us(trouble.at) / 1e6, _begin, town, trouble)
+    for trouble in simulation.day.troubles:
+        if trouble.kind in _NEED_WIRE and simulation.wire is None:
+            raise UnsupportedFaultError(f"trouble {trouble.kind!r} needs the emulated network (--virtual)")
+        simulation.loop.call_later(duration_us(trouble.at) / 1e6, _begin, simulation, trouble)
 
 
-def _begin(town: Town, trouble: FaultSettings) -> None:
-    town.world.note("trouble", kind=trouble.kind, on=trouble.on, size=trouble.size)
-    undo = TABLE[trouble.kind](town, trouble)
+def _begin(simulation: SimulatedFleet, trouble: FaultSettings) -> None:
+    simulation.world.note("trouble", kind=trouble.kind, on=trouble.on, size=trouble.size)
+    undo = FAULT_INJECTORS[trouble.kind](simulation, trouble)
     if undo is not None:
-        town.loop.call_later(duration_us(trouble.length) / 1e6, _end, town, trouble, undo)
+        simulation.loop.call_later(duration_us(trouble.length) / 1e6, _end, simulation, trouble, undo)
 
 
-def _end(town: Town, trouble: FaultSettings, undo: Undo) -> None:
-    town.world.note("trouble_over", kind=trouble.kind)
+def _end(simulation: SimulatedFleet, trouble: FaultSettings, undo: Undo) -> None:
+    simulation.world.note("trouble_over", kind=trouble.kind)
     undo()
 
 
-def _on(town: Town, trouble: FaultSettings) -> list[int]:
-    return trouble.on or sorted(town.offices)
+def _on(simulation: SimulatedFleet, trouble: FaultSettings) -> list[int]:
+    return trouble.on or sorted(simulation.offices)
 
 
-def _later(town: Town, seconds: float, work: Callable[..., object], *args: object) -> None:
-    town.loop.call_later(seconds, work, *args)
+def _later(simulation: SimulatedFleet, seconds: float, work: Callable[..., object], *args: object) -> None:
+    simulation.loop.call_later(seconds, work, *args)
 
 
 # ---- processors ----
 
 
-def _slower(town: Town, numbers: list[int], times: float) -> Undo:
-    struck = [town.offices[number].processor for number in numbers]
+def _slower(simulation: SimulatedFleet, numbers: list[int], times: float) -> Undo:
+    struck = [simulation.offices[number].processor for number in numbers]
     for processor in struck:
         processor.slow *= times
 
@@ -62,14 +62,14 @@
     return undo
 
 
-def slow(town: Town, t: FaultSettings) -> Undo:
+def slow(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """`size` times slower."""
-    return _slower(town, _on(town, t), max(t.size, 0.01))
+    return _slower(simulation, _on(simulation, t), max(t.size, 0.01))
 
 
-def hang(town: Town, t: FaultSettings) -> Undo:
+def hang(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """Work is taken and nothing comes of it."""
-    struck = [town.offices[number].processor for number in _on(town, t)]
+    struck = [simulation.offices[number].processor for number in _on(simulation, t)]
     for processor in struck:
         processor.hung = True
 
@@ -80,113 +80,115 @@
     return undo
 
 
-def neighbour(town: Town, t: FaultSettings) -> Undo:
+def neighbour(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """Other work takes `size` of the processor, on and off every `extra` seconds."""
     over = [False]
 
     def on() -> None:
         if not over[0]:
-            undo = _slower(town, _on(town, t), 1 / max(0.01, 1 - t.size))
-            _later(town, max(0.1, t.extra), off, undo)
+            undo = _slower(simulation, _on(simulation, t), 1 / max(0.01, 1 - t.size))
+            _later(simulation, max(0.1, t.extra), off, undo)
 
     def off(undo: Undo) -> None:
         undo()
-        _later(town, max(0.1, t.extra), on)
+        _later(simulation, max(0.1, t.extra), on)
 
     on()
     return lambda: over.__setitem__(0, True)
 
 
-def ageing(town: Town, t: FaultSettings) -> Undo:
+def ageing(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """Slower and slower, up to `size` times; dead at the end, and back `extra` seconds later, cold."""
-    numbers, steps = _on(town, t), 20
+    numbers, steps = _on(simulation, t), 20
     step = max(1.0, t.size) ** (1 / steps)
     for at in range(steps):
-        _later(town, duration_us(t.length) / 1e6 * at / steps, _slower, town, numbers, step)
+        _later(simulation, duration_us(t.length) / 1e6 * at / steps, _slower, simulation, numbers, step)
 
     def undo() -> None:
         for number in numbers:
-            _crash(town, number, t.extra)
+            _crash(simulation, number, t.extra)
 
     return undo
 
 
-def _crash(town: Town, number: int, back_after: float) -> None:
-    office = town.offices[number]
+def _crash(simulation: SimulatedFleet, number: int, back_after: float) -> None:
+    office = simulation.offices[number]
     office.stop("crash")
-    town.tell(office, "gone")
-    _later(town, back_after, lambda: town.new_office(number, town.now()))
+    simulation.tell(office, "gone")
+    _later(simulation, back_after, lambda: simulation.new_office(number, simulation.now()))
 
 
-def crash(town: Town, t: FaultSettings) -> None:
+def crash(simulation: SimulatedFleet, t: FaultSettings) -> None:
     """The processor dies and comes back after `length`, cold."""
-    for number in _on(town, t):
-        _crash(town, number, duration_us(t.length) / 1e6)
+    for number in _on(simulation, t):
+        _crash(simulation, number, duration_us(t.length) / 1e6)
 
 
-def mass_restart(town: Town, t: FaultSettings) -> None:
+def mass_restart(simulation: SimulatedFleet, t: FaultSettings) -> None:
     """Many die at once and are back after `length`, cold, all together."""
-    crash(town, t)
+    crash(simulation, t)
 
 
-def deploy(town: Town, t: FaultSettings) -> None:
+def deploy(simulation: SimulatedFleet, t: FaultSettings) -> None:
     """New processors take the place of the old, `size` of all at a time; each drains for `extra` seconds."""
-    numbers = _on(town, t)
-    batch = max(1, round(t.size * len(town.offices)))
+    numbers = _on(simulation, t)
+    batch = max(1, round(t.size * len(simulation.offices)))
     batches = [numbers[at : at + batch] for at in range(0, len(numbers), batch)]
     for at, lot in enumerate(batches):
-        _later(town, duration_us(t.length) / 1e6 * at / len(batches), _replace, town, lot, t.extra)
+        _later(
+            simulation, duration_us(t.length) / 1e6 * at / len(batches), _replace, simulation, lot, t.extra
+        )
 
 
-def _replace(town: Town, numbers: list[int], drain: float) -> None:
+def _replace(simulation: SimulatedFleet, numbers: list[int], drain: float) -> None:
     for number in numbers:
-        old = town.offices[number]
+        old = simulation.offices[number]
         if not old.up:
             continue
-        town.tell(old, "draining")
-        town.new_office(number, town.now())
-        _later(town, drain, _stop_old, town, old)
+        simulation.tell(old, "draining")
+        simulation.new_office(number, simulation.now())
+        _later(simulation, drain, _stop_old, simulation, old)
 
 
-def _stop_old(town: Town, old: object) -> None:
-    for office in [*town.past, *town.offices.values()]:
+def _stop_old(simulation: SimulatedFleet, old: object) -> None:
+    for office in [*simulation.past, *simulation.offices.values()]:
         if office is old:
             office.stop("replaced")
-            town.tell(office, "gone")
+            simulation.tell(office, "gone")
 
 
-def errors(town: Town, t: FaultSettings) -> Undo:
+def errors(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """`size` of all set-ups fail at once."""
-    return _ill(town, t, "error_rate", t.size, town.day.offices.error_rate)
+    return _ill(simulation, t, "error_rate", t.size, simulation.day.offices.error_rate)
 
 
-def answer_lost(town: Town, t: FaultSettings) -> Undo:
+def answer_lost(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """`size` of the answers do not come: silence, or where `how` says so a reset."""
-    return _ill(town, t, "reset_answers" if t.how == "reset" else "lost_answers", t.size, 0.0)
+    return _ill(simulation, t, "reset_answers" if t.how == "reset" else "lost_answers", t.size, 0.0)
 
 
-def answer_twice(town: Town, t: FaultSettings) -> Undo:
+def answer_twice(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """`size` of the answers come twice."""
-    return _ill(town, t, "twice", t.size, 0.0)
+    return _ill(simulation, t, "twice", t.size, 0.0)
 
 
-def answer_after_release(town: Town, t: FaultSettings) -> Undo:
+def answer_after_release(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """An answer comes once more when the dial is released or cancelled."""
-    return _ill(town, t, "after_release", True, False)
+    return _ill(simulation, t, "after_release", True, False)
 
 
-def garbage(town: Town, t: FaultSettings) -> Undo:
+def garbage(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """The next answer of each office is a frame of garbage."""
-    return _ill(town, t, "garbage", True, False)
+    return _ill(simulation, t, "garbage", True, False)
 
 
-def report_late(town: Town, t: FaultSettings) -> Undo:
+def report_late(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """Load reports are `size` seconds older."""
-    return _ill(town, t, "reports_late", int(t.size * 1e6), 0)
+    return _ill(simulation, t, "reports_late", int(t.size * 1e6), 0)
 
 
-def _ill(town: Town, t: FaultSettings, name: str, during: object, after: object) -> Undo:
-    struck = [town.offices[number].ills for number in _on(town, t)]
+def _ill(simulation: SimulatedFleet, t: FaultSettings, name: str, during: object, after: object) -> Undo:
+    struck = [simulation.offices[number].ills for number in _on(simulation, t)]
     for ills in struck:
         setattr(ills, name, during)
 
@@ -200,13 +202,13 @@
 # ---- callers ----
 
 
-def burst(town: Town, t: FaultSettings) -> Undo:
+def burst(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """All callers call `size` times as often."""
-    return _demand(town, _on(town, t), t.size)
+    return _demand(simulation, _on(simulation, t), t.size)
 
 
-def _demand(town: Town, numbers: list[int], times: float) -> Undo:
-    struck = [town.callers[number].demand for number in numbers]
+def _demand(simulation: SimulatedFleet, numbers: list[int], times: float) -> Undo:
+    struck = [simulation.callers[number].demand for number in numbers]
     for demand in struck:
         demand.times *= times
 
@@ -217,19 +219,19 @@
     return undo
 
 
-def hot_caller(town: Town, t: FaultSettings) -> Undo:
+def hot_caller(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """A few exchanges get `size` of all dialogues on top of their own."""
-    numbers = _on(town, t)
-    total = sum(sum(c.demand.to.values()) for c in town.callers.values())
-    mine = sum(sum(town.callers[n].demand.to.values()) for n in numbers) or 1.0
-    return _demand(town, numbers, 1 + t.size * total / mine)
+    numbers = _on(simulation, t)
+    total = sum(sum(c.demand.to.values()) for c in simulation.callers.values())
+    mine = sum(sum(simulation.callers[n].demand.to.values()) for n in numbers) or 1.0
+    return _demand(simulation, numbers, 1 + t.size * total / mine)
 
 
-def hot_number(town: Town, t: FaultSettings) -> Undo:
+def hot_number(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """`size` of all dialogues call one number of the first exchange named."""
-    struck = [callers.demand for callers in town.callers.values()]
+    struck = [callers.demand for callers in simulation.callers.values()]
     for demand in struck:
-        demand.hot_share, demand.hot_at, demand.hot_number = min(1.0, t.size), _on(town, t)[0], "hot"
+        demand.hot_share, demand.hot_at, demand.hot_number = min(1.0, t.size), _on(simulation, t)[0], "hot"
 
     def undo() -> None:
         for demand in struck:
@@ -238,14 +240,14 @@
     return undo
 
 
-def give_up(town: Town, t: FaultSettings) -> Undo:
+def give_up(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """`size` of the callers wait for but `extra` of their usual patience, and do not try again."""
     short = (min(1.0, t.size), t.extra or 0.5)
-    for callers in town.callers.values():
+    for callers in simulation.callers.values():
         callers.habits.short.append(short)
 
     def undo() -> None:
-        for callers in town.callers.values():
+        for callers in simulation.callers.values():
             callers.habits.short.remove(short)
 
     return undo
@@ -254,31 +256,31 @@
 # ---- groups ----
 
 
-def origin_slow(town: Town, t: FaultSettings) -> Undo:
+def origin_slow(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """Groups between the zone of the first exchange named and the others keep 1 / root(`size`) of their
     circuits; calls on the lost ones are cut."""
-    zone = town.zones[_on(town, t)[0]]
-    chance = random.Random(f"{town.day.seed} origin_slow")
+    zone = simulation.zones[_on(simulation, t)[0]]
+    chance = random.Random(f"{simulation.day.seed} origin_slow")
     pairs = [
         (a, b)
-        for a in sorted(town.trunks)
-        for b in sorted(town.trunks[a].groups)
-        if a < b and (town.zones[a] == zone) != (town.zones[b] == zone)
+        for a in sorted(simulation.trunks)
+        for b in sorted(simulation.trunks[a].groups)
+        if a < b and (simulation.zones[a] == zone) != (simulation.zones[b] == zone)
     ]
-    sizes = {pair: town.trunks[pair[0]].groups[pair[1]].size for pair in pairs}
+    sizes = {pair: simulation.trunks[pair[0]].groups[pair[1]].size for pair in pairs}
     for pair in pairs:
-        _resize(town, pair, int(sizes[pair] / math.sqrt(max(1.0, t.size))), chance)
+        _resize(simulation, pair, int(sizes[pair] / math.sqrt(max(1.0, t.size))), chance)
 
     def undo() -> None:
         for pair in pairs:
-            _resize(town, pair, sizes[pair], chance)
+            _resize(simulation, pair, sizes[pair], chance)
 
     return undo
 
 
-def _resize(town: Town, pair: tuple[int, int], size: int, chance: random.Random) -> None:
+def _resize(simulation: SimulatedFleet, pair: tuple[int, int], size: int, chance: random.Random) -> None:
     a, b = pair
-    ends = [(town.offices[a], b), (town.offices[b], a)]
+    ends = [(simulation.offices[a], b), (simulation.offices[b], a)]
     legs = [(office, leg) for office, other in ends for leg in office.legs_from(other)]
     chance.shuffle(legs)
     held = sum(leg.setup.width for _, leg in legs)
@@ -293,66 +295,66 @@
 # ---- links, lists, call servers ----
 
 
-def _pairs(town: Town, t: FaultSettings) -> list[tuple[str, str]]:
+def _pairs(simulation: SimulatedFleet, t: FaultSettings) -> list[tuple[str, str]]:
     return [
-        (f"server-{server}", town.host_of(number))
-        for number in _on(town, t)
-        for server in sorted(town.offices)
+        (f"server-{server}", simulation.host_of(number))
+        for number in _on(simulation, t)
+        for server in sorted(simulation.offices)
         if server != number
     ]
 
 
-def link_cut(town: Town, t: FaultSettings) -> None:
+def link_cut(simulation: SimulatedFleet, t: FaultSettings) -> None:
     """Every link to these offices is reset, `size` times with `extra` seconds between."""
-    assert town.wire is not None
+    assert simulation.wire is not None
     for at in range(max(1, int(t.size))):
-        for server, office in _pairs(town, t):
-            _later(town, at * t.extra, town.wire.cut, server, office)
+        for server, office in _pairs(simulation, t):
+            _later(simulation, at * t.extra, simulation.wire.cut, server, office)
 
 
 def _spoil(
     what: str,
-    pairs_of: Callable[[Town, FaultSettings], list[tuple[str, str]]] = _pairs,
+    pairs_of: Callable[[SimulatedFleet, FaultSettings], list[tuple[str, str]]] = _pairs,
     how: Callable[[FaultSettings], bool | int] = lambda t: True,
 ) -> Begin:
-    def begin(town: Town, t: FaultSettings) -> Undo:
-        wire = town.wire
+    def begin(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
+        wire = simulation.wire
         assert wire is not None
-        pairs = pairs_of(town, t)
+        pairs = pairs_of(simulation, t)
         for here, there in pairs:
             wire.spoil(here, there, what, how(t))
             if what != "late":
-                town.world.note("silent", here=here, there=there)
+                simulation.world.note("silent", here=here, there=there)
 
         def undo() -> None:
             for here, there in pairs:
                 wire.spoil(here, there, what, False)
                 if what != "late":
-                    town.world.note("silent_over", here=here, there=there)
+                    simulation.world.note("silent_over", here=here, there=there)
 
         return undo
 
     return begin
 
 
-def _between_servers(town: Town, t: FaultSettings) -> list[tuple[str, str]]:
+def _between_servers(simulation: SimulatedFleet, t: FaultSettings) -> list[tuple[str, str]]:
     """Links over which the call servers of these exchanges tell each other words."""
     return [
         (f"server-{here}", f"server-{there}")
-        for here in _on(town, t)
-        for there in sorted(town.offices)
+        for here in _on(simulation, t)
+        for there in sorted(simulation.offices)
         if here != there
     ]
 
 
-def answer_reordered(town: Town, t: FaultSettings) -> Undo:
+def answer_reordered(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """`size` of the answers come after others that were said later."""
-    return _ill(town, t, "reordered", t.size, 0.0)
+    return _ill(simulation, t, "reordered", t.size, 0.0)
 
 
-def reads_nothing(town: Town, t: FaultSettings) -> Undo:
+def reads_nothing(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """These offices stop reading."""
-    struck = [town.offices[number] for number in _on(town, t)]
+    struck = [simulation.offices[number] for number in _on(simulation, t)]
     for office in struck:
         office.read(False)
 
@@ -363,84 +365,84 @@
     return undo
 
 
-def mid_frame_reset(town: Town, t: FaultSettings) -> None:
+def mid_frame_reset(simulation: SimulatedFleet, t: FaultSettings) -> None:
     """Each link of these offices ends in the middle of a frame."""
-    for number in _on(town, t):
-        for port in list(town.offices[number].ports):
+    for number in _on(simulation, t):
+        for port in list(simulation.offices[number].ports):
             if port.transport is not None:
                 port.transport.write(b"\x01\x00\x00\x40half")
                 port.transport.abort()
 
 
-def list_goes_back(town: Town, t: FaultSettings) -> Undo:
+def list_goes_back(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """The register tells an old list after each new one."""
-    town.register.goes_back = True
-    return lambda: setattr(town.register, "goes_back", False)
+    simulation.register.goes_back = True
+    return lambda: setattr(simulation.register, "goes_back", False)
 
 
-def register_restart(town: Town, t: FaultSettings) -> None:
+def register_restart(simulation: SimulatedFleet, t: FaultSettings) -> None:
     """The register restarts with a list `size` revisions old."""
-    town.register.restart(int(t.size))
+    simulation.register.restart(int(t.size))
 
 
-def server_killed(town: Town, t: FaultSettings) -> Undo:
+def server_killed(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """The call servers are ended outright, and started again after `length`."""
-    numbers = [number for number in _on(town, t) if number not in town.down]
-    town.down.update(numbers)
+    numbers = [number for number in _on(simulation, t) if number not in simulation.down]
+    simulation.down.update(numbers)
     for number in numbers:
-        town.world.note("server_killed", server=number)
-        town.servers.kill(number)
+        simulation.world.note("server_killed", server=number)
+        simulation.servers.kill(number)
 
     def undo() -> None:
         for number in numbers:
-            town.down.discard(number)
-            town.world.note("server_started", server=number)
-            town.servers.start(number)
+            simulation.down.discard(number)
+            simulation.world.note("server_started", server=number)
+            simulation.servers.start(number)
 
     return undo
 
 
-def server_paused(town: Town, t: FaultSettings) -> Undo:
+def server_paused(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """The call servers' processes stand still for `length`."""
-    numbers = [number for number in _on(town, t) if number not in town.down]
-    town.down.update(numbers)
+    numbers = [number for number in _on(simulation, t) if number not in simulation.down]
+    simulation.down.update(numbers)
     for number in numbers:
-        town.world.note("server_paused", server=number)
-        town.servers.pause(number)
+        simulation.world.note("server_paused", server=number)
+        simulation.servers.pause(number)
 
     def undo() -> None:
         for number in numbers:
-            town.down.discard(number)
-            town.servers.resume(number)
-            town.world.note("server_resumed", server=number)
+            simulation.down.discard(number)
+            simulation.servers.resume(number)
+            simulation.world.note("server_resumed", server=number)
 
     return undo
 
 
-def server_stalls(town: Town, t: FaultSettings) -> Undo:
+def server_stalls(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
     """The call servers' loops stand still for `size` ms, again `extra` seconds later, each at times of its own. The
     judge is not told: a call server does what it owes in spite of it."""
     over = [False]
-    numbers = _on(town, t)
+    numbers = _on(simulation, t)
 
     def stall(number: int) -> None:
         if over[0]:
             return
-        if number not in town.down:
-            town.servers.pause(number)
-        _later(town, t.size / 1000, go_on, number)
+        if number not in simulation.down:
+            simulation.servers.pause(number)
+        _later(simulation, t.size / 1000, go_on, number)
 
     def go_on(number: int) -> None:
-        if number not in town.down:
-            town.servers.resume(number)
-        _later(town, max(0.02, t.extra), stall, number)
+        if number not in simulation.down:
+            simulation.servers.resume(number)
+        _later(simulation, max(0.02, t.extra), stall, number)
 
     for index, number in enumerate(numbers):
-        _later(town, t.extra * index / len(numbers), stall, number)
+        _later(simulation, t.extra * index / len(numbers), stall, number)
     return lambda: over.__setitem__(0, True)
 
 
-TABLE: dict[str, Begin] = {
+FAULT_INJECTORS: dict[str, Begin] = {
     "slow": slow,
     "hang": hang,
     "answer_lost": answer_lost,
--- a/wellhitch/stand_ins/office.py
+++ b/wellhitch/stand_ins/office.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from wellhitch.net.transport import Listener, Network, now_us
-from wellhitch.stand_ins.processor import ColdStart, Job, Processor, Work
+from wellhitch.stand_ins.processor import ColdStart, Job, Processor, WorkCosts
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Ills:
+class OfficeFaults:
     """What is wrong with an office now, as troubles set it."""
 
     lost_answers: float = 0.0
@@ -74,7 +74,7 @@
         address: str,
         setup_us: float,
         queue_us: int,
-        work: Work,
+        work: WorkCosts,
         cold: ColdStart,
         started: int | None,
         boot: int,
@@ -90,7 +90,7 @@
             loop, setup_us, queue_us, cold, started, finish_first, self._fell, self._drawn(noise)
         )
         self.hello = frames.Hello("office", trunks.number, boot)
-        self.ills = Ills()
+        self.ills = OfficeFaults()
         self.ports: dict[Channel, dict[int, Leg]] = {}
         self.transits: dict[int, Leg] = {}
         self.passing: dict[tuple[Channel, int], Job] = {}
--- a/wellhitch/stand_ins/platform.py
+++ b/wellhitch/stand_ins/platform.py
@@ -12,11 +12,11 @@
 from wellhitch.sip import codec as sip
 
 
-class _End(asyncio.BufferedProtocol):
+class _Connection(asyncio.BufferedProtocol):
     """One end of a stream that hands on what comes."""
 
     def __init__(
-        self, came: Callable[["_End", bytes], None], up: Callable[["_End"], None] | None = None
+        self, came: Callable[["_Connection", bytes], None], up: Callable[["_Connection"], None] | None = None
     ) -> None:
         self.came, self.up = came, up
         self.transport: asyncio.Transport | None = None
@@ -57,17 +57,17 @@
     answers_bye: bool = True
     reads: bool = True
     refused: str = ""
-    end: _End | None = None
+    end: _Connection | None = None
     _waiting: list[bytes] = field(default_factory=list)
     _decoder: sip.Decoder = field(default_factory=sip.Decoder)
 
     def __post_init__(self) -> None:
-        self.network.connect(self.address, lambda: _End(self._came, self._up), self._failed)
+        self.network.connect(self.address, lambda: _Connection(self._came, self._up), self._failed)
 
     def _failed(self, failure: ConnectFailure) -> None:
         self.refused = failure.detail
 
-    def _up(self, end: _End) -> None:
+    def _up(self, end: _Connection) -> None:
         self.end = end
         if not self.reads and end.transport is not None:
             end.transport.pause_reading()
@@ -75,7 +75,7 @@
             end.write(data)
         self._waiting.clear()
 
-    def _came(self, end: _End, data: bytes) -> None:
+    def _came(self, end: _Connection, data: bytes) -> None:
         for message in self._decoder.feed(data):
             self.heard.append((now_us(self.loop), message))
             if isinstance(message, sip.Request) and message.method == "BYE" and self.answers_bye:
@@ -128,19 +128,19 @@
     spare: int = 50
     total: int = 50
     took: list[tuple[int, lines.Line]] = field(default_factory=list)
-    ends: list[_End] = field(default_factory=list)
-    by_ref: dict[str, _End] = field(default_factory=dict)
+    ends: list[_Connection] = field(default_factory=list)
+    by_ref: dict[str, _Connection] = field(default_factory=dict)
     opened: int = 0
     resets: bool = False  # trouble: each link is reset when it has just come up
     listener: Listener | None = None
-    _decoders: dict[_End, lines.Decoder] = field(default_factory=dict)
+    _decoders: dict[_Connection, lines.Decoder] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.listen()
 
     def listen(self) -> None:
         """Take links."""
-        self.network.listen(self.address, lambda: _End(self._came, self._up), self._ready)
+        self.network.listen(self.address, lambda: _Connection(self._came, self._up), self._ready)
 
     def _ready(self, listener: Listener) -> None:
         self.listener = listener
@@ -150,7 +150,7 @@
         if self.listener is not None:
             self.listener.close()
 
-    def _up(self, end: _End) -> None:
+    def _up(self, end: _Connection) -> None:
         self.opened += 1
         if self.resets and end.transport is not None:
             self.loop.call_later(0.005, end.transport.abort)
@@ -162,7 +162,7 @@
             % (self.spare, self.total)
         )
 
-    def _came(self, end: _End, data: bytes) -> None:
+    def _came(self, end: _Connection, data: bytes) -> None:
         for line in self._decoders[end].feed(data):
             self.took.append((now_us(self.loop), line))
             if line.type == "new":
@@ -183,7 +183,7 @@
         text = description.replace("\r\n", "\\r\\n")
         self.raw(ref, f'{{"t":"up","ref":"{ref}","f":{{}},"d":"{text}"}}\n'.encode())
 
-    def down(self, ref: str, cause: int, note: str = "", end: _End | None = None) -> None:
+    def down(self, ref: str, cause: int, note: str = "", end: _Connection | None = None) -> None:
         """Refuse a set-up or release a call, on its link or on another."""
         fields = f'"note":"{note}"' if note else ""
         (end or self.by_ref[ref]).write(
@@ -199,7 +199,7 @@
 
 
 @dataclass(eq=False)
-class Board:
+class DiscoveryServer:
     """The notice board at an address: tells its events from the number that each connection asks after."""
 
     loop: asyncio.AbstractEventLoop
@@ -209,17 +209,17 @@
     asked: list[tuple[int, int]] = field(default_factory=list)  # when, and after which number
     silent: bool = False
     listener: Listener | None = None
-    ends: list[_End] = field(default_factory=list)
-    _asking: dict[_End, bytes] = field(default_factory=dict)
+    ends: list[_Connection] = field(default_factory=list)
+    _asking: dict[_Connection, bytes] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.network.listen(self.address, lambda: _End(self._came), self._ready)
+        self.network.listen(self.address, lambda: _Connection(self._came), self._ready)
         self.loop.call_later(1, self._beat)
 
     def _ready(self, listener: Listener) -> None:
         self.listener = listener
 
-    def _came(self, end: _End, data: bytes) -> None:
+    def _came(self, end: _Connection, data: bytes) -> None:
         asking = self._asking.get(end, b"") + data
         self._asking[end] = asking
         if len(asking) == 8:
@@ -278,7 +278,7 @@
     ).encode() + body
 
 
-def plain(method: str, ref: str) -> bytes:
+def bodyless_request(method: str, ref: str) -> bytes:
     """A message without a body: ACK, CANCEL, BYE, OPTIONS."""
     return (
         f"{method} sip:exchange@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {ref}\r\nCSeq: 1 {method}\r\n"
--- a/wellhitch/stand_ins/processor.py
+++ b/wellhitch/stand_ins/processor.py
@@ -1,6 +1,6 @@
 """The one-line processor of an office: work in order of arrival, a bounded wait, a cold start, falling over.
 
-Work is counted in set-ups: 1.0 is the work of one set-up, which takes `setup_us` on a warm processor.
+WorkCosts is counted in set-ups: 1.0 is the work of one set-up, which takes `setup_us` on a warm processor.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class WorkCosts:
     """What a dialogue costs, in set-ups."""
 
     look: float = 0.2
--- a/wellhitch/stand_ins/register.py
+++ b/wellhitch/stand_ins/register.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class RegisteredOffice:
     """One office in the register."""
 
     office: str
@@ -41,7 +41,7 @@
         self.loop, self.network, self.recorder, self.chance = loop, network, recorder, chance
         self.late, self.spread = late, spread
         self.hello = frames.Hello("register", -1, boot)
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, RegisteredOffice] = {}
         self.revision = 0
         self.told: dict[Channel, int] = {}
         self.goes_back = False  # trouble: an old revision is told after each new one
@@ -60,7 +60,7 @@
         """Time in us."""
         return now_us(self.loop)
 
-    def _line(self, known: Known) -> frames.OfficeListEntry:
+    def _line(self, known: RegisteredOffice) -> frames.OfficeListEntry:
         age = None if known.started is None else max(0, self.now() - known.started)
         return frames.OfficeListEntry(
             known.office, known.number, known.standing, age, known.address, known.peer
@@ -71,7 +71,7 @@
     ) -> None:
         """An office changed; every call server will be told."""
         self.revision += 1
-        known = self.known[office] = Known(office, number, standing, started, address, peer)
+        known = self.known[office] = RegisteredOffice(office, number, standing, started, address, peer)
         wait = self.late(standing)
         revision = self.revision
         for port in list(self.told):
@@ -80,11 +80,11 @@
             # What is told is as it was at the change; its age counts on.
             self.loop.call_later((due - self.now()) / 1e6, self._tell, port, known, standing, revision)
 
-    def _tell(self, port: Channel, known: Known, standing: str, revision: int) -> None:
+    def _tell(self, port: Channel, known: RegisteredOffice, standing: str, revision: int) -> None:
         if port not in self.told:
             return
         line = self._line(
-            Known(known.office, known.number, standing, known.started, known.address, known.peer)
+            RegisteredOffice(known.office, known.number, standing, known.started, known.address, known.peer)
         )
         frame = frames.OfficeList("changes", revision, [line])
         port.send(frame)
--- a/wellhitch/stand_ins/simulated_fleet.py
+++ b/wellhitch/stand_ins/simulated_fleet.py
@@ -12,9 +12,9 @@
 from wellhitch.net.transport import Network, now_us
 from wellhitch.settings.day import Day, ExchangeSettings
 from wellhitch.settings.server import duration_us
-from wellhitch.stand_ins.callers import Callers, Demand, Habits
+from wellhitch.stand_ins.callers import CallerBehaviour, Callers, TrafficDemand
 from wellhitch.stand_ins.office import Office, Trunks
-from wellhitch.stand_ins.processor import ColdStart, Work
+from wellhitch.stand_ins.processor import ColdStart, WorkCosts
 from wellhitch.stand_ins.recorder import Recorder
 from wellhitch.stand_ins.register import Centre, Register
 from wellhitch.trunk.circuits import TrunkGroup
@@ -43,7 +43,7 @@
         """host:port of a door of a host; the same each time."""
 
 
-class Wire(Protocol):
+class LinkFaultInjector(Protocol):
     """What can be done to the links of a day, where the network allows it."""
 
     def cut(self, here: str, there: str) -> int:
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class Town:
+class SimulatedFleet:
     """The stand-ins of a day. `network(host)` is each host's own view."""
 
     loop: asyncio.AbstractEventLoop
@@ -62,7 +62,7 @@
     network: Callable[[str], Network]
     addresses: Addresses
     servers: Servers
-    wire: Wire | None = None
+    wire: LinkFaultInjector | None = None
     folder: Path | None = None
     recorders: dict[str, Recorder] = field(default_factory=dict)
     offices: dict[int, Office] = field(default_factory=dict)
@@ -197,7 +197,7 @@
             address=self.addresses.of(name, "trunk"),
             setup_us=duration_us(line.setup),
             queue_us=duration_us(day.offices.queue),
-            work=Work(day.offices.look, day.offices.reject, day.offices.follow, day.offices.word),
+            work=WorkCosts(day.offices.look, day.offices.reject, day.offices.follow, day.offices.word),
             cold=cold,
             started=started,
             boot=again + 1,
@@ -234,7 +234,7 @@
 
     def _callers(self, line: ExchangeSettings) -> Callers:
         day, name = self.day, f"callers-{line.number}"
-        habits = Habits(
+        habits = CallerBehaviour(
             day.callers.retries,
             day.callers.patience,
             duration_us(day.callers.pause),
@@ -251,7 +251,7 @@
             self.addresses.of(f"server-{line.number}", "callers"),
             self.recorder("callers", name, number=line.number),
             self.chance(name),
-            Demand(
+            TrafficDemand(
                 {int(to): rate for to, rate in line.calls.items() if rate > 0},
                 self.use_cases(),
                 shape=sorted(day.shape),
