--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -50,7 +50,7 @@
 from wellhitch.ledger.reconcile import CompareRanges, RangeSummary
 from wellhitch.ledger.service import SettlementService
 from wellhitch.ledger.settle import Settled
-from wellhitch.stand_ins.accounting import Accounting, Ills
+from wellhitch.stand_ins.accounting import Accounting, AccountingFaults
 from wellhitch.store.engine import StoreError
 
 SECOND = 1_000_000
@@ -60,10 +60,10 @@
 # ---- whole days: bookings are compared with the captures ----
 
 TENANTS = {"tenants": ["north", "south", "east"]}
-ALL_ILLS = Ills(loses_answer=0.3, answers_twice=0.3, wrong_file=0.3, takes_half=0.3)
+ALL_ACCOUNTING_FAULTS = AccountingFaults(loses_answer=0.3, answers_twice=0.3, wrong_file=0.3, takes_half=0.3)
 
 
-def play_day(faults: Ills, troubles: list[dict[str, Any]], **more: Any) -> ledger_day.Books:
+def play_day(faults: AccountingFaults, troubles: list[dict[str, Any]], **more: Any) -> ledger_day.Books:
     made = day(ledger=True, callers=TENANTS, length="8s", rate=6.0, troubles=troubles)
     return ledger_day.play(made, faults, **more)
 
@@ -77,7 +77,7 @@
 
 
 def test_a_day_across_a_months_end_is_booked_with_the_true_durations() -> None:
-    found = play_day(Ills(), [])
+    found = play_day(AccountingFaults(), [])
     assert_all_booked(found)
     assert {one.tenant for one in found.booked.values()} == set(TENANTS["tenants"])
     # The month ends within the day: each of the three call servers exports two files.
@@ -86,14 +86,14 @@
 
 def test_killed_call_servers_and_an_accounting_side_with_all_faults() -> None:
     killed = [trouble("server_killed", "2s", "1s", on=[1]), trouble("server_killed", "5s", "2s", on=[2])]
-    found = play_day(ALL_ILLS, killed)
+    found = play_day(ALL_ACCOUNTING_FAULTS, killed)
     assert_all_booked(found, killed_us=SECOND)
     assert found.accounting["took_half"] and found.accounting["lost_answer"]
 
 
 def test_machines_that_lose_power_lose_no_more_than_documented() -> None:
     killed = [trouble("server_killed", "3s", "1s", on=[0, 1, 2])]
-    found = play_day(ALL_ILLS, killed, power_cuts=lambda number: True)
+    found = play_day(ALL_ACCOUNTING_FAULTS, killed, power_cuts=lambda number: True)
     assert not found.verdict.breaks and not found.wrong
     lost = [one for one in ledger_day.differences(found, SECOND) if "is not booked" not in one]
     assert lost == []
@@ -102,14 +102,16 @@
 
 
 def test_clocks_minutes_apart_and_cut_connections_close_the_same_period() -> None:
-    found = play_day(Ills(), [trouble("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0)
+    found = play_day(
+        AccountingFaults(), [trouble("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0
+    )
     assert_all_booked(found)
 
 
 @pytest.mark.parametrize("disk", ["old", "new"])
 def test_an_instance_that_comes_back_with_an_old_or_a_new_disk_catches_up(disk: str) -> None:
     """Its rows are restored from the replica holder, and its exported files from the accounting side."""
-    found = play_day(Ills(), [], disk=disk, after_s=120.0)
+    found = play_day(AccountingFaults(), [], disk=disk, after_s=120.0)
     assert_all_booked(found)
     assert found.counts["ledger_rows_back"] > 20
     if disk == "new":
@@ -120,14 +122,14 @@
 
 
 def test_the_comparison_detects_a_booking_that_is_wrong_missing_or_made_up() -> None:
-    found = play_day(Ills(), [])
+    found = play_day(AccountingFaults(), [])
     name, other, third, *_ = sorted(found.booked)
     was = found.booked.pop(name)
     found.booked[0, 1] = was
-    found.booked[other] = ledger_day.Booked(
+    found.booked[other] = ledger_day.BookedTotal(
         found.booked[other].tenant, "", found.booked[other].billed + SECOND, 1
     )
-    found.booked[third] = ledger_day.Booked("nobody", "", found.booked[third].billed, 1)
+    found.booked[third] = ledger_day.BookedTotal("nobody", "", found.booked[third].billed, 1)
     assert len(ledger_day.differences(found)) == 4
 
 
@@ -278,8 +280,8 @@
     return make_file(KEY, 3, sequence, "2026-12", made, before)
 
 
-def accounting(disk: EmulatedDisk, faults: Ills | None = None, seed: int = 1) -> Accounting:
-    return Accounting(disk.open("books"), {3: KEY}, faults or Ills(), random.Random(seed))
+def accounting(disk: EmulatedDisk, faults: AccountingFaults | None = None, seed: int = 1) -> Accounting:
+    return Accounting(disk.open("books"), {3: KEY}, faults or AccountingFaults(), random.Random(seed))
 
 
 def test_a_file_cut_at_each_byte_is_refused_and_booked_once_when_whole() -> None:
@@ -326,7 +328,7 @@
         files[sequence] = a_file(sequence, before)
         before = read_file(KEY, files[sequence]).mac
     sender, now = Sender(KEY, 3, ExportProgress(5), dict(files)), 0
-    side = accounting(disk, ALL_ILLS, seed)
+    side = accounting(disk, ALL_ACCOUNTING_FAULTS, seed)
     cuts = 0
     while sender.files:
         now += RETRY_INTERVAL_US
@@ -343,7 +345,7 @@
         if disk.dead:
             cuts += 1
             disk = disk.after_power_cut(rng.randrange(1000), rng.random())
-            side = accounting(disk, ALL_ILLS, rng.randrange(1000))
+            side = accounting(disk, ALL_ACCOUNTING_FAULTS, rng.randrange(1000))
             back = []
         for receipt in back:
             sender.accept_receipt(receipt)
