--- a/tests/test_trial_verdicts.py
+++ b/tests/test_trial_verdicts.py
@@ -1,125 +1,145 @@
-"""The judge of trials, against records written by hand: each broken rule is named, and a sound trial passes."""
+"""The checker of trials, on handwritten records: each violated rule is named, and a correct trial passes."""
 
 from pathlib import Path
 
 import pytest
 
-from wellhitch.lab.trials.records import Lag, Record, Records, Seen
-from wellhitch.lab.trials.verdicts import Judge, Verdict, judge_log
+from wellhitch.lab.trials.records import EventKind, Lag, Record, Records
+from wellhitch.lab.trials.verdicts import Checker, Verdict, check_log
 
 CALL, SERVER, ENDPOINT, OTHER = "00000000000000aa", "n0", "s-00000001", "s-00000002"
 
 
-def seen(at: float, kind: Seen, **over: object) -> Record:
-    call = "" if kind.name.startswith(("SERVER", "STATE", "CAME")) else CALL
-    made: dict[str, object] = {"call": call, "server": SERVER, "endpoint": ENDPOINT}
-    return Record(at, kind, **(made | over))  # type: ignore[arg-type]
+def recorded(time_s: float, kind: EventKind, **overrides: object) -> Record:
+    call_id = "" if kind.name.startswith(("SERVER", "STATE", "ENDPOINT")) else CALL
+    fields: dict[str, object] = {"call_id": call_id, "server": SERVER, "endpoint": ENDPOINT}
+    return Record(time_s, kind, **(fields | overrides))  # type: ignore[arg-type]
 
 
-ALIVE = [seen(0, Seen.SERVER_STARTED), seen(0.5, Seen.SERVER_READY)]
-SENT = seen(1, Seen.REQUEST_SENT, detail="1.0")
-REFUSED = seen(1.1, Seen.ANSWERED, status=503)
+ALIVE = [recorded(0, EventKind.SERVER_STARTED), recorded(0.5, EventKind.SERVER_READY)]
+SENT = recorded(1, EventKind.REQUEST_SENT, detail="1.0")
+REJECTED = recorded(1.1, EventKind.ANSWERED, status=503)
 SERVED = [
     SENT,
-    seen(1.01, Seen.SETUP_RECEIVED),
-    seen(1.02, Seen.ESTABLISHED),
-    seen(1.03, Seen.ANSWERED, status=200, detail=f"{ENDPOINT} {CALL}"),
+    recorded(1.01, EventKind.SETUP_RECEIVED),
+    recorded(1.02, EventKind.ESTABLISHED),
+    recorded(1.03, EventKind.ANSWERED, status=200, detail=f"{ENDPOINT} {CALL}"),
 ]
-OVER = seen(3, Seen.OVER, status=16)
-RELEASE = seen(3, Seen.RELEASE_SENT, status=16)
+CALL_ENDED = recorded(3, EventKind.CALL_ENDED, status=16)
+RELEASE = recorded(3, EventKind.RELEASE_SENT, status=16)
 
 
-def told(at: float) -> Record:
-    return seen(at, Seen.TOLD_OVER)
+def release_received(time_s: float) -> Record:
+    return recorded(time_s, EventKind.RELEASE_RECEIVED)
 
 
-def settle(*records: Record, logs: str = "") -> Verdict:
-    return Judge(Records([*ALIVE, *records]), 60.0, 0.2, 0.25, logs).settle()
+def check(*records: Record, logs: str = "") -> Verdict:
+    return Checker(Records([*ALIVE, *records]), 60.0, 0.2, 0.25, logs).check()
 
 
-SOUND = {
-    "refused": [SENT, REFUSED],
-    "served, over and told": [*SERVED, OVER, RELEASE, told(3.9)],
-    "vanished, told within eight seconds": [*SERVED, OVER, told(10.9)],
-    "released by its client": [*SERVED, seen(2, Seen.CLIENT_RELEASED), OVER],
-    "given up": [SENT, seen(1.2, Seen.GIVEN_UP)],
-    "crossed a close": [SENT, seen(1.04, Seen.CONNECTION_ENDED, detail="crossed")],
-    "its server was killed": [SENT, seen(1.1, Seen.SERVER_KILLED), seen(1.1, Seen.CONNECTION_ENDED)],
+CORRECT = {
+    "rejected": [SENT, REJECTED],
+    "answered, ended and released": [*SERVED, CALL_ENDED, RELEASE, release_received(3.9)],
+    "vanished, released within eight seconds": [*SERVED, CALL_ENDED, release_received(10.9)],
+    "released by the client": [*SERVED, recorded(2, EventKind.CLIENT_RELEASED), CALL_ENDED],
+    "cancelled": [SENT, recorded(1.2, EventKind.CANCELLED)],
+    "close race": [SENT, recorded(1.04, EventKind.CONNECTION_ENDED, detail="close race")],
+    "call server killed": [
+        SENT,
+        recorded(1.1, EventKind.SERVER_KILLED),
+        recorded(1.1, EventKind.CONNECTION_ENDED),
+    ],
     "sent again after the release wait": [
         SENT,
-        seen(1.01, Seen.SETUP_RECEIVED),
-        seen(1.1, Seen.ATTEMPT_ENDED, detail="spoilt"),
-        seen(1.31, Seen.SETUP_RECEIVED, endpoint=OTHER),
-        REFUSED,
+        recorded(1.01, EventKind.SETUP_RECEIVED),
+        recorded(1.1, EventKind.ATTEMPT_ENDED, detail="malformed answer"),
+        recorded(1.31, EventKind.SETUP_RECEIVED, endpoint=OTHER),
+        REJECTED,
     ],
-    "ended after SIGTERM": [seen(2, Seen.SERVER_TERMINATED), seen(3, Seen.SERVER_ENDED)],
-    "to a draining endpoint within the grace": [
+    "ended after SIGTERM": [recorded(2, EventKind.SERVER_TERMINATED), recorded(3, EventKind.SERVER_ENDED)],
+    "set-up to a draining endpoint within the grace": [
         *SERVED,
-        seen(0.8, Seen.STATE_TOLD, detail="DRAINING"),
-        OVER,
-        told(3.1),
+        recorded(0.8, EventKind.STATE_REPORTED, detail="DRAINING"),
+        CALL_ENDED,
+        release_received(3.1),
     ],
 }
 
 
-@pytest.mark.parametrize("name", SOUND)
-def test_a_sound_trial_is_not_convicted(name: str) -> None:
-    verdict = settle(*SOUND[name])
+@pytest.mark.parametrize("name", CORRECT)
+def test_a_correct_trial_passes(name: str) -> None:
+    verdict = check(*CORRECT[name])
     assert verdict.passed, verdict.violations
 
 
-BROKEN: dict[str, tuple[str, list[Record]]] = {
+VIOLATIONS: dict[str, tuple[str, list[Record]]] = {
     "no answer": ("lost", [SENT]),
-    "late": ("lost", [SENT, seen(2.8, Seen.ANSWERED, status=503)]),
-    "a second answer": ("lost", [SENT, REFUSED, seen(1.2, Seen.ANSWERED, status=500)]),
-    "closed in its midst": ("lost", [SENT, seen(1.3, Seen.CONNECTION_ENDED)]),
-    "killed after SIGTERM with it": (
+    "late answer": ("lost", [SENT, recorded(2.8, EventKind.ANSWERED, status=503)]),
+    "second answer": ("lost", [SENT, REJECTED, recorded(1.2, EventKind.ANSWERED, status=500)]),
+    "connection closed before the answer": ("lost", [SENT, recorded(1.3, EventKind.CONNECTION_ENDED)]),
+    "killed after SIGTERM before the answer": (
         "lost",
         [
-            seen(0.9, Seen.SERVER_TERMINATED),
+            recorded(0.9, EventKind.SERVER_TERMINATED),
             SENT,
-            seen(1.3, Seen.SERVER_KILLED),
-            seen(1.3, Seen.CONNECTION_ENDED),
+            recorded(1.3, EventKind.SERVER_KILLED),
+            recorded(1.3, EventKind.CONNECTION_ENDED),
         ],
     ),
-    "nobody's answer": ("lost", [SENT, seen(1.1, Seen.ANSWERED, status=200, detail=f"{OTHER} {CALL}")]),
-    "two attempts": (
+    "answer of an endpoint without the call": (
+        "lost",
+        [SENT, recorded(1.1, EventKind.ANSWERED, status=200, detail=f"{OTHER} {CALL}")],
+    ),
+    "two attempts at once": (
         "duplicate",
-        [SENT, seen(1.01, Seen.SETUP_RECEIVED), seen(1.02, Seen.SETUP_RECEIVED, endpoint=OTHER), REFUSED],
+        [
+            SENT,
+            recorded(1.01, EventKind.SETUP_RECEIVED),
+            recorded(1.02, EventKind.SETUP_RECEIVED, endpoint=OTHER),
+            REJECTED,
+        ],
     ),
     "sent again too soon": (
         "release",
         [
             SENT,
-            seen(1.01, Seen.SETUP_RECEIVED),
-            seen(1.02, Seen.ATTEMPT_ENDED, detail="connection ended"),
-            seen(1.05, Seen.SETUP_RECEIVED),
-            REFUSED,
+            recorded(1.01, EventKind.SETUP_RECEIVED),
+            recorded(1.02, EventKind.ATTEMPT_ENDED, detail="connection ended"),
+            recorded(1.05, EventKind.SETUP_RECEIVED),
+            REJECTED,
         ],
     ),
-    "told too late": ("told", [*SERVED, OVER, RELEASE, told(4.3)]),
-    "vanished, told too late": ("told", [*SERVED, OVER, told(11.3)]),
-    "never told": ("told", [*SERVED, OVER]),
-    "to a draining endpoint": (
+    "released too late": ("unreported", [*SERVED, CALL_ENDED, RELEASE, release_received(4.3)]),
+    "vanished, released too late": ("unreported", [*SERVED, CALL_ENDED, release_received(11.3)]),
+    "never released": ("unreported", [*SERVED, CALL_ENDED]),
+    "set-up to a draining endpoint": (
         "drain",
-        [seen(0.5, Seen.STATE_TOLD, detail="DRAINING"), *SERVED, OVER, told(3.1)],
+        [
+            recorded(0.5, EventKind.STATE_REPORTED, detail="DRAINING"),
+            *SERVED,
+            CALL_ENDED,
+            release_received(3.1),
+        ],
+    ),
+    "crashed": ("crash", [recorded(2, EventKind.SERVER_ENDED, status=1)]),
+    "exited without SIGTERM": ("crash", [recorded(2, EventKind.SERVER_ENDED)]),
+    "exited with an error after SIGTERM": (
+        "crash",
+        [recorded(2, EventKind.SERVER_TERMINATED), recorded(3, EventKind.SERVER_ENDED, status=1)],
     ),
-    "crashed": ("crash", [seen(2, Seen.SERVER_ENDED, status=1)]),
-    "ended of itself": ("crash", [seen(2, Seen.SERVER_ENDED)]),
-    "ended ill": ("crash", [seen(2, Seen.SERVER_TERMINATED), seen(3, Seen.SERVER_ENDED, status=1)]),
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_each_broken_rule_is_named(name: str) -> None:
-    rule, records = BROKEN[name]
-    assert {violation.rule for violation in settle(*records).violations} == {rule}
+@pytest.mark.parametrize("name", VIOLATIONS)
+def test_each_violated_rule_is_named(name: str) -> None:
+    rule, records = VIOLATIONS[name]
+    assert {violation.rule for violation in check(*records).violations} == {rule}
 
 
 def test_a_first_request_that_was_never_read_has_failed_and_is_not_lost() -> None:
-    ended = seen(1.3, Seen.CONNECTION_ENDED, detail="nothing had been sent on it")
-    assert settle(SENT, ended).passed
-    assert not settle(SENT, ended, logs=f'{{"event":"set_up_given_up","call":"{CALL}"}}').passed
+    ended = recorded(1.3, EventKind.CONNECTION_ENDED, detail="nothing received on the connection")
+    assert check(SENT, ended).passed
+    assert not check(SENT, ended, logs=f'{{"event":"set_up_given_up","call":"{CALL}"}}').passed
 
 
 @pytest.mark.parametrize(
@@ -130,13 +150,13 @@
     path = tmp_path / "n0.log"
     path.write_bytes(line + b"\n")
     verdict = Verdict()
-    judge_log(verdict, path)
+    check_log(verdict, path)
     assert verdict.passed is passed
 
 
-def test_the_lateness_of_the_stand_ins_themselves_is_allowed_for_and_no_more() -> None:
-    late = [*SERVED, OVER, RELEASE, told(4.5)]
+def test_only_the_measured_lag_of_the_stand_ins_extends_a_limit() -> None:
+    late = [*SERVED, CALL_ENDED, RELEASE, release_received(4.5)]
     records = Records([*ALIVE, *late], [Lag(4.15, 0.2)])
-    assert Judge(records, 60.0, 0.2, 0.25, "").settle().passed
+    assert Checker(records, 60.0, 0.2, 0.25, "").check().passed
     for lag in (Lag(4.15, 0.1), Lag(4.4, 0.2), Lag(2.9, 0.2)):
-        assert not Judge(Records([*ALIVE, *late], [lag]), 60.0, 0.2, 0.25, "").settle().passed
+        assert not Checker(Records([*ALIVE, *late], [lag]), 60.0, 0.2, 0.25, "").check().passed
--- a/wellhitch/lab/trials/__init__.py
+++ b/wellhitch/lab/trials/__init__.py
@@ -1,1 +1,2 @@
-"""Dense trials: real call server processes on loopback beside stand-ins that fail on a seeded plan."""
+"""Fault injection trials: real call server processes on loopback, with clients, endpoints and discovery replaced by
+stand-ins that fail according to a seeded plan."""
--- a/wellhitch/lab/trials/__main__.py
+++ b/wellhitch/lab/trials/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wellhitch.lab.trials`: play the trials of some seeds, some at a time, and tell what came of each."""
+"""`python -m wellhitch.lab.trials`: runs the trials of a range of seeds, several at a time, and reports each result."""
 
 import subprocess
 import sys
@@ -7,54 +7,56 @@
 
 import click
 
-from wellhitch.lab.trials.plan import Kind
-from wellhitch.lab.trials.run import play_seed
+from wellhitch.lab.trials.plan import FaultKind
+from wellhitch.lab.trials.run import run_seed
 
-LONGEST_S = 180  # of one trial, start and all
+TRIAL_TIMEOUT_S = 180  # for one trial, including the start of its processes
 
 
-def _kinds(text: str) -> tuple[Kind, ...] | None:
+def _parse_kinds(text: str) -> tuple[FaultKind, ...] | None:
     if not text:
         return None
     try:
-        return tuple(Kind[name.upper()] for name in text.split("+"))
-    except KeyError as unknown:
-        known = ", ".join(kind.name.lower() for kind in Kind)
-        raise click.BadParameter(f"{unknown}: no such kind; known are {known}") from None
+        return tuple(FaultKind[name.upper()] for name in text.split("+"))
+    except KeyError as error:
+        choices = ", ".join(kind.name.lower() for kind in FaultKind)
+        raise click.BadParameter(f"{error}: unknown kind of fault; choose from {choices}") from None
 
 
-def _in_a_process(seed: int, arguments: list[str]) -> tuple[bool, str]:
-    """Each trial in a process of its own: its loop then serves nobody else."""
+def _run_in_process(seed: int, arguments: list[str]) -> tuple[bool, str]:
+    """Run one trial in a separate process, so that its event loop is not shared with other trials."""
     command = [sys.executable, "-m", "wellhitch.lab.trials", str(seed), str(seed), *arguments]
     try:
-        done = subprocess.run(command, capture_output=True, text=True, timeout=LONGEST_S)
+        process = subprocess.run(command, capture_output=True, text=True, timeout=TRIAL_TIMEOUT_S)
     except subprocess.TimeoutExpired:
-        return False, f"seed {seed} FAILED: not over after {LONGEST_S} s"
-    return done.returncode == 0, done.stdout.strip() or done.stderr.strip()
+        return False, f"seed {seed} FAILED: not finished after {TRIAL_TIMEOUT_S} s"
+    return process.returncode == 0, process.stdout.strip() or process.stderr.strip()
 
 
 @click.command()
 @click.argument("first", type=int)
 @click.argument("last", type=int)
-@click.option("--kinds", default="", help="Kinds of fault joined by +, in place of drawn ones.")
-@click.option("--together", default=4, show_default=True, help="Trials played at the same time.")
+@click.option("--kinds", default="", help="Kinds of fault joined by +, instead of those drawn from the seed.")
+@click.option("--together", default=4, show_default=True, help="Trials run at the same time.")
 @click.option(
-    "--keep", type=click.Path(path_type=Path), help="Folder for the records and logs of trials that failed."
+    "--keep",
+    type=click.Path(path_type=Path),
+    help="Folder in which the records and logs of the trials are kept.",
 )
 def main(first: int, last: int, kinds: str, together: int, keep: Path | None) -> None:
-    """Play the trials of the seeds FIRST to LAST.
+    """Run the trials of the seeds FIRST to LAST.
 
     \b
     python -m wellhitch.lab.trials 1 50 --together 8 --keep /tmp/trials
     """
     if first == last:
-        outcome = play_seed(first, _kinds(kinds), keep)
+        outcome = run_seed(first, _parse_kinds(kinds), keep)
         click.echo(outcome.report())
         sys.exit(0 if outcome.verdict.passed else 1)
     arguments = [*(("--kinds", kinds) if kinds else ()), *(("--keep", str(keep)) if keep else ())]
-    _kinds(kinds)
+    _parse_kinds(kinds)
     with ThreadPoolExecutor(together) as pool:
-        results = list(pool.map(lambda seed: _in_a_process(seed, arguments), range(first, last + 1)))
+        results = list(pool.map(lambda seed: _run_in_process(seed, arguments), range(first, last + 1)))
     for _, report in results:
         click.echo(report)
     failed = sum(not passed for passed, _ in results)
--- a/wellhitch/lab/trials/client.py
+++ b/wellhitch/lab/trials/client.py
@@ -1,284 +1,290 @@
-"""Clients of one call server on real sockets: usual ones, whose requests are judged, and bad ones that load it."""
+"""Clients of one call server on real sockets: well-behaved ones, whose requests are checked, and bad ones, which only
+load the server."""
 
 import asyncio
 import random
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from wellhitch.lab.trials.records import Record, Records, Seen
+from wellhitch.lab.trials.records import EventKind, Record, Records
 from wellhitch.lab.trials.sockets import Connection, open_connection
 from wellhitch.sip import codec as sip
 from wellhitch.stand_ins.platform import invite, plain
 
-IDLE_CLOSE_S = 4.0  # usual clients close a connection that has no call on it
-CROSSING_S = 0.05  # a set-up that crosses a close by no more is sent once more on a new connection
-MOST_CONNECTIONS = 8
-PIECE_GAP_S = 0.005
-NAMING_TRIES = 20
-NAMING_AGAIN_S = 0.05
-CROSSED = "crossed"
-NOTHING_SENT = "nothing had been sent on it"
+IDLE_CLOSE_S = 4.0  # well-behaved clients close a connection without calls after this time
+CLOSE_RACE_S = 0.05  # set-ups sent this shortly before a close are sent once more on a new connection
+MAX_CONNECTIONS = 8
+FRAGMENT_GAP_S = 0.005
+REPORT_ATTEMPTS = 20
+REPORT_RETRY_S = 0.05
+CLOSE_RACE = "close race"
+NOTHING_RECEIVED = "nothing received on the connection"
 
 
-class Manner(Enum):
-    """How a usual client writes and waits."""
+class ClientTrait(Enum):
+    """How well-behaved clients write and wait."""
 
     PLAIN = auto()
-    PIECES = auto()  # the set-up is written in parts some milliseconds apart
-    IMPATIENT = auto()  # it cancels some set-ups early
-    REPEATS = auto()  # it comes again at once when it is refused
+    FRAGMENTED = auto()  # set-ups are written in parts some milliseconds apart
+    CANCELS_EARLY = auto()  # some set-ups are cancelled before their deadline
+    RETRIES_AT_ONCE = auto()  # a rejected set-up is retried at once
 
 
 @dataclass(eq=False, slots=True)
 class _Request:
-    call: str
+    call_id: str
     sent_at: float
     deadline_s: float
     resent: bool
     message: bytes
-    repeats_left: int = 0
+    retries_left: int = 0
 
 
 @dataclass(eq=False, slots=True)
-class _Line:
-    """One connection to the call server."""
+class _Session:
+    """One connection to the call server, with its unanswered set-ups and established calls."""
 
     connection: Connection
     decoder: sip.Decoder = field(default_factory=sip.Decoder)
-    open: dict[str, _Request] = field(default_factory=dict)
+    pending: dict[str, _Request] = field(default_factory=dict)
     established: set[str] = field(default_factory=set)
     last_used: float = 0.0
-    writing: bool = False  # a set-up is being written in pieces
-    answered: bool = False  # anything has come on it
-    waiting: bytearray = field(default_factory=bytearray)  # messages to be written after it
+    writing_fragments: bool = False  # a set-up is being written in parts
+    has_received: bool = False  # data has arrived on the connection
+    queued: bytearray = field(default_factory=bytearray)  # messages to be written after the current set-up
 
     def write(self, message: bytes) -> bool:
-        """Write a whole message; False where the connection has ended."""
-        if self.writing and not self.connection.ended:
-            self.waiting += message
+        """Write a message, or queue it behind a set-up that is written in parts; False if the connection has ended."""
+        if self.writing_fragments and not self.connection.ended:
+            self.queued += message
             return True
         return self.connection.write(message)
 
-    async def write_pieces(self, message: bytes) -> bool:
-        """Write a message in three parts some milliseconds apart; False where the connection has ended."""
-        self.writing = True
+    async def write_fragments(self, message: bytes) -> bool:
+        """Write a message in three parts some milliseconds apart; False if the connection has ended."""
+        self.writing_fragments = True
         third = len(message) // 3
         self.connection.write(message[:third])
-        await asyncio.sleep(PIECE_GAP_S)
+        await asyncio.sleep(FRAGMENT_GAP_S)
         self.connection.write(message[third : 2 * third])
-        await asyncio.sleep(PIECE_GAP_S)
+        await asyncio.sleep(FRAGMENT_GAP_S)
         written = self.connection.write(message[2 * third :])
-        self.writing = False
-        waiting, self.waiting = bytes(self.waiting), bytearray()
-        if waiting:
-            self.connection.write(waiting)
+        self.writing_fragments = False
+        queued, self.queued = bytes(self.queued), bytearray()
+        if queued:
+            self.connection.write(queued)
         return written
 
 
 class Clients:
-    """The usual clients of one call server."""
+    """The well-behaved clients of one call server."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         records: Records,
-        chance: random.Random,
+        rng: random.Random,
         server: str,
         address: str,
         classes: dict[str, float],
         destinations: list[int],
     ) -> None:
-        """`classes`: the deadline in seconds of each class."""
-        self.loop, self.records, self.chance = loop, records, chance
+        """`classes` holds the deadline of each traffic class in seconds."""
+        self.loop, self.records, self.rng = loop, records, rng
         self.server, self.address = server, address
         self.classes, self.destinations = classes, destinations
-        self.manners: set[Manner] = set()
-        self.stops_new_connections = False
+        self.traits: set[ClientTrait] = set()
+        self.no_new_connections = False
         self.paused = False
-        self.lines: dict[_Line, None] = {}
-        self.standing: dict[str, str] = {}  # call -> endpoint that set it up
+        self.sessions: dict[_Session, None] = {}
+        self.established_calls: dict[str, str] = {}  # call id -> id of the endpoint that answered
         self._tasks: set[asyncio.Task[None]] = set()
         self._opening = 0
 
-    # ---- what they do ----
+    # ---- traffic ----
 
-    def call(self) -> None:
-        """One new set-up."""
-        call = f"{self.chance.getrandbits(64):016x}"
-        name = self.chance.choice(sorted(self.classes))
-        deadline = self.classes[name] * self.chance.choice((1.0, 1.0, 0.6))
+    def start_call(self) -> None:
+        """Send one new set-up."""
+        call_id = f"{self.rng.getrandbits(64):016x}"
+        class_name = self.rng.choice(sorted(self.classes))
+        deadline_s = self.classes[class_name] * self.rng.choice((1.0, 1.0, 0.6))
         message = invite(
-            call,
-            self.chance.choice(self.destinations),
-            name,
-            int(deadline * 1000),
-            body=f"{call}\r\nc=IN IP4 10.4.7.9\r\n".encode(),
-            key=f"{self.chance.getrandbits(64):016x}",
+            call_id,
+            self.rng.choice(self.destinations),
+            class_name,
+            int(deadline_s * 1000),
+            body=f"{call_id}\r\nc=IN IP4 10.4.7.9\r\n".encode(),
+            key=f"{self.rng.getrandbits(64):016x}",
         )
-        repeats = 3 if Manner.REPEATS in self.manners else 0
-        self._spawn(self._send(_Request(call, 0.0, deadline, False, message, repeats)))
+        retries = 3 if ClientTrait.RETRIES_AT_ONCE in self.traits else 0
+        self._spawn(self._send(_Request(call_id, 0.0, deadline_s, False, message, retries)))
 
-    def release_one(self) -> None:
-        """A client ends one of its calls, on any connection."""
-        if not self.standing:
+    def release_random_call(self) -> None:
+        """Release one established call, on the first open connection."""
+        if not self.established_calls:
             return
-        call = self.chance.choice(sorted(self.standing))
-        line = next((line for line in self.lines if not line.connection.ended), None)
-        if line is None or not line.write(plain("BYE", call)):
+        call_id = self.rng.choice(sorted(self.established_calls))
+        session = next((session for session in self.sessions if not session.connection.ended), None)
+        if session is None or not session.write(plain("BYE", call_id)):
             return
-        self._forget_call(call)
-        self._note(Seen.CLIENT_RELEASED, call)
-        if Manner.IMPATIENT in self.manners and not line.open and not line.established:
-            line.connection.close()  # the last bytes arrive with the close
+        self._forget_call(call_id)
+        self._record(EventKind.CLIENT_RELEASED, call_id)
+        if ClientTrait.CANCELS_EARLY in self.traits and not session.pending and not session.established:
+            session.connection.close()  # so that the last bytes arrive together with the close
 
-    def retell(self) -> None:
-        """After a restart: name each call that is still up, on new connections."""
-        self._spawn(self._retell())
+    def report_established_calls(self) -> None:
+        """Report each established call to the call server after its restart."""
+        self._spawn(self._report_established_calls())
 
     def stop(self) -> None:
-        """Leave no task or connection behind."""
+        """Cancel all tasks and close all connections."""
         for task in self._tasks:
             task.cancel()
-        for line in list(self.lines):
-            line.connection.on_end = lambda: None
-            line.connection.close()
-        self.lines.clear()
+        for session in list(self.sessions):
+            session.connection.on_end = lambda: None
+            session.connection.close()
+        self.sessions.clear()
 
     def close_idle(self) -> None:
-        """Close the connections that have had no call on them for a while."""
+        """Close the connections that have had no call and no traffic for `IDLE_CLOSE_S`."""
         now = self.loop.time()
-        for line in list(self.lines):
-            if not line.open and not line.established and now - line.last_used > IDLE_CLOSE_S:
-                line.connection.close()
+        for session in list(self.sessions):
+            if not session.pending and not session.established and now - session.last_used > IDLE_CLOSE_S:
+                session.connection.close()
 
-    # ---- inside ----
+    # ---- connections and messages ----
 
-    def _spawn(self, work: "asyncio._CoroutineLike[None]") -> None:
-        task = self.loop.create_task(work)
+    def _spawn(self, coroutine: "asyncio._CoroutineLike[None]") -> None:
+        task = self.loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _line(self) -> _Line | None:
-        usable = [line for line in self.lines if not line.connection.ended and not line.writing]
-        free = [line for line in usable if not line.open]
-        if free and (self.stops_new_connections or self.chance.random() < 0.8):
-            return self.chance.choice(free)
-        if usable and (self.stops_new_connections or len(usable) + self._opening >= MOST_CONNECTIONS):
-            return self.chance.choice(usable)
-        if self.stops_new_connections:
+    async def _usable_session(self) -> _Session | None:
+        usable = [
+            session
+            for session in self.sessions
+            if not session.connection.ended and not session.writing_fragments
+        ]
+        free = [session for session in usable if not session.pending]
+        if free and (self.no_new_connections or self.rng.random() < 0.8):
+            return self.rng.choice(free)
+        if usable and (self.no_new_connections or len(usable) + self._opening >= MAX_CONNECTIONS):
+            return self.rng.choice(usable)
+        if self.no_new_connections:
             return None
         self._opening += 1
         connection = await open_connection(self.loop, self.address)
         self._opening -= 1
         if connection is None:
             return None
-        line = _Line(connection, last_used=self.loop.time())
-        connection.on_data = lambda data: self._read(line, data)
-        connection.on_end = lambda: self._ended(line)
-        self.lines[line] = None
+        session = _Session(connection, last_used=self.loop.time())
+        connection.on_data = lambda data: self._read(session, data)
+        connection.on_end = lambda: self._connection_ended(session)
+        self.sessions[session] = None
         connection.start()
-        return line
+        return session
 
     async def _send(self, request: _Request) -> None:
-        line = await self._line()
-        if line is None:
+        session = await self._usable_session()
+        if session is None:
             return
-        if Manner.PIECES in self.manners and not line.open and self.chance.random() < 0.5:
-            written = await line.write_pieces(request.message)
+        if ClientTrait.FRAGMENTED in self.traits and not session.pending and self.rng.random() < 0.5:
+            written = await session.write_fragments(request.message)
         else:
-            written = line.write(request.message)
+            written = session.write(request.message)
         if not written:
             return
-        request.sent_at = line.last_used = self.loop.time()
-        line.open[request.call] = request
-        self._note(Seen.REQUEST_SENT, request.call, detail=f"{request.deadline_s}")
-        if Manner.IMPATIENT in self.manners and self.chance.random() < 0.2:
-            wait = request.deadline_s * self.chance.uniform(0.01, 0.5)
-            self.loop.call_later(wait, self._give_up, line, request)
-
-    def _give_up(self, line: _Line, request: _Request) -> None:
-        if line.open.pop(request.call, None) is not None and line.write(plain("CANCEL", request.call)):
-            self._note(Seen.GIVEN_UP, request.call)
-
-    def _read(self, line: _Line, data: bytes) -> None:
-        line.answered = True
-        line.last_used = self.loop.time()
-        for message in line.decoder.feed(data):
+        request.sent_at = session.last_used = self.loop.time()
+        session.pending[request.call_id] = request
+        self._record(EventKind.REQUEST_SENT, request.call_id, detail=f"{request.deadline_s}")
+        if ClientTrait.CANCELS_EARLY in self.traits and self.rng.random() < 0.2:
+            delay_s = request.deadline_s * self.rng.uniform(0.01, 0.5)
+            self.loop.call_later(delay_s, self._cancel, session, request)
+
+    def _cancel(self, session: _Session, request: _Request) -> None:
+        if session.pending.pop(request.call_id, None) is not None and session.write(
+            plain("CANCEL", request.call_id)
+        ):
+            self._record(EventKind.CANCELLED, request.call_id)
+
+    def _read(self, session: _Session, data: bytes) -> None:
+        session.has_received = True
+        session.last_used = self.loop.time()
+        for message in session.decoder.feed(data):
             if isinstance(message, sip.Request):
-                self._told(line, message)
+                self._request_received(session, message)
             elif message.headers.get("cseq", "").endswith("INVITE"):
-                self._answered(line, message)
+                self._response_received(session, message)
 
-    def _told(self, line: _Line, message: sip.Request) -> None:
+    def _request_received(self, session: _Session, message: sip.Request) -> None:
         if message.method != "BYE":
             return
-        call = message.headers.get("call-id", "")
-        line.write(sip.response(200, sip.echo(message)))
-        self._note(Seen.TOLD_OVER, call, detail=message.headers.get("reason", ""))
-        self._forget_call(call)
+        call_id = message.headers.get("call-id", "")
+        session.write(sip.response(200, sip.echo(message)))
+        self._record(EventKind.RELEASE_RECEIVED, call_id, detail=message.headers.get("reason", ""))
+        self._forget_call(call_id)
 
-    def _answered(self, line: _Line, message: sip.Response) -> None:
+    def _response_received(self, session: _Session, message: sip.Response) -> None:
         if message.status < 200:
             return
-        call = message.headers.get("call-id", "")
-        request = line.open.pop(call, None)
+        call_id = message.headers.get("call-id", "")
+        request = session.pending.pop(call_id, None)
         body = message.body.decode("utf-8", "replace").strip()
-        self._note(Seen.ANSWERED, call, message.status, body)
-        line.write(plain("ACK", call))
+        self._record(EventKind.ANSWERED, call_id, message.status, body)
+        session.write(plain("ACK", call_id))
         if message.status == 200 and request is not None:
-            self.standing[call] = body.split(" ")[0]
-            line.established.add(call)
-        elif message.status == 503 and request is not None and request.repeats_left > 0:
-            self._repeat(request)
-
-    def _repeat(self, request: _Request) -> None:
-        call = f"{self.chance.getrandbits(64):016x}"
-        message = request.message.replace(request.call.encode(), call.encode())
-        again = _Request(call, 0.0, request.deadline_s, False, message, request.repeats_left - 1)
-        self._spawn(self._send(again))
-
-    def _ended(self, line: _Line) -> None:
-        self.lines.pop(line, None)
+            self.established_calls[call_id] = body.split(" ")[0]
+            session.established.add(call_id)
+        elif message.status == 503 and request is not None and request.retries_left > 0:
+            self._retry(request)
+
+    def _retry(self, request: _Request) -> None:
+        call_id = f"{self.rng.getrandbits(64):016x}"
+        message = request.message.replace(request.call_id.encode(), call_id.encode())
+        retry = _Request(call_id, 0.0, request.deadline_s, False, message, request.retries_left - 1)
+        self._spawn(self._send(retry))
+
+    def _connection_ended(self, session: _Session) -> None:
+        self.sessions.pop(session, None)
         now = self.loop.time()
-        crossed = [request for request in line.open.values() if now - request.sent_at <= CROSSING_S]
-        crosses = len(crossed) == len(
-            line.open
-        )  # a set-up that was open longer shows that this was no idle close
-        for request in line.open.values():
-            detail = CROSSED if crosses else "" if line.answered else NOTHING_SENT
-            self._note(Seen.CONNECTION_ENDED, request.call, detail=detail)
-            if crosses and not request.resent:
-                again = _Request(request.call, 0.0, request.deadline_s, True, request.message)
-                self._spawn(self._send(again))
-        line.open.clear()
-
-    def _forget_call(self, call: str) -> None:
-        self.standing.pop(call, None)
-        for line in self.lines:
-            line.established.discard(call)
-
-    async def _retell(self) -> None:
-        for call, endpoint in list(self.standing.items()):
-            await self._name(call, endpoint)
-
-    async def _name(self, call: str, endpoint: str) -> None:
-        """Name one call that is up; where no connection takes the message, again a little later."""
-        message = invite(call, self.destinations[0], sorted(self.classes)[0], 1000, f";at:{endpoint}")
-        for _ in range(NAMING_TRIES):
-            line = await self._line()
-            if call not in self.standing:
+        recent = [request for request in session.pending.values() if now - request.sent_at <= CLOSE_RACE_S]
+        # An older unanswered set-up shows that the call server did not close the connection for being idle.
+        is_close_race = len(recent) == len(session.pending)
+        for request in session.pending.values():
+            detail = CLOSE_RACE if is_close_race else "" if session.has_received else NOTHING_RECEIVED
+            self._record(EventKind.CONNECTION_ENDED, request.call_id, detail=detail)
+            if is_close_race and not request.resent:
+                retry = _Request(request.call_id, 0.0, request.deadline_s, True, request.message)
+                self._spawn(self._send(retry))
+        session.pending.clear()
+
+    def _forget_call(self, call_id: str) -> None:
+        self.established_calls.pop(call_id, None)
+        for session in self.sessions:
+            session.established.discard(call_id)
+
+    async def _report_established_calls(self) -> None:
+        for call_id, endpoint in list(self.established_calls.items()):
+            await self._report_call(call_id, endpoint)
+
+    async def _report_call(self, call_id: str, endpoint: str) -> None:
+        """Report one established call; retry every `REPORT_RETRY_S` while no connection accepts the message."""
+        message = invite(call_id, self.destinations[0], sorted(self.classes)[0], 1000, f";at:{endpoint}")
+        for _ in range(REPORT_ATTEMPTS):
+            session = await self._usable_session()
+            if call_id not in self.established_calls:
                 return
-            if line is not None and line.write(message):
-                line.established.add(call)
-                self._note(Seen.RETOLD, call, detail=line.connection.local_address)
+            if session is not None and session.write(message):
+                session.established.add(call_id)
+                self._record(EventKind.CALL_REPORTED, call_id, detail=session.connection.local_address)
                 return
-            await asyncio.sleep(NAMING_AGAIN_S)
+            await asyncio.sleep(REPORT_RETRY_S)
 
-    def _note(self, seen: Seen, call: str, status: int = 0, detail: str = "") -> None:
-        self.records.add(Record(self.loop.time(), seen, call, self.server, status=status, detail=detail))
+    def _record(self, kind: EventKind, call_id: str, status: int = 0, detail: str = "") -> None:
+        self.records.add(Record(self.loop.time(), kind, call_id, self.server, status=status, detail=detail))
 
 
-BAD_MESSAGES = (
+MALFORMED_MESSAGES = (
     b"\x00\xff noise \r\n\r\n",
     b"INVITE sip:abc@net SIP/2.0\r\nContent-Length: -5\r\n\r\n",
     b"INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nCall-ID: zz\r\nContent-Length: 0\r\n\r\n",
@@ -288,16 +294,16 @@
 
 
 async def bad_client(
-    loop: asyncio.AbstractEventLoop, chance: random.Random, address: str, seconds: float
+    loop: asyncio.AbstractEventLoop, rng: random.Random, address: str, max_stay_s: float
 ) -> None:
-    """Connect, send what cannot be read or nothing at all, and stay for a while."""
+    """Connect, send a malformed message or nothing, and close after a random time of up to `max_stay_s`."""
     connection = await open_connection(loop, address)
     if connection is None:
         return
     connection.start()
-    if chance.random() < 0.7:
-        connection.write(chance.choice(BAD_MESSAGES))
-    if chance.random() < 0.3:
+    if rng.random() < 0.7:
+        connection.write(rng.choice(MALFORMED_MESSAGES))
+    if rng.random() < 0.3:
         connection.half_close()
-    await asyncio.sleep(seconds * chance.random())
+    await asyncio.sleep(max_stay_s * rng.random())
     connection.close()
--- a/wellhitch/lab/trials/endpoint.py
+++ b/wellhitch/lab/trials/endpoint.py
@@ -1,38 +1,38 @@
-"""A trunk endpoint on real sockets: it sets calls up, ends them, and fails as it is told to."""
+"""A trunk endpoint on real sockets, which answers and ends calls and has injected faults."""
 
 import asyncio
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wellhitch.lab.trials.records import Record, Records, Seen
+from wellhitch.lab.trials.records import EventKind, Record, Records
 from wellhitch.lab.trials.sockets import Connection, Listener
 from wellhitch.office_lines import codec as lines
 
-CAUSE_OVER, CAUSE_FULL, CAUSE_RESET = 16, 34, 41
+CAUSE_NORMAL, CAUSE_NO_CIRCUIT, CAUSE_TEMPORARY_FAILURE = 16, 34, 41
 CIRCUITS = 200
-LATE_READ_S = 0.3
-READ_LATE = "read late"
+DELAYED_READ_S = 0.3  # data read this soon after a silence may have been sent at any time during it
+DELAYED_READ = "delayed read"
 
 
 @dataclass(slots=True)
 class EndpointTraits:
-    """How an endpoint behaves while well; times in seconds, shares from 0 to 1."""
+    """How an endpoint behaves while no fault is injected; shares are from 0 to 1."""
 
-    answer_after: float = 0.02
-    hold: float = 4.0
+    answer_after_s: float = 0.02  # mean
+    hold_s: float = 4.0  # mean duration of a call
     refuse_share: float = 0.05
-    silent_share: float = 0.0  # set-ups that are never answered
-    spoilt_share: float = 0.0  # answers that cannot be read
-    piece_bytes: int = 0  # written at once, the next piece some milliseconds later; 0: all
-    idle_close: float = 0.0  # connections with nothing read for so long are closed; 0: never
-    late: float = 0.0  # connections are served only after up to so long
-    closes_share: float = 0.0  # connections that are closed just after something was written on them
+    unanswered_share: float = 0.0  # set-ups that are never answered
+    malformed_share: float = 0.0  # answers that are malformed
+    fragment_bytes: int = 0  # written at once, the rest some milliseconds later; 0: everything at once
+    idle_close_s: float = 0.0  # connections without received data for this time are closed; 0: never
+    max_serve_delay_s: float = 0.0  # connections are served after a random time of up to this
+    close_after_write_share: float = 0.0  # writes after which the connection is closed
 
 
 @dataclass(eq=False, slots=True)
 class _Call:
-    call: str
+    call_id: str
     server: str
     connection: Connection
     answered: bool = False
@@ -51,30 +51,30 @@
 
 
 class Endpoint:
-    """One endpoint under its id. Each call server reaches it at an address of its own, so that a network cut between
-    the two is known from the endpoint's own troubles."""
+    """One endpoint. Each call server reaches it at a separate address, so that a network cut between the two can be
+    distinguished from a fault of the endpoint itself."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         records: Records,
-        chance: random.Random,
+        rng: random.Random,
         endpoint_id: str,
         host: str,
         cell: int,
         servers: list[str],
         traits: EndpointTraits,
     ) -> None:
-        self.loop, self.records, self.chance = loop, records, chance
+        self.loop, self.records, self.rng = loop, records, rng
         self.id, self.cell, self.traits = endpoint_id, cell, traits
         self.peers: dict[Connection, _Peer] = {}
         self.calls: dict[str, _Call] = {}
         self.unsent_releases: dict[str, dict[str, bytes]] = {server: {} for server in servers}
-        self.frozen: set[str] = set()  # call servers that hear nothing from here
-        self.gone = False  # vanished or dead, and not back
-        self.thawed_at = -LATE_READ_S  # what is read just after was sent at an unknown earlier time
+        self.frozen: set[str] = set()  # call servers to which nothing is sent
+        self.is_down = False  # the machine or process has ended and has not been restarted
+        self.resumed_at = -DELAYED_READ_S  # end of the last hang or cut-off; see `DELAYED_READ_S`
         self.listeners = {
-            server: Listener(loop, host, lambda made, server=server: self._accepted(made, server))  # type: ignore[misc]
+            server: Listener(loop, host, lambda conn, server=server: self._accepted(conn, server))  # type: ignore[misc]
             for server in servers
         }
 
@@ -85,65 +85,65 @@
     # ---- faults ----
 
     def vanish(self) -> None:
-        """The machine is gone with its calls: nothing is said, connections stay open, new ones never come up."""
+        """The machine and its calls disappear: nothing is sent, connections stay open, new ones never come up."""
         for server in self.listeners:
             self.cut_off(server)
-        self.gone = True
-        self._end_all("vanished")
+        self.is_down = True
+        self._end_all_calls("vanished")
 
     def reboot(self) -> None:
-        """A machine that vanished is back: connections from before are unknown to it and reset."""
+        """A machine that vanished returns; it does not know its former connections and resets them."""
         for peer in list(self.peers.values()):
             peer.connection.reset()
-        self._forget()
-        self.start_again()
+        self._forget_connections()
+        self.restart()
 
     def cut_off(self, server: str) -> None:
-        """The network between a call server and the machine is silent; calls go on."""
+        """The network between a call server and the machine drops everything; calls continue."""
         self._freeze(server)
-        self.listeners[server].unreachable()
+        self.listeners[server].become_unreachable()
 
     def hang(self) -> None:
-        """The process stops; the kernel still accepts connections."""
+        """The process stops running; the kernel still accepts connections."""
         for server, listener in self.listeners.items():
             self._freeze(server)
             listener.hang()
 
     def resume(self) -> None:
-        """A hang or a cut-off is over; a machine that has vanished meanwhile does not come back by it."""
-        if self.gone:
+        """End a hang or cut-off; a machine that vanished in the meantime stays down."""
+        if self.is_down:
             return
         self.frozen.clear()
-        self.thawed_at = self.loop.time()
+        self.resumed_at = self.loop.time()
         for peer in list(self.peers.values()):
             peer.connection.thaw()
         for listener in self.listeners.values():
             listener.listen()
 
     def die(self) -> None:
-        """The process dies: connections are reset, calls are over, and new connections are refused."""
+        """The process dies: connections are reset, calls end, and new connections are refused."""
         for listener in self.listeners.values():
             listener.refuse()
-        self.gone = True
-        self._end_all("died")
+        self.is_down = True
+        self._end_all_calls("died")
         for peer in list(self.peers.values()):
             peer.connection.reset()
-        self._forget()
+        self._forget_connections()
 
-    def start_again(self) -> None:
-        """A process that died listens again."""
-        self.gone = False
+    def restart(self) -> None:
+        """A process that died listens again, without its former calls."""
+        self.is_down = False
         self.frozen.clear()
-        self._note(Seen.CAME_BACK, "", "")
+        self._record(EventKind.ENDPOINT_RESTARTED, "", "")
         for listener in self.listeners.values():
             listener.listen()
 
     def reset_connections(self) -> None:
-        """Reset every connection; calls go on."""
+        """Reset every connection; calls continue."""
         for peer in list(self.peers.values()):
             peer.connection.reset()
 
-    def _forget(self) -> None:
+    def _forget_connections(self) -> None:
         self.peers.clear()
         for releases in self.unsent_releases.values():
             releases.clear()
@@ -152,13 +152,13 @@
         self.frozen.add(server)
         for call in self.calls.values():
             if call.server == server and not call.answered:
-                self._note(Seen.ATTEMPT_ENDED, call.call, server, detail="frozen")
+                self._record(EventKind.ATTEMPT_ENDED, call.call_id, server, detail="frozen")
         for peer in self.peers.values():
             if peer.server == server:
                 peer.connection.freeze()
 
     def stop(self) -> None:
-        """Leave no timer, socket or connection behind."""
+        """Cancel all timers and close all sockets and connections."""
         for call in self.calls.values():
             if call.timer is not None:
                 call.timer.cancel()
@@ -169,69 +169,69 @@
             peer.connection.on_end = lambda: None
             peer.connection.close()
 
-    def _end_all(self, why: str) -> None:
+    def _end_all_calls(self, reason: str) -> None:
         for call in list(self.calls.values()):
             if call.timer is not None:
                 call.timer.cancel()
-            seen = Seen.OVER if call.answered else Seen.ATTEMPT_ENDED
-            self._note(seen, call.call, call.server, CAUSE_RESET, why)
+            kind = EventKind.CALL_ENDED if call.answered else EventKind.ATTEMPT_ENDED
+            self._record(kind, call.call_id, call.server, CAUSE_TEMPORARY_FAILURE, reason)
         self.calls.clear()
 
     # ---- connections ----
 
     def _accepted(self, connection: Connection, server: str) -> None:
-        if self.traits.late:
-            after = self.chance.uniform(0, self.traits.late)
-            self.loop.call_later(after, self._serve, connection, server)
+        if self.traits.max_serve_delay_s:
+            delay_s = self.rng.uniform(0, self.traits.max_serve_delay_s)
+            self.loop.call_later(delay_s, self._serve, connection, server)
         else:
             self._serve(connection, server)
 
     def _serve(self, connection: Connection, server: str) -> None:
-        if connection.ended_by_peer() or (self.gone and server not in self.frozen):
+        if connection.ended_by_peer() or (self.is_down and server not in self.frozen):
             connection.close()
             return
         peer = self.peers[connection] = _Peer(connection, server, self.loop.time(), self.loop.time())
-        if server in self.frozen:  # the machine went while the connection was coming up
+        if server in self.frozen:  # the machine vanished or hung while the connection was being established
             connection.freeze()
-        connection.piece_bytes = self.traits.piece_bytes
+        connection.fragment_bytes = self.traits.fragment_bytes
         connection.on_data = lambda data: self._read(peer, data)
-        connection.on_end = lambda: self._ended(peer)
+        connection.on_end = lambda: self._connection_ended(peer)
         connection.start()
-        self._write(connection, b'{"t":"gauge","ref":"0000000000000000","f":{"load":"%s"}}\n' % self._load())
+        self._write(
+            connection, b'{"t":"gauge","ref":"0000000000000000","f":{"load":"%s"}}\n' % self._load_field()
+        )
         unsent = self.unsent_releases[server]
-        for call, release in list(unsent.items()):
-            if not self._write(connection, release, self._release_sent(call, server)):
+        for call_id, release in list(unsent.items()):
+            if not self._write(connection, release, self._release_recorder(call_id, server)):
                 break
-            del unsent[call]
-        if self.traits.idle_close:
-            self.loop.call_later(self.traits.idle_close, self._close_idle, peer)
+            del unsent[call_id]
+        if self.traits.idle_close_s:
+            self.loop.call_later(self.traits.idle_close_s, self._close_idle, peer)
 
     def _close_idle(self, peer: _Peer) -> None:
         if peer.connection.ended:
             return
-        quiet = self.loop.time() - peer.last_read
-        if quiet >= self.traits.idle_close and peer.server not in self.frozen:
+        idle_s = self.loop.time() - peer.last_read
+        if idle_s >= self.traits.idle_close_s and peer.server not in self.frozen:
             peer.connection.close()
         else:
-            self.loop.call_later(max(0.1, self.traits.idle_close - quiet), self._close_idle, peer)
+            self.loop.call_later(max(0.1, self.traits.idle_close_s - idle_s), self._close_idle, peer)
 
-    def _ended(self, peer: _Peer) -> None:
+    def _connection_ended(self, peer: _Peer) -> None:
         self.peers.pop(peer.connection, None)
         for call in list(self.calls.values()):
             if call.connection is peer.connection and not call.answered:
-                self._drop(call, "connection ended")
+                self._remove_call(call, "connection ended")
 
-    def _load(self) -> bytes:
+    def _load_field(self) -> bytes:
         return b"spare:%d;total:%d" % (CIRCUITS - len(self.calls), CIRCUITS)
 
-    def _release_sent(self, call: str, server: str) -> Callable[[], None]:
-        return lambda: self._note(Seen.RELEASE_SENT, call, server, CAUSE_OVER)
+    def _release_recorder(self, call_id: str, server: str) -> Callable[[], None]:
+        return lambda: self._record(EventKind.RELEASE_SENT, call_id, server, CAUSE_NORMAL)
 
-    def _write(
-        self, connection: Connection, line: bytes, when_sent: Callable[[], None] | None = None
-    ) -> bool:
-        written = connection.write(line, when_sent)
-        if self.traits.closes_share and self.chance.random() < self.traits.closes_share:
+    def _write(self, connection: Connection, line: bytes, on_sent: Callable[[], None] | None = None) -> bool:
+        written = connection.write(line, on_sent)
+        if self.traits.close_after_write_share and self.rng.random() < self.traits.close_after_write_share:
             connection.close()
         return written
 
@@ -241,92 +241,92 @@
         peer.last_read = self.loop.time()
         for line in peer.decoder.feed(data):
             if line.type == "new":
-                self._set_up(peer, line)
+                self._setup_received(peer, line)
             elif line.type == "down":
-                self._released(peer, line)
+                self._release_received(peer, line)
             elif line.type == "hb":
-                load = self._load().decode()
+                load = self._load_field().decode()
                 self._write(
                     peer.connection,
                     f'{{"t":"hb_ok","ref":"{line.call_id}","f":{{"load":"{load}"}},"c":1}}\n'.encode(),
                 )
 
-    def _set_up(self, peer: _Peer, line: lines.Line) -> None:
-        detail = READ_LATE if self._reads_late(peer) else ""
-        self._note(Seen.SETUP_RECEIVED, line.call_id, peer.server, detail=detail)
-        up = self.calls.get(line.call_id)
-        if (
-            up is not None and up.answered
-        ):  # its answer was lost on the way, and it is set up again under its id
+    def _setup_received(self, peer: _Peer, line: lines.Line) -> None:
+        detail = DELAYED_READ if self._may_be_delayed(peer) else ""
+        self._record(EventKind.SETUP_RECEIVED, line.call_id, peer.server, detail=detail)
+        existing = self.calls.get(line.call_id)
+        if existing is not None and existing.answered:  # its answer was lost: it is set up again
             self._write(peer.connection, self._answer_line(line.call_id))
             return
         call = self.calls[line.call_id] = _Call(line.call_id, peer.server, peer.connection)
-        draw = self.chance.random()
-        if draw < self.traits.silent_share:
+        draw = self.rng.random()
+        if draw < self.traits.unanswered_share:
             return
-        after = self.traits.answer_after * self.chance.uniform(0.5, 1.5)
-        refused = draw < self.traits.silent_share + self.traits.refuse_share
-        call.timer = self.loop.call_later(after, self._refuse if refused else self._answer, call)
+        delay_s = self.traits.answer_after_s * self.rng.uniform(0.5, 1.5)
+        refused = draw < self.traits.unanswered_share + self.traits.refuse_share
+        call.timer = self.loop.call_later(delay_s, self._refuse if refused else self._answer, call)
 
     def _refuse(self, call: _Call) -> None:
         if call.server in self.frozen:
             call.timer = self.loop.call_later(0.1, self._refuse, call)
             return
-        self._write(call.connection, lines.release(call.call, CAUSE_FULL))
-        self._drop(call, "full", CAUSE_FULL)
+        self._write(call.connection, lines.release(call.call_id, CAUSE_NO_CIRCUIT))
+        self._remove_call(call, "no circuit", CAUSE_NO_CIRCUIT)
 
     def _answer(self, call: _Call) -> None:
         if call.server in self.frozen:
             call.timer = self.loop.call_later(0.1, self._answer, call)
             return
-        if self.chance.random() < self.traits.spoilt_share:
-            call.connection.write(b'{"t":"up","ref":"' + call.call.encode() + b'","f":{]\xff\n')
-            self._drop(call, "spoilt")
+        if self.rng.random() < self.traits.malformed_share:
+            call.connection.write(b'{"t":"up","ref":"' + call.call_id.encode() + b'","f":{]\xff\n')
+            self._remove_call(call, "malformed answer")
             return
         call.answered = True
-        self._note(Seen.ESTABLISHED, call.call, call.server)
-        self._write(call.connection, self._answer_line(call.call))
+        self._record(EventKind.ESTABLISHED, call.call_id, call.server)
+        self._write(call.connection, self._answer_line(call.call_id))
         call.timer = self.loop.call_later(
-            self.chance.expovariate(1 / self.traits.hold) + 0.3, self._over, call
+            self.rng.expovariate(1 / self.traits.hold_s) + 0.3, self._end_call, call
         )
 
-    def _answer_line(self, call: str) -> bytes:
-        return f'{{"t":"up","ref":"{call}","f":{{}},"d":"{self.id} {call}\\r\\n"}}\n'.encode()
+    def _answer_line(self, call_id: str) -> bytes:
+        return f'{{"t":"up","ref":"{call_id}","f":{{}},"d":"{self.id} {call_id}\\r\\n"}}\n'.encode()
 
-    def _over(self, call: _Call) -> None:
-        """The call ends here; its release goes out now, after a silence, or on the next connection."""
-        self.calls.pop(call.call, None)
-        self._note(Seen.OVER, call.call, call.server, CAUSE_OVER)
+    def _end_call(self, call: _Call) -> None:
+        """End a call on this side; its release is sent now, after a cut-off, or on the next connection."""
+        self.calls.pop(call.call_id, None)
+        self._record(EventKind.CALL_ENDED, call.call_id, call.server, CAUSE_NORMAL)
         self._send_release(call)
 
     def _send_release(self, call: _Call) -> None:
         if call.server in self.frozen:
             self.loop.call_later(0.05, self._send_release, call)
             return
-        release = lines.release(call.call, CAUSE_OVER)
-        self.unsent_releases[call.server][call.call] = release  # the next connection gets it too
-        others = [peer.connection for peer in self.peers.values() if peer.server == call.server]
-        for connection in (call.connection, *others):
-            if self._write(connection, release, self._release_sent(call.call, call.server)):
+        release = lines.release(call.call_id, CAUSE_NORMAL)
+        self.unsent_releases[call.server][call.call_id] = release  # sent again on the next connection
+        other_connections = [peer.connection for peer in self.peers.values() if peer.server == call.server]
+        for connection in (call.connection, *other_connections):
+            if self._write(connection, release, self._release_recorder(call.call_id, call.server)):
                 return
 
-    def _released(self, peer: _Peer, line: lines.Line) -> None:
+    def _release_received(self, peer: _Peer, line: lines.Line) -> None:
         call = self.calls.get(line.call_id)
-        self._note(Seen.RELEASED_BY_SERVER, line.call_id, peer.server, line.cause or 0)
+        self._record(EventKind.RELEASED_BY_SERVER, line.call_id, peer.server, line.cause or 0)
         if call is not None:
-            self._drop(call, READ_LATE if self._reads_late(peer) else "released by the call server")
+            self._remove_call(
+                call, DELAYED_READ if self._may_be_delayed(peer) else "released by the call server"
+            )
 
-    def _reads_late(self, peer: _Peer) -> bool:
-        """Whether what is read now may have been sent a while ago: then its time tells nothing of the call server."""
-        since = self.thawed_at if not self.traits.late else max(self.thawed_at, peer.served_at)
-        return self.loop.time() - since < LATE_READ_S
+    def _may_be_delayed(self, peer: _Peer) -> bool:
+        """Whether data read now may have been sent much earlier, so that its time tells nothing about the server."""
+        since = self.resumed_at if not self.traits.max_serve_delay_s else max(self.resumed_at, peer.served_at)
+        return self.loop.time() - since < DELAYED_READ_S
 
-    def _drop(self, call: _Call, why: str, cause: int = 0) -> None:
+    def _remove_call(self, call: _Call, reason: str, cause: int = 0) -> None:
         if call.timer is not None:
             call.timer.cancel()
-        self.calls.pop(call.call, None)
+        self.calls.pop(call.call_id, None)
         if not call.answered:
-            self._note(Seen.ATTEMPT_ENDED, call.call, call.server, cause, why)
+            self._record(EventKind.ATTEMPT_ENDED, call.call_id, call.server, cause, reason)
 
-    def _note(self, seen: Seen, call: str, server: str, cause: int = 0, detail: str = "") -> None:
-        self.records.add(Record(self.loop.time(), seen, call, server, self.id, cause, detail))
+    def _record(self, kind: EventKind, call_id: str, server: str, cause: int = 0, detail: str = "") -> None:
+        self.records.add(Record(self.loop.time(), kind, call_id, server, self.id, cause, detail))
--- a/wellhitch/lab/trials/fleet.py
+++ b/wellhitch/lab/trials/fleet.py
@@ -1,4 +1,4 @@
-"""One trial: the processes and stand-ins of a plan, its steps at their times, and the records that come of it."""
+"""Runs one trial: starts the processes and stand-ins of a plan, carries out its steps and collects the records."""
 
 import asyncio
 import random
@@ -8,30 +8,30 @@
 from typing import Any
 
 from wellhitch.lab.loopback import own_address, own_host
-from wellhitch.lab.trials.client import Clients, Manner, bad_client
-from wellhitch.lab.trials.discovery import Discovery, EndpointState, Listed
+from wellhitch.lab.trials.client import Clients, ClientTrait, bad_client
+from wellhitch.lab.trials.discovery import Discovery, EndpointEntry, EndpointState
 from wellhitch.lab.trials.endpoint import Endpoint, EndpointTraits
-from wellhitch.lab.trials.plan import Act, Kind, TrialPlan, TrialStep
+from wellhitch.lab.trials.plan import Action, FaultKind, TrialPlan, TrialStep
 from wellhitch.lab.trials.process import CallServer, earliest_kill_s
-from wellhitch.lab.trials.records import Lag, Record, Records, Seen
+from wellhitch.lab.trials.records import EventKind, Lag, Record, Records
 from wellhitch.lab.trials.sockets import open_connection
 from wellhitch.stand_ins.platform import plain
 
-READY_WITHIN_S = 30.0
-TELL_LIMIT_S = 9.5  # after the last step: every call that is over has been told by then
-NEW_CONNECTIONS_AFTER_TERM_S = (0.2, 0.4)
-CLEAR_WAIT_S = 0.2
+READY_TIMEOUT_S = 30.0
+SETTLE_TIME_S = 9.5  # after the last step and the traffic: all ended calls are reported by then
+NEW_CONNECTIONS_AFTER_TERM_S = (0.2, 0.4)  # range of the time in which clients still open connections
+RELEASE_WAIT_S = 0.2
 DRAIN_GRACE_S = 0.25
 CLASSES = ("quick", "patient")
-PIECE_BYTES = 20
-LAG_STEP_S = 0.02  # between looks at the loop's own lateness
-LAG_NOTED_S = 0.01
-BURST = 60  # set-ups at once beside a crowd
-CROWD_BEFORE_NAMING_S = 0.03  # at most, between a crowd's first connection and the first call that is named
+FRAGMENT_BYTES = 20
+LAG_SAMPLE_S = 0.02  # between measurements of the event loop's delay
+MIN_RECORDED_LAG_S = 0.01
+BURST_SETUPS = 60  # sent at once together with a crowd's connections
+MAX_CROWD_LEAD_S = 0.03  # between a crowd's first connection and the first call report
 
 
-def settings_of(plan: TrialPlan, cell: int) -> dict[str, Any]:
-    """The settings as the platform writes them."""
+def settings_for(plan: TrialPlan, cell: int) -> dict[str, Any]:
+    """The settings in the form in which the platform writes them."""
     return {
         "balancers": plan.servers,
         "classes": [
@@ -49,8 +49,8 @@
         "family_info": {
             "self_no": cell,
             "topology": "meshed",
-            "clear_wait_ns": int(CLEAR_WAIT_S * 1e9),
-            "class_hold_ns": [int(plan.hold * 1e9)] * len(CLASSES),
+            "clear_wait_ns": int(RELEASE_WAIT_S * 1e9),
+            "class_hold_ns": [int(plan.hold_s * 1e9)] * len(CLASSES),
             "circuits_by_class": [1] * len(CLASSES),
         },
         "limits": {
@@ -72,65 +72,65 @@
 
 @dataclass(eq=False)
 class Trial:
-    """One trial in its folder; `play` runs it on the running loop."""
+    """One trial; `folder` holds its configurations and logs. `run` needs a running event loop."""
 
     plan: TrialPlan
     folder: Path
     records: Records = field(default_factory=Records)
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.plan.seed ^ 0x5EED)
+        self.rng = random.Random(self.plan.seed ^ 0x5EED)
         self.ready: set[str] = set()
-        self.crowd_at_return = 0
-        self._crowds: set[asyncio.Task[None]] = set()
+        self.pending_crowd = 0
+        self._crowd_tasks: set[asyncio.Task[None]] = set()
 
-    async def play(self) -> None:
-        """Start everything, let the steps happen, and wait until what is over has been told."""
+    async def run(self) -> None:
+        """Start everything, carry out the steps, and wait for the reports of ended calls."""
         self.loop = asyncio.get_running_loop()
         self._build()
-        tasks = [self.loop.create_task(self._serve(server)) for server in self.servers]
+        tasks = [self.loop.create_task(self._keep_running(server)) for server in self.servers]
         try:
-            await self._all_ready()
+            await self._wait_until_ready()
             for clients in self.clients:
                 tasks.append(self.loop.create_task(self._traffic(clients)))
-            tasks.append(self.loop.create_task(self._look()))
-            tasks.append(self.loop.create_task(self._watch_lag()))
+            tasks.append(self.loop.create_task(self._poll_processes()))
+            tasks.append(self.loop.create_task(self._record_lag()))
             self.started_at = self.loop.time()
-            steps = [self.loop.create_task(self._step(step)) for step in self.plan.steps]
+            steps = [self.loop.create_task(self._run_step(step)) for step in self.plan.steps]
             tasks += steps
             await asyncio.gather(*steps)
-            last = max((step.at for step in self.plan.steps), default=0.0)
-            self.traffic_ends = self.started_at + max(self.plan.seconds, last)
-            await asyncio.sleep(max(0.0, self.traffic_ends - self.loop.time()) + TELL_LIMIT_S)
+            last_step_s = max((step.time_s for step in self.plan.steps), default=0.0)
+            self.traffic_ends = self.started_at + max(self.plan.duration_s, last_step_s)
+            await asyncio.sleep(max(0.0, self.traffic_ends - self.loop.time()) + SETTLE_TIME_S)
             self.ended_at = self.loop.time()
             for task in tasks:
                 if task.done() and not task.cancelled() and task.exception() is not None:
                     raise task.exception()  # type: ignore[misc]
         finally:
-            for task in (*tasks, *self._crowds):
+            for task in (*tasks, *self._crowd_tasks):
                 task.cancel()
             self._stop()
 
-    # ---- parties ----
+    # ---- processes and stand-ins ----
 
     def _build(self) -> None:
-        plan, names = self.plan, [f"n{n}" for n in range(self.plan.servers)]
-        self.names = names
+        plan, server_names = self.plan, [f"n{n}" for n in range(self.plan.servers)]
+        self.server_names = server_names
         kinds = plan.kinds
         self.traits = EndpointTraits(
-            hold=plan.hold,
-            spoilt_share=0.05 if Kind.SPOILT in kinds else 0.0,
-            silent_share=0.05 if Kind.SPOILT in kinds else 0.0,
-            piece_bytes=PIECE_BYTES if Kind.RUDE_WAYS in kinds else 0,
-            late=0.6 if Kind.HASTY_CONNECTIONS in kinds else 0.0,
-            closes_share=0.05 if Kind.HASTY_CONNECTIONS in kinds else 0.0,
-            idle_close=self.chance.uniform(0.7, 3.0) if Kind.IDLE_CLOSES in kinds else 0.0,
+            hold_s=plan.hold_s,
+            malformed_share=0.05 if FaultKind.SPOILT in kinds else 0.0,
+            unanswered_share=0.05 if FaultKind.SPOILT in kinds else 0.0,
+            fragment_bytes=FRAGMENT_BYTES if FaultKind.RUDE_WAYS in kinds else 0,
+            max_serve_delay_s=0.6 if FaultKind.HASTY_CONNECTIONS in kinds else 0.0,
+            close_after_write_share=0.05 if FaultKind.HASTY_CONNECTIONS in kinds else 0.0,
+            idle_close_s=self.rng.uniform(0.7, 3.0) if FaultKind.IDLE_CLOSES in kinds else 0.0,
         )
-        self.endpoints = [self._endpoint(cell) for cell in range(plan.endpoints)]
+        self.endpoints = [self._new_endpoint(cell) for cell in range(plan.endpoints)]
         self.states = {endpoint.id: EndpointState.UP for endpoint in self.endpoints}
-        self.starts = {endpoint.id: 0 for endpoint in self.endpoints}
-        self.discovery = Discovery(self.loop, self.records, own_host(), names)
-        self.discovery.tell(*(self._listed(endpoint) for endpoint in self.endpoints))
+        self.started_ms = {endpoint.id: 0 for endpoint in self.endpoints}
+        self.discovery = Discovery(self.loop, self.records, own_host(), server_names)
+        self.discovery.publish(*(self._entry(endpoint) for endpoint in self.endpoints))
         self.servers = [
             CallServer(
                 name,
@@ -138,10 +138,10 @@
                 own_address(),
                 self.folder,
                 self.records,
-                settings_of(plan, cell),
-                plan.sockets,
+                settings_for(plan, cell),
+                plan.max_descriptors,
             )
-            for cell, name in enumerate(names)
+            for cell, name in enumerate(server_names)
         ]
         self.clients = [
             Clients(
@@ -155,26 +155,32 @@
             )
             for server in self.servers
         ]
-        if Kind.RUDE_WAYS in kinds:
+        if FaultKind.RUDE_WAYS in kinds:
             for clients in self.clients:
-                clients.manners = {Manner.PIECES, Manner.IMPATIENT, Manner.REPEATS}
-
-    def _endpoint(self, cell: int) -> Endpoint:
-        made = f"s-{self.chance.getrandbits(32):08x}"
-        chance = random.Random(self.chance.getrandbits(32))
-        return Endpoint(self.loop, self.records, chance, made, own_host(), cell, self.names, self.traits)
+                clients.traits = {
+                    ClientTrait.FRAGMENTED,
+                    ClientTrait.CANCELS_EARLY,
+                    ClientTrait.RETRIES_AT_ONCE,
+                }
+
+    def _new_endpoint(self, cell: int) -> Endpoint:
+        endpoint_id = f"s-{self.rng.getrandbits(32):08x}"
+        rng = random.Random(self.rng.getrandbits(32))
+        return Endpoint(
+            self.loop, self.records, rng, endpoint_id, own_host(), cell, self.server_names, self.traits
+        )
 
-    def _listed(self, endpoint: Endpoint) -> Listed:
-        addresses = {name: endpoint.address(name) for name in self.names}
-        return Listed(
-            endpoint.id, endpoint.cell, addresses, self.states[endpoint.id], self.starts[endpoint.id]
+    def _entry(self, endpoint: Endpoint) -> EndpointEntry:
+        addresses = {name: endpoint.address(name) for name in self.server_names}
+        return EndpointEntry(
+            endpoint.id, endpoint.cell, addresses, self.states[endpoint.id], self.started_ms[endpoint.id]
         )
 
     def _stop(self) -> None:
         for clients in self.clients:
             clients.stop()
         for server in self.servers:
-            server.look(self.loop.time())
+            server.check_process(self.loop.time())
             server.kill(self.loop.time())
         for endpoint in self.endpoints:
             endpoint.stop()
@@ -182,30 +188,30 @@
 
     # ---- call servers ----
 
-    async def _serve(self, server: CallServer) -> None:
-        """Keep a call server running: start it, notice that it is ready, start it again when it has ended."""
+    async def _keep_running(self, server: CallServer) -> None:
+        """Start a call server, wait until it is ready, and restart it whenever it has ended."""
         clients = self.clients[server.cell]
         while True:
             path = server.write_configuration(
                 self.discovery.address(server.name),
-                self.discovery.known(server.name),
-                self.chance.getrandbits(64),
+                self.discovery.known_updates(server.name),
+                self.rng.getrandbits(64),
             )
             server.start(path, self.loop.time())
-            while server.running and not await self._passes_test(server):
+            while server.running and not await self._answers_options(server):
                 await asyncio.sleep(0.05)
             if server.running:
-                self.records.add(Record(self.loop.time(), Seen.SERVER_READY, server=server.name))
+                self.records.add(Record(self.loop.time(), EventKind.SERVER_READY, server=server.name))
                 self.ready.add(server.name)
-                clients.stops_new_connections = False
-                await self._crowd_at_return(clients)
-                clients.retell()
+                clients.no_new_connections = False
+                await self._start_pending_crowd(clients)
+                clients.report_established_calls()
             while server.running:
                 await asyncio.sleep(0.02)
-            server.look(self.loop.time())
+            server.check_process(self.loop.time())
             self.ready.discard(server.name)
 
-    async def _passes_test(self, server: CallServer) -> bool:
+    async def _answers_options(self, server: CallServer) -> bool:
         connection = await open_connection(self.loop, server.listen)
         if connection is None:
             return False
@@ -222,161 +228,161 @@
             connection.close()
         return True
 
-    async def _all_ready(self) -> None:
-        async with asyncio.timeout(READY_WITHIN_S):
+    async def _wait_until_ready(self) -> None:
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while len(self.ready) < len(self.servers):
                 await asyncio.sleep(0.05)
 
     async def _terminate(self, server: CallServer) -> None:
-        """SIGTERM, new connections for a little while, and SIGKILL at the earliest that the operators allow."""
+        """Send SIGTERM, let clients connect for a short time, and send SIGKILL as early as operators allow."""
         clients = self.clients[server.cell]
         server.terminate(self.loop.time())
         generation = server.generation
-        stops_after = self.chance.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
-        kill_after = earliest_kill_s(max(self.plan.deadlines_s))
-        await asyncio.sleep(stops_after)
+        no_new_connections_after_s = self.rng.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
+        kill_after_s = earliest_kill_s(max(self.plan.deadlines_s))
+        await asyncio.sleep(no_new_connections_after_s)
         if server.generation == generation:
-            clients.stops_new_connections = True
-        await asyncio.sleep(kill_after - stops_after)
+            clients.no_new_connections = True
+        await asyncio.sleep(kill_after_s - no_new_connections_after_s)
         if server.generation == generation:
             server.kill(self.loop.time())
 
-    async def _look(self) -> None:
+    async def _poll_processes(self) -> None:
         while True:
             await asyncio.sleep(0.1)
             for server in self.servers:
-                server.look(self.loop.time())
+                server.check_process(self.loop.time())
             for clients in self.clients:
                 clients.close_idle()
 
-    async def _watch_lag(self) -> None:
+    async def _record_lag(self) -> None:
         while True:
-            before = self.loop.time()
-            await asyncio.sleep(LAG_STEP_S)
-            late = self.loop.time() - before - LAG_STEP_S
-            if late > LAG_NOTED_S:
-                self.records.lags.append(Lag(self.loop.time(), late))
+            sleep_started = self.loop.time()
+            await asyncio.sleep(LAG_SAMPLE_S)
+            delay_s = self.loop.time() - sleep_started - LAG_SAMPLE_S
+            if delay_s > MIN_RECORDED_LAG_S:
+                self.records.lags.append(Lag(self.loop.time(), delay_s))
 
     # ---- traffic ----
 
     async def _traffic(self, clients: Clients) -> None:
-        """Set-ups at random times, without waiting for answers; now and then a client ends a call itself."""
-        chance = random.Random(self.plan.seed * 97 + len(clients.server))
+        """Send set-ups at random times, without waiting for answers, and occasionally release a call."""
+        rng = random.Random(self.plan.seed * 97 + len(clients.server))
         while not hasattr(self, "traffic_ends") or self.loop.time() < self.traffic_ends:
-            await asyncio.sleep(chance.expovariate(self.plan.rate))
+            await asyncio.sleep(rng.expovariate(self.plan.rate_per_s))
             server = next(server for server in self.servers if server.name == clients.server)
             if server.running:
-                clients.call()
-            if chance.random() < 0.05:
-                clients.release_one()
-
-    async def _step(self, step: TrialStep) -> None:
-        await asyncio.sleep(max(0.0, self.started_at + step.at - self.loop.time()))
-        self._act(step)
-        if step.act is Act.TERMINATE:
+                clients.start_call()
+            if rng.random() < 0.05:
+                clients.release_random_call()
+
+    async def _run_step(self, step: TrialStep) -> None:
+        await asyncio.sleep(max(0.0, self.started_at + step.time_s - self.loop.time()))
+        self._apply(step)
+        if step.action is Action.TERMINATE:
             await self._terminate(self.servers[step.target])
-        elif step.act is Act.CROWD:
-            await self._crowd(step.target)
-        elif step.act is Act.BAD_CLIENTS:
+        elif step.action is Action.CROWD:
+            await self._crowd_at_random_server(step.target)
+        elif step.action is Action.BAD_CLIENTS:
             await asyncio.gather(*(self._bad_client() for _ in range(step.target)))
 
-    def _act(self, step: TrialStep) -> None:
+    def _apply(self, step: TrialStep) -> None:
         endpoint = self.endpoints[step.target % len(self.endpoints)]
         discovery = self.discovery
-        match step.act:
-            case Act.KILL if self.servers[step.target].terminated_at is None:
+        match step.action:
+            case Action.KILL if self.servers[step.target].terminated_at is None:
                 self.servers[step.target].kill(self.loop.time())
-            case Act.VANISH:
+            case Action.VANISH:
                 endpoint.vanish()
-            case Act.REBOOT:
+            case Action.REBOOT:
                 endpoint.reboot()
-                self.starts[endpoint.id] = int(time.time() * 1000)
-            case Act.HANG:
+                self.started_ms[endpoint.id] = int(time.time() * 1000)
+            case Action.HANG:
                 endpoint.hang()
-            case Act.RESUME:
+            case Action.RESUME:
                 endpoint.resume()
-            case Act.CUT_OFF:
-                endpoint.cut_off(self.names[step.target % len(self.names)])
-            case Act.DIE:
+            case Action.CUT_OFF:
+                endpoint.cut_off(self.server_names[step.target % len(self.server_names)])
+            case Action.DIE:
                 endpoint.die()
-            case Act.START_AGAIN:
-                endpoint.start_again()
-                self.starts[endpoint.id] = int(time.time() * 1000)
-            case Act.RESET_CONNECTIONS:
+            case Action.START_AGAIN:
+                endpoint.restart()
+                self.started_ms[endpoint.id] = int(time.time() * 1000)
+            case Action.RESET_CONNECTIONS:
                 endpoint.reset_connections()
-            case Act.LIST_AGAIN:
-                discovery.tell(self._listed(endpoint))
-            case Act.DRAIN:
-                self._list(endpoint, EndpointState.DRAINING)
-            case Act.REMOVE:
-                self._list(endpoint, EndpointState.REMOVED)
+            case Action.LIST_AGAIN:
+                discovery.publish(self._entry(endpoint))
+            case Action.DRAIN:
+                self._set_state(endpoint, EndpointState.DRAINING)
+            case Action.REMOVE:
+                self._set_state(endpoint, EndpointState.REMOVED)
                 endpoint.die()
-            case Act.REPLACE:
+            case Action.REPLACE:
                 self._replace(step.target)
-            case Act.DISCOVERY_REFUSES:
+            case Action.DISCOVERY_REFUSES:
                 discovery.refuse()
-            case Act.DISCOVERY_UNREACHABLE:
-                discovery.unreachable()
-            case Act.DISCOVERY_RETURNS:
-                discovery.return_()
-            case Act.DISCOVERY_SILENT:
+            case Action.DISCOVERY_UNREACHABLE:
+                discovery.become_unreachable()
+            case Action.DISCOVERY_RETURNS:
+                discovery.recover()
+            case Action.DISCOVERY_SILENT:
                 discovery.fall_silent()
-            case Act.DISCOVERY_BREAKS:
-                discovery.break_in_mid_event()
-            case Act.MOVE_DISCOVERY:
+            case Action.DISCOVERY_BREAKS:
+                discovery.break_mid_update()
+            case Action.MOVE_DISCOVERY:
                 self._move_discovery()
-            case Act.CROWD_AT_RETURN:
-                self.crowd_at_return = step.target
+            case Action.CROWD_AT_RETURN:
+                self.pending_crowd = step.target
 
-    def _list(self, endpoint: Endpoint, state: EndpointState) -> None:
+    def _set_state(self, endpoint: Endpoint, state: EndpointState) -> None:
         if self.states[endpoint.id] is not EndpointState.REMOVED:
             self.states[endpoint.id] = state
-            self.discovery.tell(self._listed(endpoint))
+            self.discovery.publish(self._entry(endpoint))
 
     def _replace(self, index: int) -> None:
-        fresh = self._endpoint(self.endpoints[index].cell)
-        self.endpoints[index] = fresh
-        self.states[fresh.id] = EndpointState.UP
-        self.starts[fresh.id] = int(time.time() * 1000)
-        self.discovery.tell(self._listed(fresh))
+        replacement = self._new_endpoint(self.endpoints[index].cell)
+        self.endpoints[index] = replacement
+        self.states[replacement.id] = EndpointState.UP
+        self.started_ms[replacement.id] = int(time.time() * 1000)
+        self.discovery.publish(self._entry(replacement))
 
     def _move_discovery(self) -> None:
         for server in self.servers:
             address = self.discovery.move(server.name)
-            server.write_configuration(address, self.discovery.known(server.name), 1)
+            server.write_configuration(address, self.discovery.known_updates(server.name), 1)
             if server.name in self.ready:
-                server.hang_up()
+                server.reload()
 
     # ---- crowds ----
 
-    async def _crowd_at_return(self, clients: Clients) -> None:
-        """Begin the crowd that waits for a call server to be ready, and go on while it comes up."""
-        connections, self.crowd_at_return = self.crowd_at_return, 0
+    async def _start_pending_crowd(self, clients: Clients) -> None:
+        """Start the crowd planned for the next ready call server, and return while its connections are being opened."""
+        connections, self.pending_crowd = self.pending_crowd, 0
         if connections:
-            crowd = self.loop.create_task(self._crowd_of(clients, connections))
-            self._crowds.add(crowd)
-            crowd.add_done_callback(self._crowds.discard)
-            await asyncio.sleep(self.chance.uniform(0.0, CROWD_BEFORE_NAMING_S))
+            task = self.loop.create_task(self._run_crowd(clients, connections))
+            self._crowd_tasks.add(task)
+            task.add_done_callback(self._crowd_tasks.discard)
+            await asyncio.sleep(self.rng.uniform(0.0, MAX_CROWD_LEAD_S))
 
-    async def _crowd(self, connections: int) -> None:
-        """A crowd at one of the call servers."""
-        await self._crowd_of(self.chance.choice(self.clients), connections)
+    async def _crowd_at_random_server(self, connections: int) -> None:
+        """Run a crowd at a random call server."""
+        await self._run_crowd(self.rng.choice(self.clients), connections)
 
-    async def _crowd_of(self, clients: Clients, connections: int) -> None:
-        """Hundreds of connections that say little, and a burst of set-ups."""
+    async def _run_crowd(self, clients: Clients, connections: int) -> None:
+        """Open many connections with one OPTIONS request each, and send a burst of set-ups."""
         opened = await asyncio.gather(
             *(open_connection(self.loop, clients.address) for _ in range(connections))
         )
-        for _ in range(BURST):
-            clients.call()
+        for _ in range(BURST_SETUPS):
+            clients.start_call()
         for connection in opened:
             if connection is not None:
                 connection.start()
                 connection.write(plain("OPTIONS", "0000000000000002"))
-        await asyncio.sleep(self.chance.uniform(0.5, 2.0))
+        await asyncio.sleep(self.rng.uniform(0.5, 2.0))
         for connection in opened:
             if connection is not None:
                 connection.close()
 
     async def _bad_client(self) -> None:
-        await bad_client(self.loop, self.chance, self.chance.choice(self.servers).listen, 3.0)
+        await bad_client(self.loop, self.rng, self.rng.choice(self.servers).listen, 3.0)
--- a/wellhitch/lab/trials/plan.py
+++ b/wellhitch/lab/trials/plan.py
@@ -1,46 +1,45 @@
-"""A seed -> what a trial plays: fleet, settings, traffic and faults with their times. Pure."""
+"""Draws the plan of a trial from a seed: fleet, settings, traffic, and faults with their times. Without I/O."""
 
 import random
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-SECONDS = 14.0  # of traffic and faults; then calls end and are told
+DURATION_S = 14.0  # of traffic and faults, before the time in which calls end and are reported
 SHUTDOWN_ROUND_S = 6.0
-RETURNS_AFTER_S = (2.0, 5.0, 12.0)
+REBOOT_AFTER_S = (2.0, 5.0, 12.0)
 DEADLINES_S = ((0.4, 0.8), (0.8, 1.3), (1.3, 3.0), (3.0, 9.0))
 
 
-class Kind(Enum):
-    """One kind of fault."""
+class FaultKind(Enum):
+    """One kind of fault. The lower-case names are the values of `--kinds`; the order of the members determines what a
+    seed draws."""
 
-    SHUTDOWN = auto()  # SIGTERM, SIGKILL at the earliest, and a start, one call server after another
-    KILL = auto()  # SIGKILL outright, and a start
-    VANISH = auto()  # an endpoint's machine is gone; it may come back empty
+    SHUTDOWN = auto()  # one call server after another: SIGTERM, SIGKILL at the earliest allowed time, restart
+    KILL = auto()  # SIGKILL without SIGTERM, then a restart
+    VANISH = auto()  # an endpoint's machine disappears; it may return without its calls
     HANG = auto()
-    CUT_OFF = auto()  # the network between a call server and an endpoint is silent, calls go on
+    CUT_OFF = auto()  # the network between a call server and an endpoint drops everything; calls continue
     DIE = auto()  # an endpoint's process dies and starts again
-    RESETS = auto()  # an endpoint resets its connections again and again
-    DISCOVERY_DOWN = auto()  # refused or swallowed, with a drain close to its return
+    RESETS = auto()  # an endpoint resets its connections repeatedly
+    DISCOVERY_DOWN = auto()  # connections are refused or packets dropped, with a drain close to the recovery
     DISCOVERY_SILENT = auto()
     DISCOVERY_BREAKS = auto()
-    RECONFIGURED = auto()  # discovery moves, twice or three times in quick succession
-    DRAIN = auto()  # an endpoint drains, goes, and another takes its place
+    RECONFIGURED = auto()  # discovery moves to a new address one to three times in quick succession
+    DRAIN = auto()  # an endpoint drains, is removed and is replaced
     BAD_CLIENTS = auto()
-    SPOILT = auto()  # answers that cannot be read, or that never come
-    RUDE_WAYS = auto()  # clients that write in pieces, cancel early and repeat at once
+    SPOILT = auto()  # malformed or missing answers
+    RUDE_WAYS = auto()  # writes in fragments; clients also cancel early and retry at once
     CROWD = auto()  # hundreds of connections and a burst of set-ups
     IDLE_CLOSES = auto()  # endpoints close idle connections
-    HASTY_CONNECTIONS = (
-        auto()
-    )  # connections to endpoints come up late, or are closed just after something was written
+    HASTY_CONNECTIONS = auto()  # endpoints serve connections late, or close them right after a write
 
 
-class Act(Enum):
-    """One thing that happens at a time; `TrialStep.target` is an index, its meaning the act's."""
+class Action(Enum):
+    """What a step does. `TrialStep.target` is the index of a call server or endpoint, or a count."""
 
-    TERMINATE = auto()  # a call server; SIGKILL and the next start follow by themselves
+    TERMINATE = auto()  # a call server; SIGKILL and the restart follow automatically
     KILL = auto()
-    VANISH = auto()  # an endpoint
+    VANISH = auto()  # an endpoint, like the following ones up to LIST_AGAIN
     REBOOT = auto()
     HANG = auto()
     RESUME = auto()
@@ -51,178 +50,181 @@
     DRAIN = auto()
     REMOVE = auto()
     REPLACE = auto()
-    LIST_AGAIN = auto()  # discovery tells an endpoint's new start
+    LIST_AGAIN = auto()  # discovery publishes an endpoint's new start time
     DISCOVERY_REFUSES = auto()
     DISCOVERY_UNREACHABLE = auto()
     DISCOVERY_RETURNS = auto()
     DISCOVERY_SILENT = auto()
     DISCOVERY_BREAKS = auto()
     MOVE_DISCOVERY = auto()  # a new configuration and SIGHUP for every call server
-    BAD_CLIENTS = auto()  # target: how many
-    CROWD = auto()  # target: how many
-    CROWD_AT_RETURN = (
-        auto()
-    )  # target: how many; when the next call server is ready, just before calls are named to it
+    BAD_CLIENTS = auto()  # target: number of clients
+    CROWD = auto()  # target: number of connections
+    # target: number of connections; when the next call server is ready, just before clients report their calls to it
+    CROWD_AT_RETURN = auto()
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class TrialStep:
-    """One act at a time in seconds from the start of the traffic."""
+    """One action at a time in seconds from the start of the traffic."""
 
-    at: float
-    act: Act = field(compare=False)
+    time_s: float
+    action: Action = field(compare=False)
     target: int = field(default=0, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class TrialPlan:
-    """All that a trial plays. Rates are set-ups a second at each call server; `hold` is a call's mean time in s."""
+    """Everything that a trial runs. `rate_per_s` is the set-ups at each call server, `hold_s` the mean duration of a
+    call, `max_descriptors` the limit of each call server process."""
 
     seed: int
-    kinds: tuple[Kind, ...]
+    kinds: tuple[FaultKind, ...]
     servers: int
     endpoints: int
     deadlines_s: tuple[float, float]
-    rate: float
-    hold: float
+    rate_per_s: float
+    hold_s: float
     may_probe: bool
-    sockets: int
-    seconds: float
+    max_descriptors: int
+    duration_s: float
     steps: tuple[TrialStep, ...]
 
     def timeline(self) -> str:
-        """The plan for people, one line a step."""
+        """The plan as readable text, one line for each step."""
         kinds = "+".join(kind.name.lower() for kind in self.kinds)
         head = (
             f"seed {self.seed}: {kinds}; {self.servers} call servers, {self.endpoints} endpoints, "
-            f"deadlines {self.deadlines_s} s, {self.rate:.0f} set-ups/s each, calls of {self.hold:.0f} s, "
-            f"probes {'allowed' if self.may_probe else 'forbidden'}, {self.sockets} descriptors"
+            f"deadlines {self.deadlines_s} s, {self.rate_per_s:.0f} set-ups/s each, calls of {self.hold_s:.0f} s, "
+            f"probes {'allowed' if self.may_probe else 'forbidden'}, {self.max_descriptors} descriptors"
         )
         return "\n".join(
-            [head, *(f"  {step.at:6.2f} {step.act.name.lower()} {step.target}" for step in self.steps)]
+            [head, *(f"  {step.time_s:6.2f} {step.action.name.lower()} {step.target}" for step in self.steps)]
         )
 
 
-def draw_plan(seed: int, kinds: tuple[Kind, ...] | None = None, seconds: float = SECONDS) -> TrialPlan:
-    """The plan of a seed. `kinds`: in place of a shutdown in every second trial and two to four kinds drawn."""
-    chance = random.Random(seed)
-    drawn = tuple(chance.sample(list(Kind), chance.randint(2, 4)))
-    if seed % 2 and Kind.SHUTDOWN not in drawn:
-        drawn = (Kind.SHUTDOWN, *drawn)
+def draw_plan(
+    seed: int, kinds: tuple[FaultKind, ...] | None = None, duration_s: float = DURATION_S
+) -> TrialPlan:
+    """Draw the plan of a seed. By default it has two to four random kinds of fault, and odd seeds always include a
+    shutdown; `kinds` replaces these."""
+    rng = random.Random(seed)
+    drawn = tuple(rng.sample(list(FaultKind), rng.randint(2, 4)))
+    if seed % 2 and FaultKind.SHUTDOWN not in drawn:
+        drawn = (FaultKind.SHUTDOWN, *drawn)
     kinds = drawn if kinds is None else kinds
-    servers = chance.choice((1, 2, 2, 3))
-    endpoints = max(servers, chance.choice((3, 4)))
+    servers = rng.choice((1, 2, 2, 3))
+    endpoints = max(servers, rng.choice((3, 4)))
     steps: list[TrialStep] = []
     for kind in kinds:
-        steps += _steps(kind, chance, servers, endpoints, seconds)
+        steps += _steps(kind, rng, servers, endpoints, duration_s)
     return TrialPlan(
         seed,
         kinds,
         servers,
         endpoints,
-        chance.choice(DEADLINES_S),
-        chance.choice((3.0, 10.0, 25.0)),
-        chance.choice((2.0, 6.0, 12.0)),
-        chance.random() < 0.7,
-        chance.choice((160, 256, 512)),
-        seconds,
+        rng.choice(DEADLINES_S),
+        rng.choice((3.0, 10.0, 25.0)),
+        rng.choice((2.0, 6.0, 12.0)),
+        rng.random() < 0.7,
+        rng.choice((160, 256, 512)),
+        duration_s,
         tuple(sorted(steps)),
     )
 
 
 def _steps(
-    kind: Kind, chance: random.Random, servers: int, endpoints: int, seconds: float
+    kind: FaultKind, rng: random.Random, servers: int, endpoints: int, duration_s: float
 ) -> list[TrialStep]:
-    """The steps of one kind of fault, from two seconds on."""
-    start = chance.uniform(2.0, seconds * 0.6)
-    endpoint = chance.randrange(endpoints)
+    """Draw the steps of one kind of fault, which starts two seconds into the trial at the earliest."""
+    start_s = rng.uniform(2.0, duration_s * 0.6)
+    endpoint = rng.randrange(endpoints)
     match kind:
-        case Kind.SHUTDOWN:
-            gap = chance.uniform(0.2, 2.0)
-            rounds = chance.choice((1, 1, 2))  # in the second round the processes are some seconds old
+        case FaultKind.SHUTDOWN:
+            gap_s = rng.uniform(0.2, 2.0)
+            rounds = rng.choice((1, 1, 2))  # in the second round the processes have run for some seconds
             return [
-                TrialStep(start + gap * n + SHUTDOWN_ROUND_S * each, Act.TERMINATE, n)
-                for each in range(rounds)
+                TrialStep(start_s + gap_s * n + SHUTDOWN_ROUND_S * round_number, Action.TERMINATE, n)
+                for round_number in range(rounds)
                 for n in range(servers)
             ]
-        case Kind.KILL:
-            return [TrialStep(start, Act.KILL, chance.randrange(servers))]
-        case Kind.VANISH:
-            return _vanish(chance, start, endpoint)
-        case Kind.HANG:
+        case FaultKind.KILL:
+            return [TrialStep(start_s, Action.KILL, rng.randrange(servers))]
+        case FaultKind.VANISH:
+            return _vanish(rng, start_s, endpoint)
+        case FaultKind.HANG:
             return [
-                TrialStep(start, Act.HANG, endpoint),
-                TrialStep(start + chance.uniform(2.0, 11.0), Act.RESUME, endpoint),
+                TrialStep(start_s, Action.HANG, endpoint),
+                TrialStep(start_s + rng.uniform(2.0, 11.0), Action.RESUME, endpoint),
             ]
-        case Kind.CUT_OFF:
+        case FaultKind.CUT_OFF:
             return [
-                TrialStep(start, Act.CUT_OFF, endpoint),
-                TrialStep(start + chance.uniform(1.0, 9.0), Act.RESUME, endpoint),
+                TrialStep(start_s, Action.CUT_OFF, endpoint),
+                TrialStep(start_s + rng.uniform(1.0, 9.0), Action.RESUME, endpoint),
             ]
-        case Kind.DIE:
-            back = start + chance.choice((0.3, 1.0, 2.5))
+        case FaultKind.DIE:
+            back_at_s = start_s + rng.choice((0.3, 1.0, 2.5))
             return [
-                TrialStep(start, Act.DIE, endpoint),
-                TrialStep(back, Act.START_AGAIN, endpoint),
-                TrialStep(back + chance.uniform(0.3, 5.0), Act.LIST_AGAIN, endpoint),
+                TrialStep(start_s, Action.DIE, endpoint),
+                TrialStep(back_at_s, Action.START_AGAIN, endpoint),
+                TrialStep(back_at_s + rng.uniform(0.3, 5.0), Action.LIST_AGAIN, endpoint),
             ]
-        case Kind.RESETS:
-            times = [start + n * chance.uniform(0.1, 0.8) for n in range(chance.randint(2, 8))]
-            return [TrialStep(at, Act.RESET_CONNECTIONS, endpoint) for at in times]
-        case Kind.DISCOVERY_DOWN:
-            return _discovery_down(chance, start, endpoint)
-        case Kind.DISCOVERY_SILENT:
+        case FaultKind.RESETS:
+            times_s = [start_s + n * rng.uniform(0.1, 0.8) for n in range(rng.randint(2, 8))]
+            return [TrialStep(time_s, Action.RESET_CONNECTIONS, endpoint) for time_s in times_s]
+        case FaultKind.DISCOVERY_DOWN:
+            return _discovery_down(rng, start_s, endpoint)
+        case FaultKind.DISCOVERY_SILENT:
             return [
-                TrialStep(start, Act.DISCOVERY_SILENT),
-                TrialStep(start + chance.uniform(0.1, 3.0), Act.DRAIN, endpoint),
+                TrialStep(start_s, Action.DISCOVERY_SILENT),
+                TrialStep(start_s + rng.uniform(0.1, 3.0), Action.DRAIN, endpoint),
             ]
-        case Kind.DISCOVERY_BREAKS:
+        case FaultKind.DISCOVERY_BREAKS:
             return [
-                TrialStep(start, Act.DISCOVERY_BREAKS),
-                TrialStep(start + chance.uniform(0.0, 1.0), Act.DRAIN, endpoint),
+                TrialStep(start_s, Action.DISCOVERY_BREAKS),
+                TrialStep(start_s + rng.uniform(0.0, 1.0), Action.DRAIN, endpoint),
             ]
-        case Kind.RECONFIGURED:
-            gap = chance.choice((0.05, 0.3, 1.0))
+        case FaultKind.RECONFIGURED:
+            gap_s = rng.choice((0.05, 0.3, 1.0))
             return [
-                *(TrialStep(start + gap * n, Act.MOVE_DISCOVERY) for n in range(chance.randint(1, 3))),
-                TrialStep(start + chance.uniform(0.0, 2.0), Act.DRAIN, endpoint),
+                *(TrialStep(start_s + gap_s * n, Action.MOVE_DISCOVERY) for n in range(rng.randint(1, 3))),
+                TrialStep(start_s + rng.uniform(0.0, 2.0), Action.DRAIN, endpoint),
             ]
-        case Kind.DRAIN:
-            gone = start + chance.uniform(0.5, 4.0)
+        case FaultKind.DRAIN:
+            removed_at_s = start_s + rng.uniform(0.5, 4.0)
             return [
-                TrialStep(start, Act.DRAIN, endpoint),
-                TrialStep(gone, Act.REMOVE, endpoint),
-                TrialStep(gone + chance.uniform(0.0, 1.0), Act.REPLACE, endpoint),
+                TrialStep(start_s, Action.DRAIN, endpoint),
+                TrialStep(removed_at_s, Action.REMOVE, endpoint),
+                TrialStep(removed_at_s + rng.uniform(0.0, 1.0), Action.REPLACE, endpoint),
             ]
-        case Kind.BAD_CLIENTS:
-            times = [start + n * chance.uniform(0.1, 1.0) for n in range(chance.randint(3, 10))]
-            return [TrialStep(at, Act.BAD_CLIENTS, chance.randint(3, 20)) for at in times]
-        case Kind.CROWD:
-            return [TrialStep(start + n, Act.CROWD, chance.randint(60, 300)) for n in range(3)]
-        case Kind.SPOILT | Kind.RUDE_WAYS | Kind.IDLE_CLOSES | Kind.HASTY_CONNECTIONS:
-            return []  # traits that hold from the start
-
-
-def _vanish(chance: random.Random, start: float, endpoint: int) -> list[TrialStep]:
-    steps = [TrialStep(start, Act.VANISH, endpoint)]
-    returns_after = chance.choice((*RETURNS_AFTER_S, None))
-    if returns_after is None:
-        steps.append(TrialStep(start + chance.uniform(9.0, 12.0), Act.REMOVE, endpoint))
+        case FaultKind.BAD_CLIENTS:
+            times_s = [start_s + n * rng.uniform(0.1, 1.0) for n in range(rng.randint(3, 10))]
+            return [TrialStep(time_s, Action.BAD_CLIENTS, rng.randint(3, 20)) for time_s in times_s]
+        case FaultKind.CROWD:
+            return [TrialStep(start_s + n, Action.CROWD, rng.randint(60, 300)) for n in range(3)]
+        case FaultKind.SPOILT | FaultKind.RUDE_WAYS | FaultKind.IDLE_CLOSES | FaultKind.HASTY_CONNECTIONS:
+            return []  # applied as traits of clients and endpoints from the start
+
+
+def _vanish(rng: random.Random, start_s: float, endpoint: int) -> list[TrialStep]:
+    steps = [TrialStep(start_s, Action.VANISH, endpoint)]
+    reboot_after_s = rng.choice((*REBOOT_AFTER_S, None))
+    if reboot_after_s is None:
+        steps.append(TrialStep(start_s + rng.uniform(9.0, 12.0), Action.REMOVE, endpoint))
     else:
-        back = start + returns_after
-        steps.append(TrialStep(back, Act.REBOOT, endpoint))
-        steps.append(TrialStep(back + chance.uniform(0.3, 10.0), Act.LIST_AGAIN, endpoint))
-    if chance.random() < 0.5:
-        steps.append(TrialStep(max(0.5, start - 1.0), Act.DISCOVERY_UNREACHABLE))
-        steps.append(TrialStep(start + chance.uniform(4.0, 9.0), Act.DISCOVERY_RETURNS))
+        back_at_s = start_s + reboot_after_s
+        steps.append(TrialStep(back_at_s, Action.REBOOT, endpoint))
+        steps.append(TrialStep(back_at_s + rng.uniform(0.3, 10.0), Action.LIST_AGAIN, endpoint))
+    if rng.random() < 0.5:
+        steps.append(TrialStep(max(0.5, start_s - 1.0), Action.DISCOVERY_UNREACHABLE))
+        steps.append(TrialStep(start_s + rng.uniform(4.0, 9.0), Action.DISCOVERY_RETURNS))
     return steps
 
 
-def _discovery_down(chance: random.Random, start: float, endpoint: int) -> list[TrialStep]:
-    down = chance.choice((Act.DISCOVERY_REFUSES, Act.DISCOVERY_UNREACHABLE))
-    back = start + chance.uniform(1.0, 8.0)
+def _discovery_down(rng: random.Random, start_s: float, endpoint: int) -> list[TrialStep]:
+    fault = rng.choice((Action.DISCOVERY_REFUSES, Action.DISCOVERY_UNREACHABLE))
+    back_at_s = start_s + rng.uniform(1.0, 8.0)
     return [
-        TrialStep(start, down),
-        TrialStep(back + chance.uniform(-0.5, 0.5), Act.DRAIN, endpoint),
-        TrialStep(back, Act.DISCOVERY_RETURNS),
+        TrialStep(start_s, fault),
+        TrialStep(back_at_s + rng.uniform(-0.5, 0.5), Action.DRAIN, endpoint),
+        TrialStep(back_at_s, Action.DISCOVERY_RETURNS),
     ]
--- a/wellhitch/lab/trials/process.py
+++ b/wellhitch/lab/trials/process.py
@@ -1,4 +1,4 @@
-"""One call server as the operators start it: environment, configuration file, signals, and how it ended."""
+"""A call server process as operators run it: environment, configuration file, signals and exit status."""
 
 import json
 import os
@@ -10,20 +10,20 @@
 from pathlib import Path
 from typing import Any
 
-from wellhitch.lab.trials.records import Record, Records, Seen
+from wellhitch.lab.trials.records import EventKind, Record, Records
 
-TERM_GRACE_S = 0.7  # SIGKILL comes no sooner than the longest deadline and this after SIGTERM
-LONGEST_COUNTED_DEADLINE_S = 3.0
+TERM_GRACE_S = 0.7  # from SIGTERM to SIGKILL at least the longest deadline and this pass
+MAX_GRACE_DEADLINE_S = 3.0  # longer deadlines do not extend the time between SIGTERM and SIGKILL
 
 
 def earliest_kill_s(longest_deadline_s: float) -> float:
-    """How long after SIGTERM SIGKILL may come."""
-    return min(longest_deadline_s, LONGEST_COUNTED_DEADLINE_S) + TERM_GRACE_S
+    """The least time between SIGTERM and SIGKILL."""
+    return min(longest_deadline_s, MAX_GRACE_DEADLINE_S) + TERM_GRACE_S
 
 
 @dataclass(eq=False)
 class CallServer:
-    """One call server's name, place and process. `sockets` is also set as the limit on its descriptors."""
+    """One call server and its process. `max_descriptors` is written to its configuration and set as RLIMIT_NOFILE."""
 
     name: str
     cell: int
@@ -31,8 +31,8 @@
     folder: Path
     records: Records
     settings: dict[str, Any]
-    sockets: int = 256
-    memory_mb: int = 96
+    max_descriptors: int = 256
+    memory_limit_mb: int = 96
     process: subprocess.Popen[bytes] | None = None
     generation: int = 0
     terminated_at: float | None = None
@@ -41,36 +41,38 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process is there."""
+        """Whether the process is alive."""
         return self.process is not None and self.process.poll() is None
 
     @property
     def log_path(self) -> Path:
-        """The log of all its starts."""
+        """The log file, shared by all starts of the process."""
         return self.folder / f"{self.name}.log"
 
-    def write_configuration(self, board: str, known: dict[str, object], seed: int) -> Path:
-        """Replace the configuration file in one step, as operators do."""
+    def write_configuration(
+        self, discovery_address: str, known_updates: dict[str, object], seed: int
+    ) -> Path:
+        """Replace the configuration file atomically, as operators do."""
         configuration = {
             "name": self.name,
             "listen": self.listen,
             "seed": f"{seed:016x}",
-            "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets},
+            "limits": {"cores": 1.0, "memory_mb": self.memory_limit_mb, "sockets": self.max_descriptors},
             "peer_listen": "",
             "peers": [],
             "peers_all": "",
-            "board": board,
-            "known": known,
+            "board": discovery_address,
+            "known": known_updates,
             "settings": self.settings,
         }
         path = self.folder / f"{self.name}.json"
-        fresh = path.with_suffix(".new")
-        fresh.write_text(json.dumps(configuration))
-        fresh.replace(path)
+        new_path = path.with_suffix(".new")
+        new_path.write_text(json.dumps(configuration))
+        new_path.replace(path)
         return path
 
     def start(self, path: Path, now: float) -> None:
-        """Start the process with its log appended to the one file."""
+        """Start the process, with its output appended to the log file."""
         self.generation += 1
         self.terminated_at = None
         environment = os.environ | {
@@ -87,43 +89,43 @@
                 stderr=log,
                 preexec_fn=self._limit_descriptors,
             )
-        self.records.add(Record(now, Seen.SERVER_STARTED, server=self.name))
+        self.records.add(Record(now, EventKind.SERVER_STARTED, server=self.name))
 
     def _limit_descriptors(self) -> None:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (self.sockets, self.sockets))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (self.max_descriptors, self.max_descriptors))
 
-    def hang_up(self) -> None:
-        """SIGHUP: the configuration file was replaced."""
+    def reload(self) -> None:
+        """Send SIGHUP, after the configuration file was replaced."""
         if self.process is not None and self.running:
             self.process.send_signal(signal.SIGHUP)
 
     def terminate(self, now: float) -> None:
-        """SIGTERM."""
+        """Send SIGTERM."""
         if self.process is not None and self.running:
             if self.terminated_at is None:
                 self.terminated_at = now
-                self.records.add(Record(now, Seen.SERVER_TERMINATED, server=self.name))
+                self.records.add(Record(now, EventKind.SERVER_TERMINATED, server=self.name))
             self.process.send_signal(signal.SIGTERM)
 
     def kill(self, now: float) -> None:
-        """SIGKILL, and wait until the process is gone."""
+        """Send SIGKILL and wait for the process to end."""
         if self.process is not None and self.running:
             self.process.kill()
             self.process.wait()
-            self.records.add(Record(now, Seen.SERVER_KILLED, server=self.name))
+            self.records.add(Record(now, EventKind.SERVER_KILLED, server=self.name))
 
-    def look(self, now: float) -> None:
-        """Note an end that nobody asked for, and the peak of the memory."""
+    def check_process(self, now: float) -> None:
+        """Record an exit other than by SIGKILL, and update the peak memory."""
         if self.process is None:
             return
         code = self.process.poll()
         if code is None:
-            self.peak_memory_mb = max(self.peak_memory_mb, self._memory_mb(self.process.pid))
+            self.peak_memory_mb = max(self.peak_memory_mb, self._resident_mb(self.process.pid))
         elif code != -signal.SIGKILL and len(self.exit_codes) < self.generation:
             self.exit_codes.append(code)
-            self.records.add(Record(now, Seen.SERVER_ENDED, server=self.name, status=code))
+            self.records.add(Record(now, EventKind.SERVER_ENDED, server=self.name, status=code))
 
-    def _memory_mb(self, pid: int) -> float:
+    def _resident_mb(self, pid: int) -> float:
         try:
             for line in Path(f"/proc/{pid}/status").read_text().splitlines():
                 if line.startswith("VmRSS:"):
