--- a/wellhitch/interface/facts.py
+++ b/wellhitch/interface/facts.py
@@ -5,9 +5,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """One class of dialogues. The target latency and the deadline count from the first try of a dialogue. An answer
-    after the target latency is worth `late_share` of the value. A repeatable class may be dialled again within
-    `repeat_within` of the first dial, or at any time if that is 0."""
+    """One class of dialogues. A dialogue takes `width` circuits and usually lasts for `hold`. The target latency and
+    the deadline count from the first try of a dialogue. An answer after the target latency is worth `late_share` of
+    the value. A repeatable class may be dialled again within `repeat_within` of the first dial, or at any time if
+    that is 0."""
 
     name: str
     value: float
