--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from wellhitch.board.codec import DRAINING, GONE, READY, Notice, Row
+from wellhitch.board.codec import DRAINING, READY, REMOVED, DiscoveryEntry, Update
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
@@ -12,7 +12,7 @@
 from wellhitch.net.transport import now_us
 from wellhitch.platform.configuration import Addresses, Configuration
 from wellhitch.platform.service import Service
-from wellhitch.stand_ins.platform import Board, Caller, PlatformOffice, invite
+from wellhitch.stand_ins.platform import Caller, DiscoveryServer, PlatformOffice, invite
 
 SECOND = 1_000_000
 UNIX_START_US = 1_796_000_000 * SECOND  # Unix time when the loop's clock is 0
@@ -22,15 +22,15 @@
 )
 SERVER = "10.0.0.1"
 DISCOVERY = "10.2.0.1:8500"
-__all__ = ["DRAINING", "GONE", "READY", "SECOND", "UNIX_START_US", "World", "invite", "row"]
+__all__ = ["DRAINING", "REMOVED", "READY", "SECOND", "UNIX_START_US", "World", "invite", "row"]
 
 
 def row(
     number: int, state: int = READY, office: int | None = None, started_ms: int = 0, host: str = ""
-) -> Row:
+) -> DiscoveryEntry:
     """An office of exchange `number` in a discovery update. Its id is `office`, by default the exchange number."""
     office_number = number if office is None else office
-    return Row(
+    return DiscoveryEntry(
         f"s-{office_number:08x}", f"{host or f'10.1.0.{office_number}'}:2905", state, number, started_ms
     )
 
@@ -56,7 +56,7 @@
         ),
         opened=opened,
         revision=1,
-        known_updates=(Notice(1, True, (row(0), row(1), row(2))),),
+        known_updates=(Update(1, True, (row(0), row(1), row(2))),),
         max_descriptors=256,
         max_open=2000,
         connect_timeout_us=500_000,
@@ -75,7 +75,7 @@
         self.log: list[tuple[str, dict[str, Any]]] = []
         self.stopped = False
         self.offices = {number: self.office(number) for number in (1, 2)}
-        self.discovery = Board(self.loop, self.net.at("10.2.0.1"), DISCOVERY)
+        self.discovery = DiscoveryServer(self.loop, self.net.at("10.2.0.1"), DISCOVERY)
         self.service = self.start_server(**over)
         self.core = self.service.core
         self.counts = self.core.counts
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -17,7 +17,7 @@
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.service import SettlementService
 from wellhitch.server.daemon import Daemon, ServerAddresses
-from wellhitch.settings.sheet import opened
+from wellhitch.settings.server import start_event
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel
 from wellhitch.trunk.connection import ALLOWED_FRAMES
@@ -53,7 +53,7 @@
         self.loop.set_exception_handler(lambda loop, context: self.faults.append(str(context)))
         self.net = EmulatedNetwork(self.loop, 1)
         self.said: list[str] = []
-        facts = opened(sheet_of(day(**over), 0, HostAddresses()))
+        facts = start_event(sheet_of(day(**over), 0, HostAddresses()))
         doors = ServerAddresses("s:1", "s:2", "s:3", "register:1", "")
         hooks = {"a": "on arrive { return none }"}
         self.daemon = Daemon(
@@ -121,7 +121,7 @@
     for _ in range(12):
         dripping.transport.write(b"s")
         door.loop.advance(1.0)
-    assert silent.gone and dripping.gone and not door.daemon.operators
+    assert silent.gone and dripping.gone and not door.daemon.operator_transports
 
 
 def test_an_office_of_another_number_than_the_list_says_is_not_dialled() -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,14 +5,14 @@
 from typing import Any
 
 import pytest
-from platform_world import DRAINING, GONE, READY, SECOND, UNIX_START_US, World, configuration, invite, row
+from platform_world import DRAINING, READY, REMOVED, SECOND, UNIX_START_US, World, configuration, invite, row
 
 from wellhitch.board import codec as board_codec
-from wellhitch.board.codec import Notice
+from wellhitch.board.codec import Update
 from wellhitch.deciding import runner as runner_module
 from wellhitch.interface import events as ev
 from wellhitch.platform.service import descriptor_shares
-from wellhitch.stand_ins.platform import Board, Caller, plain
+from wellhitch.stand_ins.platform import Caller, DiscoveryServer, bodyless_request
 
 
 def call_id(n: int) -> str:
@@ -29,13 +29,13 @@
     world = World()
     caller = world.establish(A)
     [new] = world.offices[1].said("new")
-    assert (new.ref, new.f["class"], new.f["key"], new.d) == (
+    assert (new.call_id, new.fields["class"], new.fields["key"], new.description) == (
         A,
         "cheap",
         "7f3a9c21e0b4d655",
         "caller's own\r\n",
     )
-    assert 900 <= int(str(new.f["left"])) < 1000
+    assert 900 <= int(str(new.fields["left"])) < 1000
     [answer] = [one for _, one in caller.heard]
     assert answer.body == b"office's own\r\n" and answer.headers["cseq"] == "1 INVITE"
     world.offices[1].down(A, 16)
@@ -49,9 +49,11 @@
 def test_caller_can_release_on_any_connection() -> None:
     world = World()
     first, other = world.establish(A), world.caller()
-    other.say(plain("BYE", A))
+    other.say(bodyless_request("BYE", A))
     world.run(0.1)
-    assert other.statuses(A, "BYE") == [200] and [line.c for line in world.offices[1].said("down")] == [16]
+    assert other.statuses(A, "BYE") == [200] and [line.cause for line in world.offices[1].said("down")] == [
+        16
+    ]
     assert not first.byes(A) and not other.byes(A) and not world.core.exchange.dialogues
 
 
@@ -206,7 +208,7 @@
     world.offices[1].raw(A, f'{{"t":"up","ref":"{A}","f":{{}}}}\n'.encode())
     world.run(0.02)
     assert world.counts["ending.reset"] == 1 and caller.statuses(A) == []
-    assert [line.c for line in world.offices[1].said("down")] == [16]
+    assert [line.cause for line in world.offices[1].said("down")] == [16]
 
 
 # ---- cancellation ----
@@ -218,10 +220,10 @@
     caller = world.caller()
     caller.say(invite(A))
     assert world.run_until(1, lambda: A in world.offices[1].by_ref)
-    caller.say(plain("CANCEL", A))
+    caller.say(bodyless_request("CANCEL", A))
     world.run(0.1)
     assert caller.statuses(A, "CANCEL") == [200] and caller.statuses(A) == [487]
-    assert [line.c for line in world.offices[1].said("down")] == [16]
+    assert [line.cause for line in world.offices[1].said("down")] == [16]
     world.offices[1].up(A)
     world.run(3)
     assert caller.statuses(A) == [487] and not caller.byes(A) and not world.core.pending_calls
@@ -230,9 +232,9 @@
 def test_cancel_that_crosses_the_answer_releases_both_ends() -> None:
     world = World()
     caller = world.establish(A)
-    caller.say(plain("CANCEL", A))
+    caller.say(bodyless_request("CANCEL", A))
     world.run(0.1)
-    assert len(caller.byes(A)) == 1 and [line.c for line in world.offices[1].said("down")] == [16]
+    assert len(caller.byes(A)) == 1 and [line.cause for line in world.offices[1].said("down")] == [16]
     assert not world.core.calls
 
 
@@ -240,7 +242,7 @@
     world = World()
     caller = world.caller()
     more = b"X-Office: s-00000001\r\nX-Load: spare:0;total:50\r\nContent-Length: 0"
-    caller.say(plain("NOTIFY", A).replace(b"Content-Length: 0", more))
+    caller.say(bodyless_request("NOTIFY", A).replace(b"Content-Length: 0", more))
     world.run(0.1)
     assert not caller.heard and world.core.exchange.offices["s-00000001"].free_circuits == 50
 
@@ -255,7 +257,7 @@
     caller.say(invite(A))
     world.run(0.05)
     if action == "cancel":
-        caller.say(plain("CANCEL", A))
+        caller.say(bodyless_request("CANCEL", A))
     else:
         caller.close()
     world.run(2)
@@ -269,7 +271,7 @@
     caller, other = world.caller(), world.caller("10.9.0.2")
     caller.say(invite(A))
     assert world.run_until(1, lambda: A in world.offices[1].by_ref)
-    other.say(plain("CANCEL", A))
+    other.say(bodyless_request("CANCEL", A))
     world.run(0.05)
     assert A in world.core.pending_by_call_id
 
@@ -282,14 +284,14 @@
     assert world.run_until(1, lambda: call_id(2) in world.offices[1].by_ref)
     caller.close()
     world.run(0.1)
-    assert [line.ref for line in world.offices[1].said("down")] == [call_id(2)] and A in world.core.calls
+    assert [line.call_id for line in world.offices[1].said("down")] == [call_id(2)] and A in world.core.calls
 
 
 def test_simultaneous_releases_from_both_ends_end_the_call_once() -> None:
     world = World()
     caller = world.establish(A)
     world.offices[1].down(A, 16)
-    caller.say(plain("BYE", A))
+    caller.say(bodyless_request("BYE", A))
     world.run(1)
     assert caller.statuses(A, "BYE") == [200] and not world.core.calls and not len(world.core.releases)
 
@@ -299,7 +301,7 @@
     world = World()
     caller = world.establish(A)
     for _ in range(times):
-        caller.say(plain("ACK", A))
+        caller.say(bodyless_request("ACK", A))
     world.run(2)
     assert caller.statuses(A) == [200] and A in world.core.calls
 
@@ -496,7 +498,7 @@
     world.discovery.tell(row(1, DRAINING))
     world.run(3)
     assert A in world.core.calls
-    world.discovery.tell(row(1, GONE))
+    world.discovery.tell(row(1, REMOVED))
     world.run(1)
     assert len(caller.byes(A)) == 1 and "s-00000001" not in world.core.offices
 
@@ -504,7 +506,7 @@
 def test_new_office_at_the_address_of_a_removed_one_is_distinct() -> None:
     world = World()
     caller = world.establish(A)
-    world.discovery.tell(row(1, GONE), row(1, READY, 0x77, host="10.1.0.1"))
+    world.discovery.tell(row(1, REMOVED), row(1, READY, 0x77, host="10.1.0.1"))
     world.run(1)
     assert len(caller.byes(A)) == 1
     world.establish(call_id(2), caller)
@@ -543,7 +545,7 @@
     caller.say(invite(call_id(2), 2, more=";transit:1"))
     world.run(0.1)
     assert caller.statuses(A) == [503] and caller.statuses(call_id(2)) == [200]
-    assert not [line for line in world.offices[2].said("new") if line.ref == A]
+    assert not [line for line in world.offices[2].said("new") if line.call_id == A]
 
 
 # ---- discovery ----
@@ -551,7 +553,7 @@
 
 def _cut_within_a_frame(world: World) -> None:
     update = world.discovery.tell(row(1, DRAINING), loud=False)
-    world.discovery.raw(board_codec.frame(update)[:20])
+    world.discovery.raw(board_codec.encode_update(update)[:20])
     world.run(0.05)
     world.discovery.cut()
 
@@ -564,7 +566,7 @@
 
 def _duplicate_update(world: World) -> None:
     update = world.discovery.tell(row(1, DRAINING))
-    world.discovery.raw(board_codec.frame(update))
+    world.discovery.raw(board_codec.encode_update(update))
 
 
 def _missing_update(world: World) -> None:
@@ -587,7 +589,7 @@
     fault(world)
     world.run(3.5)
     assert world.core.offices["s-00000001"].state is ev.OfficeState.DRAINING
-    assert world.service.discovery.revision == world.discovery.events[-1].number
+    assert world.service.discovery.revision == world.discovery.events[-1].revision
     draining_events = [
         facts for event, facts in world.log if event == "office" and facts["standing"] == "DRAINING"
     ]
@@ -596,8 +598,8 @@
 
 def test_missing_revision_is_requested_once() -> None:
     world = World()
-    world.discovery.events.append(Notice(5, False, (row(1, DRAINING),)))
-    world.discovery.raw(board_codec.frame(world.discovery.events[-1]))
+    world.discovery.events.append(Update(5, False, (row(1, DRAINING),)))
+    world.discovery.raw(board_codec.encode_update(world.discovery.events[-1]))
     world.run(1)
     assert world.service.discovery.revision == 5 and len(world.discovery.asked) == 2
 
@@ -632,7 +634,7 @@
     "nothing": lambda caller: None,
     "body that is no text": _sending(invite(A, body=b"\xff\xfe\xfd")),
     "one id twice": _sending(invite(A) + invite(A, 2)),
-    "method": _sending(plain("REGISTER", A)),
+    "method": _sending(bodyless_request("REGISTER", A)),
 }
 
 
@@ -674,7 +676,7 @@
     world = World()
     not_reading = world.caller("10.9.9.9", reads=False)
     for n in range(900):
-        not_reading.say(plain("OPTIONS", call_id(n)))
+        not_reading.say(bodyless_request("OPTIONS", call_id(n)))
     world.run(1)
     world.establish(A)
     assert world.counts["door.unread"] == 1 and not_reading.closed
@@ -698,7 +700,7 @@
     for n in range(300):
         misbehaving.say(invite(call_id(n)))
     for n in range(300):
-        misbehaving.say(plain("CANCEL", call_id(n)))
+        misbehaving.say(bodyless_request("CANCEL", call_id(n)))
     world.run(0.5)
     assert not world.core.pending_calls and not any(office.dials for office in world.core.offices.values())
 
@@ -723,7 +725,7 @@
     caller = world.establish(A)
     others = [world.caller(f"10.9.8.{n % 250}") for n in range(max_callers + 20)]
     for n, one in enumerate(others):
-        one.say(plain("OPTIONS", call_id(n)))
+        one.say(bodyless_request("OPTIONS", call_id(n)))
     world.run(0.5)
     assert not caller.closed and world.service.callers.open <= max_callers
 
@@ -736,11 +738,11 @@
     first = world.caller()
     others = [world.caller(f"10.9.8.{n % 250}") for n in range(max_callers - 1)]
     for n, one in enumerate([first, *others]):
-        one.say(plain("OPTIONS", call_id(n)))
+        one.say(bodyless_request("OPTIONS", call_id(n)))
     world.run(0.6)
     first.say(invite(call_id(999), 0))  # to the own exchange: rejected at once
     for n in range(20):
-        world.caller(f"10.9.7.{n}").say(plain("OPTIONS", call_id(2000 + n)))
+        world.caller(f"10.9.7.{n}").say(bodyless_request("OPTIONS", call_id(2000 + n)))
     world.run(0.1)
     assert first.statuses(call_id(999)) == [503] and not first.closed
     assert sum(one.closed for one in others) == 20 and world.service.callers.open <= max_callers
@@ -750,7 +752,7 @@
     world = World()
     max_callers, _, _ = descriptor_shares(256)
     for n in range(max_callers):
-        world.caller(f"10.9.8.{n % 250}").say(plain("OPTIONS", call_id(n)))
+        world.caller(f"10.9.8.{n % 250}").say(bodyless_request("OPTIONS", call_id(n)))
     world.run(0.05)
     new = world.caller("10.9.7.1")
     world.run(0.05)
@@ -790,7 +792,7 @@
         world.offices[1].answers = False
         caller.say(invite(A))
         world.run(0.05)
-        caller.say(plain("CANCEL", A))
+        caller.say(bodyless_request("CANCEL", A))
     else:
         caller.say(invite(A))
     world.run(0.1)
@@ -845,7 +847,7 @@
     assert late_caller.statuses(call_id(3)) == [200]
     world.run(3)
     assert world.stopped and len(caller.statuses(call_id(2))) == 1
-    assert not caller.byes(A) and not [line for line in world.offices[1].said("down") if line.ref == A]
+    assert not caller.byes(A) and not [line for line in world.offices[1].said("down") if line.call_id == A]
 
 
 def test_shutdown_ends_before_the_kill() -> None:
@@ -865,7 +867,9 @@
     caller = world.establish(A)
     world.discovery.tell(row(2, READY))
     world.run(0.2)
-    moved = Board(world.loop, world.net.at("10.2.0.2"), "10.2.0.2:8501", list(world.discovery.events))
+    moved = DiscoveryServer(
+        world.loop, world.net.at("10.2.0.2"), "10.2.0.2:8501", list(world.discovery.events)
+    )
     current = world.service.configuration
     world.service.reconfigure(
         replace(current, addresses=replace(current.addresses, discovery="10.2.0.2:8501"))
@@ -913,7 +917,7 @@
     for n in range(20):
         office = 0x100 + n
         world.discovery.tell(
-            row(1, GONE, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1")
+            row(1, REMOVED, 1 if n == 0 else office - 1), row(1, READY, office, host="10.1.0.1")
         )
         world.run(0.3)
     assert len(world.core.offices) == 3 and len(world.service.office_connections.pools) == 2
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -1,7 +1,7 @@
 """Discovery that is slow, silent, unreachable or at a new address, and the order of its updates."""
 
 import pytest
-from platform_world import DISCOVERY, DRAINING, GONE, UNIX_START_US, World, row
+from platform_world import DISCOVERY, DRAINING, REMOVED, UNIX_START_US, World, row
 
 from wellhitch.interface import events as ev
 from wellhitch.platform.watch_policy import (
@@ -13,7 +13,7 @@
     Revisions,
     WatchPolicy,
 )
-from wellhitch.stand_ins.platform import Board
+from wellhitch.stand_ins.platform import DiscoveryServer
 
 SERVER, DISCOVERY_HOST = "10.0.0.1", "10.2.0.1"
 UPDATE_LIMIT_S = 6.0
@@ -97,7 +97,7 @@
 def test_rapid_address_changes_end_at_the_last_address() -> None:
     world = World()
     addresses = ["10.2.0.2:8501", "10.2.0.3:8502", DISCOVERY, "10.2.0.4:8503"]
-    last = Board(world.loop, world.net.at("10.2.0.4"), addresses[-1], list(world.discovery.events))
+    last = DiscoveryServer(world.loop, world.net.at("10.2.0.4"), addresses[-1], list(world.discovery.events))
     for address in addresses:
         world.service.discovery.change_address(address)
         world.run(0.05)
@@ -113,7 +113,7 @@
     world = World()
     caller = world.establish("000000000000000a")
     asked = len(world.discovery.asked)
-    world.discovery.tell(row(1, GONE, started_ms=UNIX_START_US // 1000 + 10_000))
+    world.discovery.tell(row(1, REMOVED, started_ms=UNIX_START_US // 1000 + 10_000))
     world.run(1)
     assert caller.byes("000000000000000a") and not world.core.calls
     assert len(world.discovery.asked) == asked
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -17,9 +17,9 @@
 from wellhitch.lab.loopback import own_address
 from wellhitch.net.transport import split_address
 from wellhitch.platform.configuration import read_configuration
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 from wellhitch.sip import codec as sip
-from wellhitch.stand_ins.platform import invite, plain
+from wellhitch.stand_ins.platform import bodyless_request, invite
 
 NOT_IMPORTED = ("lark", "apsw", "matplotlib", "_jsonnet", "structlog", "prometheus_client", "hdrh", "blake3")
 TIMEOUT_S = 60  # far more than any step takes, so that a slow machine fails no test
@@ -98,7 +98,7 @@
         configuration.opened.traffic_classes[0].target_latency == 380_000
         and configuration.connect_timeout_us == 500_000
     )
-    assert configuration.revision == 1 and configuration.known_updates[0].rows[0].id == "s-00000000"
+    assert configuration.revision == 1 and configuration.known_updates[0].entries[0].id == "s-00000000"
 
 
 def _settings(**over: Any) -> dict[str, Any]:
@@ -131,9 +131,9 @@
 def test_configuration_error_is_one_line_with_file_field_and_value(
     tmp_path: Path, value: Any, message: str
 ) -> None:
-    with pytest.raises(Faults, match=message) as caught:
+    with pytest.raises(InvalidSettings, match=message) as caught:
         read_configuration(write_configuration(tmp_path, value))
-    assert len(caught.value.lines) == 1 and str(tmp_path) in str(caught.value)
+    assert len(caught.value.errors) == 1 and str(tmp_path) in str(caught.value)
 
 
 # ---- the process ----
@@ -224,7 +224,7 @@
 def test_process_serves_reloads_on_sighup_and_ends_on_sigterm(tmp_path: Path) -> None:
     process = Process(tmp_path)
     try:
-        assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
+        assert process.ask(bodyless_request("OPTIONS", "0000000000000001")).status == 200
         assert (
             process.until("startup_objects_frozen")["objects"] > 5_000
         )  # kept out of later garbage collections
@@ -255,7 +255,7 @@
     process = Process(tmp_path)
     try:
         silent = [socket.create_connection(process.address, timeout=TIMEOUT_S) for _ in range(400)]
-        assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
+        assert process.ask(bodyless_request("OPTIONS", "0000000000000001")).status == 200
         for one in silent:
             one.close()
         assert not process.lines("loop_fault")
@@ -286,10 +286,10 @@
             crowd = [socket.create_connection(process.address, timeout=TIMEOUT_S) for _ in range(250)]
             for one in crowd:
                 with contextlib.suppress(OSError):
-                    one.sendall(plain("OPTIONS", "0000000000000002"))
+                    one.sendall(bodyless_request("OPTIONS", "0000000000000002"))
             opened += crowd
             time.sleep(0.6)  # long enough for the connections to count as unused
-        assert process.ask(plain("OPTIONS", "0000000000000001")).status == 200
+        assert process.ask(bodyless_request("OPTIONS", "0000000000000001")).status == 200
         assert not process.lines("loop_fault")
     finally:
         process.end()
--- a/wellhitch/cli/errors.py
+++ b/wellhitch/cli/errors.py
@@ -1,4 +1,4 @@
-"""Bad input as one clear error and exit code 2, never a traceback."""
+"""Reports invalid input as one clear error with exit code 2, without a traceback."""
 
 import sys
 from collections.abc import Iterator
@@ -6,14 +6,14 @@
 
 import click
 
-from wellhitch.settings.checked import Faults
+from wellhitch.settings.checked import InvalidSettings
 
 
 @contextmanager
-def told_plainly() -> Iterator[None]:
-    """Turn faults of settings into lines on standard error and exit code 2."""
+def exit_on_invalid_settings() -> Iterator[None]:
+    """On InvalidSettings, print its errors to standard error and exit with code 2."""
     try:
         yield
-    except Faults as faults:
-        click.echo(str(faults), err=True)
+    except InvalidSettings as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -17,7 +17,7 @@
 
 from wellhitch.emulator.disk import EmulatedDisk
 from wellhitch.emulator.network import EmulatedNetwork
-from wellhitch.emulator.party import PartyLoop
+from wellhitch.emulator.pausable_loop import PausableLoop
 from wellhitch.interface.events import ServerStarted
 from wellhitch.lab.loopback import own_address
 from wellhitch.ledger.entries import NumberKeys
@@ -26,8 +26,15 @@
 from wellhitch.server.daemon import Daemon, Log, MakeSettlement, ServerAddresses
 from wellhitch.server.switch import ServerIO, Switch
 from wellhitch.settings.day import Day
-from wellhitch.settings.sheet import DoorLine, LedgerLine, Sheet, UseCaseLine, opened, span
-from wellhitch.stand_ins.troubles import CannotPlay
+from wellhitch.settings.server import (
+    LedgerSettings,
+    ListenerSettings,
+    ServerSettings,
+    TrafficClassSettings,
+    duration_us,
+    start_event,
+)
+from wellhitch.stand_ins.faults import UnsupportedFaultError
 
 
 class HostAddresses:
@@ -55,14 +62,14 @@
         return known
 
 
-def sheet_of(day: Day, number: int, addresses: HostAddresses | LoopbackAddresses) -> Sheet:
+def sheet_of(day: Day, number: int, addresses: HostAddresses | LoopbackAddresses) -> ServerSettings:
     """The sheet of one call server of a day."""
     host = f"server-{number}"
     cases = [
-        UseCaseLine(**{name: getattr(case, name) for name in UseCaseLine.__struct_fields__})
+        TrafficClassSettings(**{name: getattr(case, name) for name in TrafficClassSettings.__struct_fields__})
         for case in day.use_cases
     ]
-    return Sheet(
+    return ServerSettings(
         number=number,
         seed=day.seed * 1000 + number,
         peers=len(day.exchanges) - 1,
@@ -70,8 +77,10 @@
         rules=day.rules,
         limits=day.limits,
         hooks=day.hooks,
-        ledger=LedgerLine(f"ledger-{number}", [one.number for one in day.exchanges]) if day.ledger else None,
-        doors=DoorLine(
+        ledger=LedgerSettings(f"ledger-{number}", [one.number for one in day.exchanges])
+        if day.ledger
+        else None,
+        doors=ListenerSettings(
             callers=addresses.of(host, "callers"),
             register=addresses.of("register", "list"),
             peers=addresses.of(host, "peers"),
@@ -81,7 +90,7 @@
     )
 
 
-def doors_of(sheet: Sheet) -> ServerAddresses:
+def doors_of(sheet: ServerSettings) -> ServerAddresses:
     """The doors of a sheet, as the daemon takes them."""
     d = sheet.doors
     return ServerAddresses(d.callers, d.peers, d.operators, d.register, d.centre)
@@ -89,7 +98,7 @@
 
 def zone_delay(day: Day) -> Callable[[str, str], int]:
     """One-way times between the hosts of a day."""
-    here, same, cross = span(day.net.here), span(day.net.same), span(day.net.cross)
+    here, same, cross = duration_us(day.net.here), duration_us(day.net.same), duration_us(day.net.cross)
     zones = {one.number: one.zone for one in day.exchanges}
     known: dict[tuple[str, str], int] = {}
 
@@ -120,7 +129,7 @@
     log: Callable[[int], Log]
     daemons: dict[int, Daemon] = field(default_factory=dict)
     boots: dict[int, int] = field(default_factory=dict)
-    parties: dict[int, PartyLoop] = field(default_factory=dict)
+    parties: dict[int, PausableLoop] = field(default_factory=dict)
     make_switch: Callable[[ServerStarted, int, ServerIO], Switch] = Switch
     clocks: dict[int, float] = field(default_factory=dict)  # seconds that a call server's clock is ahead
     disks: dict[int, EmulatedDisk] = field(default_factory=dict)
@@ -140,7 +149,7 @@
         host = f"server-{number}"
         loop = self.loop
         if self.net is not None:
-            party = self.parties[number] = self.net.gates[host] = PartyLoop(
+            party = self.parties[number] = self.net.gates[host] = PausableLoop(
                 self.loop, self.clocks.get(number, 0.0)
             )
             loop = party.as_loop()
@@ -148,7 +157,7 @@
         daemon = self.daemons[number] = Daemon(
             loop,
             network,
-            opened(sheet),
+            start_event(sheet),
             doors_of(sheet),
             sheet.limits.max_open,
             boot,
@@ -212,7 +221,7 @@
     def pause(self, number: int) -> None:
         """As `Servers`."""
         if self.net is None:
-            raise CannotPlay(
+            raise UnsupportedFaultError(
                 "a call server is paused only in a process of its own (--processes) or --virtual"
             )
         self.parties[number].pause()
