--- a/wellhitch/ledger/entries.py
+++ b/wellhitch/ledger/entries.py
@@ -17,7 +17,7 @@
     `pushed_back` (rejected), `forfeited` (failed) or `gone` (cancelled by the caller before an answer). `origin` and
     `dialogue` identify it in the whole fleet. `called_hash` is the called number hashed under the key `number_key`.
     `dial`: the previous end's dial that asked here, -1 at the origin. `onward_dial`: the own dial that was established,
-    and `tandem`: the tandem it used; both -1 if there is none. `at`: wall time."""
+    and `tandem`: the tandem it used; both -1 if there is none. `wall_us`: wall time."""
 
     side: str
     origin: int
@@ -25,13 +25,13 @@
     traffic_class: str
     destination: int
     answer: str
-    at: int
+    wall_us: int
     width: int = 1
     tenant: str = ""
     called_hash: bytes = b""
     number_key: int = 0
     tags: tuple[str, ...] = ()
-    hooks: str = ""
+    hooks_version: str = ""
     dial: int = -1
     onward_dial: int = -1
     tandem: int = -1
@@ -45,7 +45,7 @@
     origin: int
     dialogue: int
     ending: str
-    at: int
+    wall_us: int
     duration: int
     dial: int = -1
 
@@ -59,13 +59,13 @@
 
 
 class Restarted(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The first row of each process's chain. The previous process was running until `alive`; what it saw within the
-    `unsafe` microseconds after that may be lost. `mark`, `seq`, `hash`: where its chain ended, as far as this disk
+    """The first row of each process's chain. The previous process was running until `alive_at`; what it saw within the
+    `unsafe_us` microseconds after that may be lost. `mark`, `seq`, `hash`: where its chain ended, as far as this disk
     knows; mark 0 on a new disk. This reveals an old disk: other instances know rows beyond that end."""
 
-    at: int
-    alive: int
-    unsafe: int
+    wall_us: int
+    alive_at: int
+    unsafe_us: int
     mark: int = 0
     seq: int = 0
     hash: bytes = b""
@@ -80,14 +80,14 @@
     change: int
     who: str
     why: str
-    at: int
+    wall_us: int
 
 
 class Rekeyed(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """From here on called numbers are hashed under the key `number_key`."""
 
     number_key: int
-    at: int
+    wall_us: int
 
 
 Entry = Answered | Ended | EntriesLost | Restarted | Corrected | Rekeyed
--- a/wellhitch/ledger/journal.py
+++ b/wellhitch/ledger/journal.py
@@ -44,12 +44,12 @@
 
 
 class EstablishedDialogue(msgspec.Struct, frozen=True, array_like=True):
-    """An established dialogue. `at`: wall time at which it was established."""
+    """An established dialogue. `wall_us`: wall time at which it was established."""
 
     side: str
     origin: int
     dialogue: int
-    at: int
+    wall_us: int
     dial: int = -1
 
 
@@ -71,7 +71,7 @@
     width: int = 1
     tenant: str | None = None
     tags: tuple[str, ...] = ()
-    hooks: str = ""
+    hooks_version: str = ""
     dial: int = -1
     onward_dial: int = -1
     tandem: int = -1
@@ -121,7 +121,7 @@
             changes.append(Change(ABOUT_BUCKET, about.to_bytes(4, "big") + key, body))
         return changes
 
-    def _answer_entry(self, facts: DialogueFacts, answer: str, at: int) -> Answered:
+    def _answer_entry(self, facts: DialogueFacts, answer: str, wall: int) -> Answered:
         called_hash, number_key = self.keys.hashed(facts.called)
         return Answered(
             facts.side,
@@ -130,13 +130,13 @@
             facts.traffic_class,
             facts.destination,
             answer,
-            at,
+            wall,
             facts.width,
             facts.tenant or "",
             called_hash,
             number_key,
             facts.tags,
-            facts.hooks,
+            facts.hooks_version,
             facts.dial,
             facts.onward_dial,
             facts.tandem,
@@ -192,12 +192,12 @@
         self.stated_periods.add(period)
         return Statement(self.identity.number, self.chain.name.mark, self.chain.seq, self.chain.last_hash)
 
-    def resume(self, established: Iterable[EstablishedDialogue], unsafe: int, wall: int) -> list[Change]:
+    def resume(self, established: Iterable[EstablishedDialogue], unsafe_us: int, wall: int) -> list[Change]:
         """The first entries of a process: where the previous chain ended, and that the dialogues it left were cut as of
         the previous process's last heartbeat."""
         alive_at = self.identity.alive_at
         end = self.previous_end
-        changes = self._append_row(Restarted(wall, alive_at, unsafe, *end), wall)
+        changes = self._append_row(Restarted(wall, alive_at, unsafe_us, *end), wall)
         for left in established:
             # A clock set back between the two processes must not make the duration negative.
             ended = Ended(
@@ -206,7 +206,7 @@
                 left.dialogue,
                 "restart",
                 alive_at,
-                max(0, alive_at - left.at),
+                max(0, alive_at - left.wall_us),
                 left.dial,
             )
             changes += self._append_row(ended, wall, left.origin)
--- a/wellhitch/ledger/reader.py
+++ b/wellhitch/ledger/reader.py
@@ -30,7 +30,7 @@
             entry
             for _, _, entry in self.rows
             if getattr(entry, "origin", None) == self.number
-            and (as_of is None or getattr(entry, "at", 0) < as_of)
+            and (as_of is None or getattr(entry, "wall_us", 0) < as_of)
         )
         return group_by_dialogue(found)
 
--- a/wellhitch/ledger/settle.py
+++ b/wellhitch/ledger/settle.py
@@ -116,7 +116,7 @@
             return Settled(self.dialogue_id, "orphan")
         durations = self._durations(origin)
         change = sum(correction.change for correction in self.corrections)
-        ended = min((end.at for end in self._ends("origin", -1)), default=origin.at)
+        ended = min((end.wall_us for end in self._ends("origin", -1)), default=origin.wall_us)
         billed, state, dispute = 0, "not_billed", ""
         if origin.answer == "stands":
             if durations["origin"] == -1:
