--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -18,8 +18,8 @@
 from wellhitch.server.dials import DialState, PendingDial
 from wellhitch.server.switch import Switch
 from wellhitch.settings.day import Day, FaultSettings
-from wellhitch.stand_ins.town import Town
-from wellhitch.stand_ins.troubles import TABLE
+from wellhitch.stand_ins.faults import FAULT_INJECTORS
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk import frames
 
 INJECT_FROM_S = 4.0  # of virtual time: the connections are up, and callers have called for one second
@@ -53,7 +53,7 @@
         if fault == "hook raises":
             extra_settings = {"hooks": {"a": "on arrive { return {favour: 1 / length([])} }"}}
         self.day: Day = day(rate=12, length="3s", tail="12s", **settings, **extra_settings, **over)
-        self.town: Town
+        self.simulation: SimulatedFleet
         self.fleet: InProcess
         self.injected = False
         self.raise_in_decision = False
@@ -62,16 +62,16 @@
     # -- detecting the stage --
 
     def stage_reached(self, switch: Switch, stage: str) -> None:
-        town = self.town
+        simulation = self.simulation
         if (
             self.injected
             or stage != self.stage
             or switch.number != self.number
-            or town.loop.time() < INJECT_FROM_S
+            or simulation.loop.time() < INJECT_FROM_S
         ):
             return
         self.injected = True
-        town.loop.call_soon(FAULTS[self.fault], self)
+        simulation.loop.call_soon(FAULTS[self.fault], self)
 
     def make_switch(self, *arguments: Any) -> Switch:
         injection = self
@@ -134,7 +134,7 @@
 
     @property
     def peer_host(self) -> str:
-        return f"callers-{self.number}" if self.office is None else self.town.host_of(self.office)
+        return f"callers-{self.number}" if self.office is None else self.simulation.host_of(self.office)
 
     @property
     def net(self) -> EmulatedNetwork:
@@ -146,11 +146,11 @@
         return self.fleet.daemons[self.number].switch
 
     def later(self, seconds: float, callback: Callable[..., object], *args: Any) -> None:
-        self.town.loop.call_later(seconds, callback, *args)
+        self.simulation.loop.call_later(seconds, callback, *args)
 
     def inject(self, kind: str, seconds: float, on: int, how: str = "") -> None:
         settings = FaultSettings(kind, "0s", f"{round(seconds * 1000)}ms", [on], 1.0, how=how)
-        undo = TABLE[kind](self.town, settings)
+        undo = FAULT_INJECTORS[kind](self.simulation, settings)
         if undo:
             self.later(seconds, undo)
 
@@ -161,8 +161,8 @@
 
     # -- the day --
 
-    def prepare(self, town: Town, fleet: InProcess) -> None:
-        self.town, self.fleet = town, fleet
+    def prepare(self, simulation: SimulatedFleet, fleet: InProcess) -> None:
+        self.simulation, self.fleet = simulation, fleet
         status = fleet.status
 
         def status_after_check(number: int) -> dict[str, Any] | None:
@@ -171,7 +171,7 @@
 
         fleet.status = status_after_check  # type: ignore[method-assign]
         if self.stage == "shutdown":
-            town.loop.call_later(INJECT_FROM_S, self.shut_down)
+            simulation.loop.call_later(INJECT_FROM_S, self.shut_down)
 
     def shut_down(self) -> None:
         self.fleet.daemons[0].stop(2_000_000, lambda: None)
@@ -195,7 +195,7 @@
 
     def timers(self, switch: Switch) -> Iterator[str]:
         """Pending timers of dials."""
-        for handle in self.town.loop._scheduled:  # type: ignore[attr-defined]
+        for handle in self.simulation.loop._scheduled:  # type: ignore[attr-defined]
             for callback in handle._args[1] if not handle._cancelled and len(handle._args or ()) == 3 else ():
                 name = getattr(callback, "__qualname__", "")
                 if (
@@ -276,7 +276,7 @@
 
 def restart_other_end(injection: FaultInjection) -> None:
     if injection.office is None:
-        channel = injection.town.callers[injection.number].link.current
+        channel = injection.simulation.callers[injection.number].link.current
         assert channel
         channel.fail("restarts", notify_peer=False)
     else:
@@ -331,7 +331,7 @@
     "own process killed": lambda injection: injection.inject("server_killed", 1.0, injection.number),
     "disk full": fill_disk,
     "disk damaged": damage_disk,
-    "outdated list": lambda injection: injection.town.register.restart(3),
+    "outdated list": lambda injection: injection.simulation.register.restart(3),
     "register unreachable": cut_register,
     "decision raises": lambda injection: setattr(injection, "raise_in_decision", True),
     "hook raises": lambda injection: None,  # raises at each dialogue of the day
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,7 +11,7 @@
 from wellhitch.server.switch import Switch
 from wellhitch.settings import checked
 from wellhitch.settings.day import Day, check
-from wellhitch.stand_ins.town import Town
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel
 
@@ -81,7 +81,7 @@
     day: Day,
     make_switch: Callable[..., Switch] = Switch,
     clocks: dict[int, float] | None = None,
-    prepare: Callable[[Town, InProcess], None] | None = None,
+    prepare: Callable[[SimulatedFleet, InProcess], None] | None = None,
 ) -> play.Played:
     """Run a day in virtual time, optionally with other call servers, with clocks that differ, or after `prepare`."""
     loop = VirtualLoop()
@@ -91,10 +91,10 @@
         fleet = InProcess(
             loop, day, addresses, net, play.quiet_log, make_switch=make_switch, clocks=clocks or {}
         )
-        town = Town(loop, day, net.at, addresses, fleet, play.VirtualWire(net))
+        simulation = SimulatedFleet(loop, day, net.at, addresses, fleet, play.VirtualWire(net))
         if prepare:
-            prepare(town, fleet)
-        return play._run(loop, day, town, fleet, None, None, 0.0, loop.advance)
+            prepare(simulation, fleet)
+        return play._run(loop, day, simulation, fleet, None, None, 0.0, loop.advance)
     finally:
         loop.close()
 
