--- a/tests/test_hooks_tools.py
+++ b/tests/test_hooks_tools.py
@@ -55,7 +55,7 @@
         tmp_path, a="on arrive { let x = 1 / 0 }", b='on arrive { return {use_case: "none such"} }'
     )
     text = invoke_hooks("explain", where)[1]
-    assert "a.hook:1:13: fails: division by zero" in text and "its answer is not taken" in text
+    assert "a.hook:1:13: fails: division by zero" in text and "b.hook: invalid result: " in text
     assert invoke_hooks("explain", SAMPLES, "--call", '{"use": 1}') == (2, "--call: no field 'use'; known are called, "
         "destination, id, left, redialled, tenant, use_case, width\n")  # fmt: skip
     assert (
--- a/tests/test_ledger_tools.py
+++ b/tests/test_ledger_tools.py
@@ -82,7 +82,7 @@
     # Two of north: 0.10 + 0.10 + 15 s at 0.001; one of south: 0.10 + 30 s.
     assert (
         said.exit_code == 0
-        and "whole: 0.35 BRL" in said.output
+        and "total: 0.35 BRL" in said.output
         and "0.22" in said.output
         and "0.13" in said.output
     )
@@ -112,7 +112,7 @@
     ("words", "code", "why"),
     [
         (["show", "SHEET", "--period", "2026-13"], 2, "period '2026-13': expected a month such as 2026-12"),
-        (["show", "SHEET", "--as-of", "soon"], 2, "--as-of: 'soon': a day such as"),
+        (["show", "SHEET", "--as-of", "soon"], 2, "--as-of: 'soon': must be a day such as"),
         (["show", "none.jsonnet"], 2, "no such file"),
         (["rate", "SHEET", "TARIFF", "--period", "x"], 2, "period 'x'"),
         (["close", "SHEET", "2026-12"], 2, "doors.operators = '127.0.0.1:1'"),
@@ -175,4 +175,4 @@
     said = told("accounting", tmp_path / "way", "--key", key, "--once")
     assert "1 files booked" in said.output and said.exit_code == 0
     for name in ("\u00b2-1.wh", "1-1.wh", "2-1.wh"):
-        assert f"{name}: put aside" in said.output
+        assert f"{name}: quarantined" in said.output
--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -1,4 +1,4 @@
-"""`wellhitch hooks`: tools for those who write hooks."""
+"""`wellhitch hooks`: tools for authors of hooks."""
 
 import re
 import sys
@@ -38,111 +38,109 @@
 
 @click.group()
 def hooks() -> None:
-    """Write, test and try hooks. A FOLDER holds files named *.hook; their order by name is their standing.
+    """Check, test and run hooks. FOLDER contains files named *.hook, which run in the order of their names.
 
     \b
-    wellhitch hooks check hooks/            what is wrong, with line, column and a hint
-    wellhitch hooks test hooks/             the tests beside the hooks
+    wellhitch hooks check hooks/            list the errors, with line, column and a hint
+    wellhitch hooks test hooks/             run the tests in the hook files
     wellhitch hooks explain hooks/ --call '{"use_case": "card-lock"}'
     wellhitch hooks run hooks/ --day days/bad.jsonnet
     """
 
 
-def texts_of(folder: Path) -> dict[str, str]:
-    """All hook files of a folder. Raises InvalidSettings."""
+def read_hook_files(folder: Path) -> dict[str, str]:
+    """Return the texts of all hook files in a folder by name. Raises InvalidSettings."""
     if not folder.is_dir():
         raise InvalidSettings(str(folder), ["no such folder"])
     files = sorted(folder.glob("*.hook"))
     if not files:
-        raise InvalidSettings(str(folder), ["no files *.hook in it"])
+        raise InvalidSettings(str(folder), ["contains no files named *.hook"])
     try:
         return {file.name: read_file(file, 4 * MAX_SOURCE_CHARS).decode() for file in files}
-    except (OSError, UnicodeDecodeError) as fault:
-        raise InvalidSettings(str(folder), [str(fault)]) from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise InvalidSettings(str(folder), [str(error)]) from None
 
 
-def loaded(folder: Path) -> Version:
-    """A folder's version; what is wrong is told and ends the command with 1."""
+def load_hooks(folder: Path) -> Version:
+    """Load the hooks of a folder. Prints any errors and exits with 1."""
     with exit_on_invalid_settings():
-        texts = texts_of(folder)
+        texts = read_hook_files(folder)
     try:
         return load_version(texts, Parser())
-    except InvalidHooks as bad:
-        click.echo(str(bad), err=True)
+    except InvalidHooks as error:
+        click.echo(str(error), err=True)
         sys.exit(1)
 
 
 @hooks.command()
 @FOLDER
 def check(folder: Path) -> None:
-    """Tell what is wrong with the files of FOLDER, without running them.
+    """List the errors in the files of FOLDER, without running them.
 
     \b
     Example: wellhitch hooks check hooks/
     """
     with exit_on_invalid_settings():
-        texts = texts_of(folder)
-    parser, wrong = Parser(), 0
+        texts = read_hook_files(folder)
+    parser, error_count = Parser(), 0
     for name, text in texts.items():
         try:
-            faults = check_file(parser.parse(text, name))
-        except InvalidHooks as bad:
-            faults = bad.diagnostics
-        wrong += len(faults)
-        for fault in faults:
-            click.echo(str(fault), err=True)
-    if wrong:
+            diagnostics = check_file(parser.parse(text, name))
+        except InvalidHooks as error:
+            diagnostics = error.diagnostics
+        error_count += len(diagnostics)
+        for diagnostic in diagnostics:
+            click.echo(str(diagnostic), err=True)
+    if error_count:
         sys.exit(1)
-    click.echo(f"{len(texts)} files, without faults")
+    click.echo(f"{len(texts)} files, without errors")
 
 
 @hooks.command()
 @FOLDER
 def test(folder: Path) -> None:
-    """Run the tests that stand beside the hooks of FOLDER.
+    """Run the tests in the hook files of FOLDER.
 
     \b
     Example: wellhitch hooks test hooks/
     """
     with exit_on_invalid_settings():
-        texts = texts_of(folder)
+        texts = read_hook_files(folder)
     parser, passed, failed = Parser(), 0, 0
     for name, text in texts.items():
         try:
             file = parser.parse(text, name)
-            wrong = check_file(file)
-            if not wrong:
-                wrong = run_tests(compile_file(file, Budget(LOAD_BUDGET, LOAD_BUDGET)))
-                passed += len(file.tests) - len(wrong)
-        except InvalidHooks as bad:
-            wrong = bad.diagnostics
-        except HookError as fault:
-            click.echo(f"{name}:{fault.position[0]}:{fault.position[1]}: {fault.text}", err=True)
+            diagnostics = check_file(file)
+            if not diagnostics:
+                diagnostics = run_tests(compile_file(file, Budget(LOAD_BUDGET, LOAD_BUDGET)))
+                passed += len(file.tests) - len(diagnostics)
+        except InvalidHooks as error:
+            diagnostics = error.diagnostics
+        except HookError as error:
+            click.echo(f"{name}:{error.position[0]}:{error.position[1]}: {error.text}", err=True)
             failed += 1
             continue
-        failed += len(wrong)
-        for one in wrong:
-            click.echo(str(one), err=True)
+        failed += len(diagnostics)
+        for diagnostic in diagnostics:
+            click.echo(str(diagnostic), err=True)
     click.echo(f"{passed} passed, {failed} failed")
     sys.exit(1 if failed else 0)
 
 
 @hooks.command("format")
 @FOLDER
-@click.option(
-    "--check", "only_check", is_flag=True, help="change nothing; exit code 1 where a file would change"
-)
+@click.option("--check", "only_check", is_flag=True, help="change no file; exit with 1 if one would change")
 def format_files(folder: Path, only_check: bool) -> None:
-    """Lay the files of FOLDER out: two spaces a block; comments stay.
+    """Format the files of FOLDER with two spaces per block. Comments are kept.
 
     \b
     Example: wellhitch hooks format hooks/
     """
     with exit_on_invalid_settings():
-        texts = texts_of(folder)
+        texts = read_hook_files(folder)
     changed = [name for name, text in texts.items() if format_source(text) != text]
     for name in changed:
-        click.echo(f"{name}: {'would be ' if only_check else ''}laid out anew")
+        click.echo(f"{name}: {'would be ' if only_check else ''}reformatted")
         if not only_check:
             (folder / name).write_text(format_source(texts[name]), encoding="utf-8")
     sys.exit(1 if changed and only_check else 0)
@@ -151,88 +149,95 @@
 @hooks.command()
 @FOLDER
 @click.option(
-    "--call", "call_json", default="{}", help="fields of the call, as JSON; what is left out is usual"
+    "--call", "call_json", default="{}", help="fields of the call, as JSON; others get usual values"
 )
 @click.option("--hour", type=click.IntRange(0, 23), default=12, show_default=True)
 def explain(folder: Path, call_json: str, hour: int) -> None:
-    """Tell what each hook of FOLDER says of one dialogue, and what it costs.
+    """Show the result of each hook of FOLDER for one dialogue, and its cost in steps.
 
     \b
     Example: wellhitch hooks explain hooks/ --call '{"use_case": "card-lock"}'
     """
-    version = loaded(folder)
-    usual = {"id": 1, "use_case": "balance-check", "destination": 1, "called": "0800123", "left": 3_000_000}
+    version = load_hooks(folder)
+    defaults = {
+        "id": 1,
+        "use_case": "balance-check",
+        "destination": 1,
+        "called": "0800123",
+        "left": 3_000_000,
+    }
     try:
         given = msgspec.json.decode(call_json.encode(), type=dict[str, object])
         known = set(frames.Call.__struct_fields__)
         if unknown := sorted(set(given) - known):
             raise msgspec.ValidationError(f"no field {unknown[0]!r}; known are {', '.join(sorted(known))}")
-        fields = [{**usual, **given}.get(name, default) for name, default in _call_fields()]
-        made = msgspec.convert(["Call", *fields], frames.Call)
-    except msgspec.MsgspecError as fault:
-        at = re.search(r"\$\[(\d+)\]", str(fault))
-        name = f"{frames.Call.__struct_fields__[int(at[1]) - 1]}: " if at else ""
-        click.echo(f"--call: {name}{str(fault).partition(' - at')[0]}", err=True)
+        fields = [{**defaults, **given}.get(name, default) for name, default in _call_fields()]
+        call = msgspec.convert(["Call", *fields], frames.Call)
+    except msgspec.MsgspecError as error:
+        position = re.search(r"\$\[(\d+)\]", str(error))
+        name = f"{frames.Call.__struct_fields__[int(position[1]) - 1]}: " if position else ""
+        click.echo(f"--call: {name}{str(error).partition(' - at')[0]}", err=True)
         sys.exit(2)
-    facts = facts_of(made, 0, hour * 3600 * 1_000_000)
+    facts = facts_of(call, 0, hour * 3600 * 1_000_000)
     inputs = {name: to_value(facts[name], wanted) for name, wanted in POINTS["arrive"].inputs.items()}
-    use_cases = frozenset({made.use_case, "balance-check", "card-lock", "loan-simulation"})
+    use_cases = frozenset({call.use_case, "balance-check", "card-lock", "loan-simulation"})
     for program in version.programs:
         if "arrive" not in program.hooks:
             continue
         budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
         try:
             value = program.run("arrive", inputs, budget)
-            said = shown(parse_result("arrive", value, use_cases))
+            result = shown(parse_result("arrive", value, use_cases))
             click.echo(
-                f"{program.file.name}: {said}  (returned {to_text(value, Budget())}; {MAX_STEPS - budget.steps} steps)"
+                f"{program.file.name}: {result}  "
+                f"(returned {to_text(value, Budget())}; {MAX_STEPS - budget.steps} steps)"
             )
-        except HookError as fault:
-            click.echo(f"{program.file.name}:{fault.position[0]}:{fault.position[1]}: fails: {fault.text}")
-        except InvalidHookResult as bad:
-            click.echo(f"{program.file.name}: its answer is not taken: {bad}")
+        except HookError as error:
+            click.echo(f"{program.file.name}:{error.position[0]}:{error.position[1]}: fails: {error.text}")
+        except InvalidHookResult as error:
+            click.echo(f"{program.file.name}: invalid result: {error}")
 
 
 def _call_fields() -> list[tuple[str, object]]:
-    """Fields of a Call with what they are where nothing is given."""
+    """Return the fields of a Call with their defaults, None where there is no default."""
     return [
-        (one.name, None if one.default is msgspec.NODEFAULT else one.default)
-        for one in msgspec.structs.fields(frames.Call)
+        (field.name, None if field.default is msgspec.NODEFAULT else field.default)
+        for field in msgspec.structs.fields(frames.Call)
     ]
 
 
 @hooks.command("run")
 @FOLDER
-@click.option("--capture", type=click.Path(path_type=Path), help="a folder that `day play --capture` wrote")
+@click.option("--capture", type=click.Path(path_type=Path), help="a folder written by `day play --capture`")
 @click.option(
     "--day",
     "day_file",
     type=click.Path(path_type=Path),
-    help="a day to play in virtual time, with and without",
+    help="a day to play in virtual time, with the hooks and without",
 )
 def run_hooks(folder: Path, capture: Path | None, day_file: Path | None) -> None:
-    """Play a captured day's arrivals through the hooks of FOLDER, or a whole day with them and without.
+    """Run the hooks of FOLDER on the arrivals of a captured day, or play a day with them and without.
 
     \b
     Example: wellhitch hooks run hooks/ --day days/bad.jsonnet
     """
     if (capture is None) == (day_file is None):
-        raise click.UsageError("either --capture or --day")
-    version = loaded(folder)
+        raise click.UsageError("give either --capture or --day")
+    version = load_hooks(folder)
     if capture is not None:
         click.echo(page(run(version, _captures(capture))))
         return
     assert day_file is not None
     with exit_on_invalid_settings():
-        made = read_day(day_file)
-        texts = texts_of(folder)
-    without = play_virtual(msgspec.structs.replace(made, hooks={}))
-    within = play_virtual(msgspec.structs.replace(made, hooks=texts))
-    click.echo(page(run(version, without.captures)))
-    click.echo("\nwithout hooks: " + service_page(without.service))
-    click.echo("\nwith hooks: " + service_page(within.service))
-    click.echo(verdict_page(within.verdict))
-    sys.exit(1 if within.verdict.breaks else 0)
+        day = read_day(day_file)
+        texts = read_hook_files(folder)
+    without_hooks = play_virtual(msgspec.structs.replace(day, hooks={}))
+    with_hooks = play_virtual(msgspec.structs.replace(day, hooks=texts))
+    click.echo(page(run(version, without_hooks.captures)))
+    click.echo("\nwithout hooks: " + service_page(without_hooks.service))
+    click.echo("\nwith hooks: " + service_page(with_hooks.service))
+    click.echo(verdict_page(with_hooks.verdict))
+    sys.exit(1 if with_hooks.verdict.breaks else 0)
 
 
 @hooks.command()
@@ -240,18 +245,18 @@
 @click.argument("other", type=click.Path(path_type=Path))
 @click.option("--capture", type=click.Path(path_type=Path), required=True, help="a folder of captures")
 def shadow(folder: Path, other: Path, capture: Path) -> None:
-    """Tell how the hooks of OTHER differ from those of FOLDER on a captured day's arrivals.
+    """Show how the results of the hooks of OTHER and FOLDER differ on the arrivals of a captured day.
 
     \b
     Example: wellhitch hooks shadow hooks/ new-hooks/ --capture /tmp/bad-day
     """
     captures = _captures(capture)
-    click.echo(differences(run(loaded(folder), captures), run(loaded(other), captures)))
+    click.echo(differences(run(load_hooks(folder), captures), run(load_hooks(other), captures)))
 
 
 def _captures(folder: Path) -> list[Capture]:
     try:
         return read_folder(folder)
-    except BadCapture as fault:
-        click.echo(f"cannot be read: {fault}", err=True)
+    except BadCapture as error:
+        click.echo(f"cannot be read: {error}", err=True)
         sys.exit(2)
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -1,4 +1,4 @@
-"""`wellhitch ledger`: what was counted, whether it is whole, what it costs, and the way to the accounting side."""
+"""`wellhitch ledger`: shows, verifies, corrects, rates and exports the ledger of a call server."""
 
 import csv
 import io
@@ -33,16 +33,16 @@
 from wellhitch.store.files import read_file
 from wellhitch.trunk.capture import BadCapture
 
-MOST_UNRATED = 10  # dialogues without a price that are named; the rest is counted
+MAX_LISTED = 10  # dialogues or faults that are listed one by one; the others are only counted
 
 SHEET = click.argument("sheet", type=click.Path(path_type=Path))
 FORMAT = click.option("--format", "form", type=click.Choice(["table", "json", "csv"]), default="table")
-PERIOD = click.option("--period", default="", help="a month, such as 2026-12; all time where left out")
+PERIOD = click.option("--period", default="", help="a month such as 2026-12; default: all time")
 
 
 @click.group()
 def ledger() -> None:
-    """Show, verify, close, correct, rate and export what was counted. SHEET is the call server's.
+    """Show, verify, close, correct, rate and export a ledger. SHEET is the settings file of its call server.
 
     \b
     wellhitch ledger show fleet/exchange-3.jsonnet --period 2026-12
@@ -53,122 +53,131 @@
 
 
 def _read(sheet: Path) -> tuple[ServerSettings, reader.LedgerContents]:
-    made = read_server_settings(sheet)
-    if made.ledger is None:
-        raise InvalidSettings(str(sheet), ["ledger: this call server keeps none"])
+    settings = read_server_settings(sheet)
+    if settings.ledger is None:
+        raise InvalidSettings(str(sheet), ["ledger: not set, so this call server has no ledger"])
     try:
-        return made, reader.read(sheet.parent / made.ledger.folder)
-    except StoreError as fault:
-        raise InvalidSettings(str(sheet), [f"ledger.folder: {fault}"]) from None
+        return settings, reader.read(sheet.parent / settings.ledger.folder)
+    except StoreError as error:
+        raise InvalidSettings(str(sheet), [f"ledger.folder: {error}"]) from None
 
 
-def _shown(rows: list[dict[str, Any]], form: str) -> str:
-    """Rows as a table for people, JSON or CSV for programs."""
+def _format(rows: list[dict[str, Any]], form: str) -> str:
+    """Format rows as a table, as JSON or as CSV."""
     if form == "json":
         return msgspec.json.format(msgspec.json.encode(rows), indent=2).decode()
     if not rows:
         return "nothing" if form == "table" else ""
     names = list(rows[0])
     if form == "csv":
-        out = io.StringIO()
-        writer = csv.DictWriter(out, names)
+        text = io.StringIO()
+        writer = csv.DictWriter(text, names)
         writer.writeheader()
         writer.writerows(rows)
-        return out.getvalue().rstrip()
+        return text.getvalue().rstrip()
     cells = [names, *([str(row[name]) for name in names] for row in rows)]
-    widths = [max(len(line[at]) for line in cells) for at in range(len(names))]
+    widths = [max(len(line[column]) for line in cells) for column in range(len(names))]
     return "\n".join(
-        "  ".join(cell.ljust(widths[at]) for at, cell in enumerate(line)).rstrip() for line in cells
+        "  ".join(cell.ljust(widths[column]) for column, cell in enumerate(line)).rstrip() for line in cells
     )
 
 
-def _at(wall: int) -> str:
-    return datetime.fromtimestamp(wall / 1e6, UTC).strftime("%Y-%m-%d %H:%M:%S")
+def _format_time(wall_us: int) -> str:
+    return datetime.fromtimestamp(wall_us / 1e6, UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
 def _as_of(text: str) -> int | None:
-    """The end of a day, as a wall time. Raises InvalidSettings."""
+    """Return the end of a day as wall-clock microseconds, or None without a day. Raises InvalidSettings."""
     if not text:
         return None
     try:
-        after = date.fromisoformat(text) + timedelta(days=1)
+        next_day = date.fromisoformat(text) + timedelta(days=1)
     except ValueError:
-        raise InvalidSettings("--as-of", [f"{text!r}: a day such as 2026-12-31"]) from None
-    return int(datetime(after.year, after.month, after.day, tzinfo=UTC).timestamp()) * 1_000_000
+        raise InvalidSettings("--as-of", [f"{text!r}: must be a day such as 2026-12-31"]) from None
+    return int(datetime(next_day.year, next_day.month, next_day.day, tzinfo=UTC).timestamp()) * 1_000_000
 
 
 @ledger.command()
 @SHEET
 @PERIOD
 @FORMAT
-@click.option("--as-of", default="", help="as was known at the end of a day")
-@click.option("--called", default="", help="only dialogues to this number, as far as its key is kept")
-@click.option("--disputes", is_flag=True, help="only those of which the ends saw different things")
+@click.option("--as-of", default="", help="only what was known at the end of this day")
+@click.option("--called", default="", help="only dialogues to this number, as far as the keys for it exist")
+@click.option(
+    "--disputes", is_flag=True, help="only dialogues that origin and destination reported differently"
+)
 def show(sheet: Path, period: str, form: str, as_of: str, called: str, disputes: bool) -> None:
-    """Settled dialogues of this call server, with what is lacking and the state of each period."""
+    """Show the settled dialogues of this call server, the lost entries and the state of each period."""
     with exit_on_invalid_settings():
-        made, found = _read(sheet)
+        settings, contents = _read(sheet)
         until = _as_of(as_of)
-        keys = read_number_keys(made, sheet)
+        keys = read_number_keys(settings, sheet)
         try:
-            settled = found.settled(period, until)
-        except ValueError as fault:
-            raise InvalidSettings("--period", [str(fault)]) from None
+            settled = contents.settled(period, until)
+        except ValueError as error:
+            raise InvalidSettings("--period", [str(error)]) from None
     if called:
-        names = {
+        dialogue_ids = {
             (entry.origin, entry.dialogue)
-            for _, _, entry in found.rows
+            for _, _, entry in contents.rows
             if isinstance(entry, Answered) and keys.matches(called, entry.called_hash, entry.number_key)
         }
-        settled = [one for one in settled if one.dialogue_id in names]
+        settled = [dialogue for dialogue in settled if dialogue.dialogue_id in dialogue_ids]
     rows = [
         {
-            "dialogue": f"{one.dialogue_id[0]}/{one.dialogue_id[1]}",
-            "state": one.state,
-            "tenant": one.tenant,
-            "use_case": one.traffic_class,
-            "to": one.destination,
-            "ended": _at(one.ended),
-            "billed_us": one.billed,
-            "corrected_us": one.corrected,
-            "tags": " ".join(one.tags),
-            "dispute": one.dispute,
+            "dialogue": f"{dialogue.dialogue_id[0]}/{dialogue.dialogue_id[1]}",
+            "state": dialogue.state,
+            "tenant": dialogue.tenant,
+            "use_case": dialogue.traffic_class,
+            "to": dialogue.destination,
+            "ended": _format_time(dialogue.ended),
+            "billed_us": dialogue.billed,
+            "corrected_us": dialogue.corrected,
+            "tags": " ".join(dialogue.tags),
+            "dispute": dialogue.dispute,
         }
-        for one in settled
-        if one.dispute or not disputes
+        for dialogue in settled
+        if dialogue.dispute or not disputes
     ]
-    click.echo(_shown(rows, form))
+    click.echo(_format(rows, form))
     if form == "table":
-        for chain, lack in found.lost_entries():
+        for chain, lost in contents.lost_entries():
             click.echo(
-                f"lacking: {lack.count} entries of chain {chain}, {_at(lack.first)} to {_at(lack.last)}"
+                f"lost: {lost.count} entries of chain {chain}, "
+                f"{_format_time(lost.first)} to {_format_time(lost.last)}"
+            )
+        for name, period_state in sorted(contents.periods.items()):
+            state = (
+                "closed"
+                if period_state.closed is not None
+                else "closing"
+                if period_state.statement
+                else "open"
             )
-        for name, kept in sorted(found.periods.items()):
-            state = "closed" if kept.closed is not None else "closing" if kept.statement else "open"
-            click.echo(f"period {name}: {state}, {len(kept.closed or ())} instances")
+            click.echo(f"period {name}: {state}, {len(period_state.closed or ())} instances")
 
 
 @ledger.command()
 @SHEET
 def verify(sheet: Path) -> None:
-    """Read every record and hold each chain together; exit 1 and each fault named where it is not whole."""
+    """Read every record and verify each chain. Lists each fault; the exit code is 1 if there is one."""
     with exit_on_invalid_settings():
-        _, found = _read(sheet)
-    for wrong in found.faults:
-        click.echo(wrong)
-    chains = {name for name, _, _ in found.rows if name.number == found.number}
-    click.echo(f"{len(found.rows)} rows, {len(chains)} chains of its own, {len(found.faults)} faults")
-    sys.exit(1 if found.faults else 0)
+        _, contents = _read(sheet)
+    for fault in contents.faults:
+        click.echo(fault)
+    chains = {name for name, _, _ in contents.rows if name.number == contents.number}
+    click.echo(f"{len(contents.rows)} rows, {len(chains)} own chains, {len(contents.faults)} faults")
+    sys.exit(1 if contents.faults else 0)
 
 
 def _tariff(path: Path) -> Tariff:
     tariff = read_settings(evaluate(path), Tariff, str(path))
-    if faults := tariff_errors(tariff):
-        raise InvalidSettings(str(path), faults)
+    if errors := tariff_errors(tariff):
+        raise InvalidSettings(str(path), errors)
     return tariff
 
 
-def _money(cents: int) -> str:
+def _format_money(cents: int) -> str:
     return f"{'-' if cents < 0 else ''}{abs(cents) // 100}.{abs(cents) % 100:02}"
 
 
@@ -177,72 +186,76 @@
 @click.argument("tariff", type=click.Path(path_type=Path))
 @PERIOD
 @FORMAT
-@click.option("--as-of", default="", help="as was known at the end of a day")
-@click.option("--out", type=click.Path(path_type=Path), help="also write a page with charts")
+@click.option("--as-of", default="", help="only what was known at the end of this day")
+@click.option("--out", type=click.Path(path_type=Path), help="also write an HTML page with charts")
 def rate(sheet: Path, tariff: Path, period: str, form: str, as_of: str, out: Path | None) -> None:
-    """What each tenant owes by a TARIFF: lines that add up to the cent. Exit 1 where a dialogue has no price."""
+    """Rate dialogues by a TARIFF: what each tenant owes, in lines that add up to the cent. The exit code is 1 if a
+    dialogue has no price."""
     with exit_on_invalid_settings():
-        _, found = _read(sheet)
+        _, contents = _read(sheet)
         prices = _tariff(tariff)
         try:
-            settled = found.settled(period, _as_of(as_of))
-        except ValueError as fault:
-            raise InvalidSettings("--period", [str(fault)]) from None
+            settled = contents.settled(period, _as_of(as_of))
+        except ValueError as error:
+            raise InvalidSettings("--period", [str(error)]) from None
     lines, unrated = invoice(prices, settled)
-    cents = to_cents({f"{one.tenant}\0{one.traffic_class}": one.micros for one in lines})
+    cents = to_cents({f"{line.tenant}\0{line.traffic_class}": line.micros for line in lines})
     rows = [
         {
-            "tenant": one.tenant,
-            "use_case": one.traffic_class,
-            "dialogues": one.dialogues,
-            "seconds": f"{one.duration_us / 1e6:.3f}",
-            prices.currency: _money(cents[f"{one.tenant}\0{one.traffic_class}"]),
+            "tenant": line.tenant,
+            "use_case": line.traffic_class,
+            "dialogues": line.dialogues,
+            "seconds": f"{line.duration_us / 1e6:.3f}",
+            prices.currency: _format_money(cents[f"{line.tenant}\0{line.traffic_class}"]),
         }
-        for one in lines
+        for line in lines
     ]
-    click.echo(_shown(rows, form))
+    click.echo(_format(rows, form))
     if form == "table":
-        click.echo(f"whole: {_money(sum(cents.values()))} {prices.currency}")
-    for word in unrated[:MOST_UNRATED]:
-        click.echo(word, err=True)
-    if len(unrated) > MOST_UNRATED:
-        click.echo(f"and {len(unrated) - MOST_UNRATED} more without a price", err=True)
+        click.echo(f"total: {_format_money(sum(cents.values()))} {prices.currency}")
+    for message in unrated[:MAX_LISTED]:
+        click.echo(message, err=True)
+    if len(unrated) > MAX_LISTED:
+        click.echo(f"and {len(unrated) - MAX_LISTED} more without a price", err=True)
     if out:
         out.write_text(page(period or "all time", prices.currency, lines, cents, settled), encoding="utf-8")
         click.echo(f"written: {out}", err=True)
     sys.exit(1 if unrated else 0)
 
 
-def _ask(sheet: Path, what: str) -> str:
-    """Ask the daemon at its operators' door. Raises InvalidSettings."""
-    made = read_server_settings(sheet)
-    if not made.doors.operators:
-        raise InvalidSettings(str(sheet), ["doors.operators = '': the daemon is asked there"])
-    host, port = split_address(made.doors.operators)
+def _send_command(sheet: Path, command: str) -> str:
+    """Send a ledger command to the daemon at its operators' address, and return the answer. Raises InvalidSettings."""
+    settings = read_server_settings(sheet)
+    if not settings.doors.operators:
+        raise InvalidSettings(str(sheet), ["doors.operators = '': required to reach the daemon"])
+    host, port = split_address(settings.doors.operators)
     try:
-        with socket.create_connection((host, port), timeout=5) as line:
-            line.sendall(f"ledger {what}\n".encode())
-            return b"".join(iter(lambda: line.recv(65536), b"")).decode().rstrip()
-    except OSError as fault:
-        raise InvalidSettings(str(sheet), [f"doors.operators = {made.doors.operators!r}: {fault}"]) from None
+        with socket.create_connection((host, port), timeout=5) as connection:
+            connection.sendall(f"ledger {command}\n".encode())
+            return b"".join(iter(lambda: connection.recv(65536), b"")).decode().rstrip()
+    except OSError as error:
+        raise InvalidSettings(
+            str(sheet), [f"doors.operators = {settings.doors.operators!r}: {error}"]
+        ) from None
 
 
-def _told(said: str) -> None:
-    click.echo(said)
-    sys.exit(1 if said.startswith(("not done", "no ledger")) else 0)
+def _print_answer(answer: str) -> None:
+    """Print the daemon's answer; exit with 1 if the command was not carried out."""
+    click.echo(answer)
+    sys.exit(1 if answer.startswith(("not done", "no ledger")) else 0)
 
 
 @ledger.command()
 @SHEET
 @click.argument("period")
 def close(sheet: Path, period: str) -> None:
-    """State a period early: the running daemon adds no more to it."""
+    """Close PERIOD early: the running daemon makes its statement and adds no more entries to it."""
     with exit_on_invalid_settings():
-        said = _ask(sheet, f"close {period}")
-    _told(said)
+        answer = _send_command(sheet, f"close {period}")
+    _print_answer(answer)
 
 
-def _quoted(text: str) -> str:
+def _quote(text: str) -> str:
     return "'" + text.replace("'", " ").replace("\n", " ") + "'"
 
 
@@ -253,78 +266,82 @@
 @click.option("--who", required=True)
 @click.option("--why", required=True)
 def correct(sheet: Path, dialogue: str, change: int, who: str, why: str) -> None:
-    """Correct what is billed of a DIALOGUE (ORIGIN/NUMBER) by CHANGE us; a credit is under nought."""
+    """Correct the billed time of a DIALOGUE (ORIGIN/NUMBER) by CHANGE microseconds; a credit is negative."""
     with exit_on_invalid_settings():
-        said = _ask(sheet, f"correct {dialogue} {change} {_quoted(who)} {_quoted(why)}")
-    _told(said)
+        answer = _send_command(sheet, f"correct {dialogue} {change} {_quote(who)} {_quote(why)}")
+    _print_answer(answer)
 
 
 @ledger.command()
 @SHEET
 def export(sheet: Path) -> None:
-    """How far the export of the running daemon is."""
-    _status(sheet, ("exported", "periods"))
+    """Show the progress of the export of the running daemon."""
+    _print_status(sheet, ("exported", "periods"))
 
 
 @ledger.command()
 @SHEET
 def reconcile(sheet: Path) -> None:
-    """How level the running daemon is with the others, and what of theirs differs."""
-    _status(sheet, ("state", "level_with", "periods", "counts"))
+    """Show how far the running daemon is reconciled with the others, and the differences."""
+    _print_status(sheet, ("state", "level_with", "periods", "counts"))
 
 
-def _status(sheet: Path, names: tuple[str, ...]) -> None:
+def _print_status(sheet: Path, names: tuple[str, ...]) -> None:
     with exit_on_invalid_settings():
-        said = _ask(sheet, "")
+        answer = _send_command(sheet, "")
     try:
-        plain = msgspec.json.decode(said.encode())
+        status = msgspec.json.decode(answer.encode())
     except msgspec.MsgspecError:
-        _told(said)
+        _print_answer(answer)
         return
     click.echo(
-        msgspec.json.format(msgspec.json.encode({name: plain[name] for name in names}), indent=2).decode()
+        msgspec.json.format(msgspec.json.encode({name: status[name] for name in names}), indent=2).decode()
     )
 
 
 @ledger.command()
 @click.argument("folder", type=click.Path(path_type=Path))
 def audit(folder: Path) -> None:
-    """Hold the ledgers of a day against its captures: FOLDER is that of `day play --processes --capture FOLDER`, of a
-    day with `ledger: true`. Exit 1 where a dialogue is billed otherwise than it stood."""
+    """Compare the ledgers of a day with its captures. FOLDER is that of `day play --processes --capture FOLDER`, of a
+    day with `ledger: true`. The exit code is 1 if a dialogue is billed for another time than it was established."""
     with exit_on_invalid_settings():
         try:
-            found = ledger_day.audit(folder)
-        except (BadCapture, StoreError) as fault:
-            raise InvalidSettings(str(folder), [str(fault)]) from None
-    for word in [*found.faults, *found.wrong, *found.lost][:MOST_UNRATED]:
-        click.echo(word)
+            result = ledger_day.audit(folder)
+        except (BadCapture, StoreError) as error:
+            raise InvalidSettings(str(folder), [str(error)]) from None
+    for message in [*result.faults, *result.wrong, *result.lost][:MAX_LISTED]:
+        click.echo(message)
     click.echo(
-        f"{found.stood} dialogues stood by the captures, {found.billed} are billed; {len(found.lost)} lost with "
-        f"{found.killed} killed processes, {len(found.wrong)} otherwise than they stood, {len(found.faults)} faults"
+        f"{result.stood} dialogues were established by the captures, {result.billed} are billed; "
+        f"{len(result.lost)} lost with {result.killed} killed processes, {len(result.wrong)} billed wrongly, "
+        f"{len(result.faults)} faults"
     )
-    sys.exit(1 if found.wrong or found.faults else 0)
+    sys.exit(1 if result.wrong or result.faults else 0)
 
 
 @ledger.command()
 @click.argument("folder", type=click.Path(path_type=Path))
 @click.option(
-    "--key", required=True, type=click.Path(path_type=Path), help="the file with the key of both sides"
+    "--key",
+    required=True,
+    type=click.Path(path_type=Path),
+    help="the file with the key that both sides share",
 )
-@click.option("--once", is_flag=True, help="take what lies there, then stop")
-@click.option("--loses", default=0.0, help="share of answers lost")
-@click.option("--halves", default=0.0, help="share of files of which half is taken")
+@click.option("--once", is_flag=True, help="process the present files, then stop")
+@click.option("--loses", default=0.0, help="share of answers to lose")
+@click.option("--halves", default=0.0, help="share of files of which only half is processed")
 def accounting(folder: Path, key: Path, once: bool, loses: float, halves: float) -> None:
-    """Play the accounting side on the export FOLDER: book each file once, in FOLDER/books. For trials."""
+    """Simulate the accounting system on the export FOLDER, for trials: book each file once, in FOLDER/books."""
     with exit_on_invalid_settings():
-        both = read_export_key(key)
+        shared_key = read_export_key(key)
         try:
             folder.mkdir(parents=True, exist_ok=True)
             engine = Engine(str(folder / "books"))
-        except (StoreError, OSError) as fault:
-            raise InvalidSettings(str(folder), [str(fault)]) from None
+        except (StoreError, OSError) as error:
+            raise InvalidSettings(str(folder), [str(error)]) from None
     (folder / "back").mkdir(exist_ok=True)
-    side = Accounting(engine, {}, Ills(loses, 0.0, 0.0, halves), random.Random(1))
-    count = 0
+    accounting_system = Accounting(engine, {}, Ills(loses, 0.0, 0.0, halves), random.Random(1))
+    receipts = 0
     while True:
         for path in sorted((folder / "out").glob("*-*.wh")):
             number = re.fullmatch("([0-9]{1,5})-[0-9]+[.]wh", path.name)
@@ -332,20 +349,22 @@
                 if not number:
                     raise OSError("not named INSTANCE-SEQUENCE.wh")
                 data = read_file(path)
-            except OSError as fault:
-                click.echo(f"{path}: put aside: {fault.strerror or fault}", err=True)
+            except OSError as error:
+                click.echo(f"{path}: quarantined: {error.strerror or error}", err=True)
                 quarantine(path)
                 continue
             instance = int(number[1])
-            side.keys[instance] = both
-            for said in side.hand_over(instance, data):
-                count += 1
-                write_atomically(folder / "back" / f"{instance}-{time.time_ns()}-{count:04}.wr", said)
+            accounting_system.keys[instance] = shared_key
+            for receipt in accounting_system.hand_over(instance, data):
+                receipts += 1
+                write_atomically(folder / "back" / f"{instance}-{time.time_ns()}-{receipts:04}.wr", receipt)
             path.unlink()
         if once:
             break
         time.sleep(0.5)
-    booked = side.booked()
-    total = sum(one.billed for one in booked.values())
-    click.echo(f"{side.counts['booked']} files booked; {len(booked)} dialogues, {total / 1e6:.3f} s in all")
+    booked = accounting_system.booked()
+    total = sum(dialogue.billed for dialogue in booked.values())
+    click.echo(
+        f"{accounting_system.counts['booked']} files booked; {len(booked)} dialogues, {total / 1e6:.3f} s in all"
+    )
     engine.close()
--- a/wellhitch/cli/main.py
+++ b/wellhitch/cli/main.py
@@ -26,7 +26,7 @@
     """A call router for trunk groups.
 
     \b
-    wellhitch check FILE.jsonnet     list every error in settings or a day
+    wellhitch check FILE.jsonnet     list every error in the settings of a call server or a day
     wellhitch serve FILE.jsonnet     run the call server of one exchange
     wellhitch platform               run a call server on the operators' platform, configured by LB_CONFIG
     wellhitch day play FILE.jsonnet  play a day on a simulated fleet and judge it
--- a/wellhitch/cli/measure.py
+++ b/wellhitch/cli/measure.py
@@ -1,4 +1,4 @@
-"""`wellhitch measure`: figures of this machine, each beside a baseline in the same run."""
+"""`wellhitch measure`: benchmarks on this machine, each with a baseline from the same run."""
 
 import tempfile
 
@@ -11,7 +11,7 @@
 
 @click.group()
 def measure() -> None:
-    """Measurements, each beside a baseline in the same run."""
+    """Benchmarks, each with a baseline from the same run."""
 
 
 @measure.command()
@@ -19,30 +19,31 @@
     "--seconds", type=float, default=4.0, show_default=True, help="of each measurement over loopback"
 )
 def hooks(seconds: float) -> None:
-    """What hooks cost, beside plain Python and beside no hooks.
+    """Measure the cost of hooks, compared with plain Python and with no hooks.
 
     \b
     Example: wellhitch measure hooks
     """
     for line in [*report(), *benches()]:
         click.echo(line)
-    # By turns, three times each: on a shared machine the minutes differ more than the two do.
-    kinds = {"no hooks": Measured(62), "a ten-line hook": Measured(62, hooks={"ten": TEN_LINES})}
-    turns = [{name: served.full(seconds).per_s for name, served in kinds.items()} for _ in range(3)]
-    for served in kinds.values():
+    # Alternating, three times each: on a shared machine the speed varies more over minutes than between the two.
+    servers = {"no hooks": Measured(62), "a ten-line hook": Measured(62, hooks={"ten": TEN_LINES})}
+    runs = [{name: served.full(seconds).per_s for name, served in servers.items()} for _ in range(3)]
+    for served in servers.values():
         served.close()
-    rates = {name: sorted(turn[name] for turn in turns)[1] for name in kinds}
+    rates = {name: sorted(run[name] for run in runs)[1] for name in servers}
     loops = Measured(62, hooks={"loops": "on arrive { let n = 0 while n >= 0 { n = n + 1 } }"})
     click.echo(
-        "set-up delay at 100 a second, with a hook that loops for ever at each dialogue until it is benched"
+        "set-up delay at 100 a second, with a hook that loops forever on each dialogue until it is disabled"
     )
-    for name, served in (("no hooks", Measured(62)), ("loops for ever", loops)):
-        d = served.steady(100, seconds)
+    for name, served in (("no hooks", Measured(62)), ("loops forever", loops)):
+        delays = served.steady(100, seconds)
         served.close()
         click.echo(
-            f"  {name:16} stood {d.stood}, median {d.median / 1000:.2f} ms, 99th {d.high / 1000:.2f} ms"
+            f"  {name:16} established {delays.stood}, "
+            f"median {delays.median / 1000:.2f} ms, 99th {delays.high / 1000:.2f} ms"
         )
-    share = sorted(turn["a ten-line hook"] / turn["no hooks"] for turn in turns)[1]
+    share = sorted(run["a ten-line hook"] / run["no hooks"] for run in runs)[1]
     click.echo("one call server process over loopback, 62 offices, dialogues a second")
     click.echo(
         "  "
@@ -52,80 +53,84 @@
 
 
 @measure.command()
-@click.option("--entries", type=int, default=200_000, show_default=True, help="on disk and to reconcile")
+@click.option(
+    "--entries", type=int, default=200_000, show_default=True, help="entries on disk and to reconcile"
+)
 @click.option(
     "--seconds", type=float, default=4.0, show_default=True, help="of each measurement over loopback"
 )
 def ledger(entries: int, seconds: float) -> None:
-    """The ledger: writing, recovery, verifying, and reconciling beside other ways; and what it costs a call server.
+    """Measure the ledger: writing, recovery, verification, reconciliation compared with other methods, and its cost for
+    a call server.
 
     \b
     Example: wellhitch measure ledger --entries 1000000
     """
     with tempfile.TemporaryDirectory(prefix="wellhitch-") as folder:
-        # By turns, three times each: on a shared machine the minutes differ more than the two do.
-        kinds = {"no ledger": Measured(62), "a ledger": Measured(62, ledger=folder)}
-        turns = [{name: served.full(seconds) for name, served in kinds.items()} for _ in range(3)]
-        busy = {name: served.steady(520, seconds) for name, served in kinds.items()}
-        for served in kinds.values():
+        # Alternating, three times each: on a shared machine the speed varies more over minutes than between the two.
+        servers = {"no ledger": Measured(62), "a ledger": Measured(62, ledger=folder)}
+        runs = [{name: served.full(seconds) for name, served in servers.items()} for _ in range(3)]
+        busy = {name: served.steady(520, seconds) for name, served in servers.items()}
+        for served in servers.values():
             served.close()
     click.echo("one call server process over loopback, 62 offices")
     for name, delays in busy.items():
-        rate = sorted(turn[name].per_s for turn in turns)[1]
+        rate = sorted(run[name].per_s for run in runs)[1]
         click.echo(
-            f"  {name:10} {rate:6.0f} dialogues a second at most; at 520 a second stood {delays.stood}, "
+            f"  {name:10} {rate:6.0f} dialogues a second at most; at 520 a second established {delays.stood}, "
             f"median {delays.median / 1000:.2f} ms, 99th {delays.high / 1000:.2f} ms"
         )
-    share = sorted(turn["a ledger"].per_s / turn["no ledger"].per_s for turn in turns)[1]
-    dear = sorted(
-        1e6
-        * (turn["a ledger"].core / turn["a ledger"].per_s - turn["no ledger"].core / turn["no ledger"].per_s)
-        for turn in turns
+    share = sorted(run["a ledger"].per_s / run["no ledger"].per_s for run in runs)[1]
+    cost_us = sorted(
+        1e6 * (run["a ledger"].core / run["a ledger"].per_s - run["no ledger"].core / run["no ledger"].per_s)
+        for run in runs
     )[1]
     click.echo(f"  median of ratios {share:.0%}")
-    click.echo(f"  {dear:.0f} us of processor a dialogue: {dear * 520 / 1e4:.1f}% of a core at 520 a second")
+    click.echo(
+        f"  {cost_us:.0f} us of processor a dialogue: {cost_us * 520 / 1e4:.1f}% of a core at 520 a second"
+    )
     measure_ledger.report(entries, click.echo)
 
 
-FLEETS = (26, 62, 200)
-RATES = (8.4, 100.0, 520.0)  # 8.4: 520 a second over 62 exchanges
+FLEET_SIZES = (26, 62, 200)
+RATES_PER_S = (8.4, 100.0, 520.0)  # 8.4 is 520 a second spread over 62 exchanges
 
 
 @measure.command()
 @click.option("--seconds", type=float, default=4.0, show_default=True, help="of each measurement")
 def server(seconds: float) -> None:
-    """One call server process over loopback, beside a bare relay and the decisions alone.
+    """Measure one call server process over loopback, compared with a bare relay and with the decisions alone.
 
     \b
     Example: wellhitch measure server --seconds 4
     """
     click.echo("dialogues a second of one process, set-up to final release, over loopback")
     click.echo("offices   relay     decide alone   both allow   call server   share   core used")
-    for offices in FLEETS:
+    for offices in FLEET_SIZES:
         relay = Measured(offices, relay=True)
-        bare = relay.full(seconds)
-        real = Measured(offices)
-        full = real.full(seconds)
-        alone = decide_alone(offices, full.per_s, 20_000)
-        both = 1 / (1 / bare.per_s + 1 / alone)
+        relay_rate = relay.full(seconds)
+        call_server = Measured(offices)
+        server_rate = call_server.full(seconds)
+        decisions_per_s = decide_alone(offices, server_rate.per_s, 20_000)
+        combined_per_s = 1 / (1 / relay_rate.per_s + 1 / decisions_per_s)
         click.echo(
-            f"{offices:7d} {bare.per_s:7.0f} {alone:16.0f} {both:12.0f} {full.per_s:13.0f}"
-            f" {full.per_s / both:7.2f} {full.core:11.2f}"
+            f"{offices:7d} {relay_rate.per_s:7.0f} {decisions_per_s:16.0f} {combined_per_s:12.0f}"
+            f" {server_rate.per_s:13.0f} {server_rate.per_s / combined_per_s:7.2f} {server_rate.core:11.2f}"
         )
         if offices == 62:
             click.echo("  set-up delay added, offices that answer at once, by rate")
-            for rate in RATES:
-                for name, what in (("relay", relay), ("call server", real)):
-                    d = what.steady(rate, max(seconds, 300 / rate))
+            for rate in RATES_PER_S:
+                for name, measured in (("relay", relay), ("call server", call_server)):
+                    delays = measured.steady(rate, max(seconds, 300 / rate))
                     click.echo(
-                        f"  {rate:6.1f} a second, {name:11}: stood {d.stood}, not {d.others};"
-                        f" median {d.median / 1000:.2f} ms, 99th {d.high / 1000:.2f} ms"
+                        f"  {rate:6.1f} a second, {name:11}: established {delays.stood}, not {delays.others};"
+                        f" median {delays.median / 1000:.2f} ms, 99th {delays.high / 1000:.2f} ms"
                     )
-            # A process of its own: one that has been busy has free memory of its own to use first.
+            # In a new process: one that has been busy would first reuse memory that it has already freed.
             fresh = Measured(offices)
             click.echo(f"  memory of a held dialogue: {fresh.held(20_000):.0f} bytes")
             fresh.close()
-        real.close()
+        call_server.close()
         relay.close()
     click.echo("the decisions alone, by their own rate, 62 offices")
     for rate in (100.0, 1000.0, 5000.0):
