--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -28,7 +28,7 @@
 from wellhitch.settings.checked import read as read_settings
 from wellhitch.settings.server import ServerSettings
 from wellhitch.settings.template import evaluate
-from wellhitch.stand_ins.accounting import Accounting, Ills
+from wellhitch.stand_ins.accounting import Accounting, AccountingFaults
 from wellhitch.store.engine import Engine, StoreError
 from wellhitch.store.files import read_file
 from wellhitch.trunk.capture import BadCapture
@@ -340,7 +340,7 @@
         except (StoreError, OSError) as error:
             raise InvalidSettings(str(folder), [str(error)]) from None
     (folder / "back").mkdir(exist_ok=True)
-    accounting_system = Accounting(engine, {}, Ills(loses, 0.0, 0.0, halves), random.Random(1))
+    accounting_system = Accounting(engine, {}, AccountingFaults(loses, 0.0, 0.0, halves), random.Random(1))
     receipts = 0
     while True:
         for path in sorted((folder / "out").glob("*-*.wh")):
