--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -1,4 +1,4 @@
-"""The platform's codecs: any bytes, in any chunks, give messages or one named error, and all lengths are bounded."""
+"""Codecs of the platform: any bytes in any chunks decode to messages or to one named error; all lengths are bounded."""
 
 import json
 
@@ -17,22 +17,22 @@
 TRAFFIC_CLASSES = {"cheap": 0, "dear": 0}
 
 
-def split_at(data: bytes, at: list[int]) -> list[bytes]:
-    edges = sorted({0, len(data), *(one % (len(data) + 1) for one in at)})
-    return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
+def split_at(data: bytes, positions: list[int]) -> list[bytes]:
+    edges = sorted({0, len(data), *(position % (len(data) + 1) for position in positions)})
+    return [data[start:end] for start, end in zip(edges, edges[1:], strict=False)]
 
 
 # ---- SIP ----
 
 
-def decode_sip(pieces: list[bytes]) -> tuple[list[sip.Message], str]:
-    decoder, out = sip.Decoder(), list[sip.Message]()
-    for piece in pieces:
+def decode_sip(chunks: list[bytes]) -> tuple[list[sip.Message], str]:
+    decoder, decoded = sip.Decoder(), list[sip.Message]()
+    for chunk in chunks:
         try:
-            out += decoder.feed(piece)
-        except sip.BadSip as bad:
-            return out + bad.before, bad.reason
-    return out, ""
+            decoded += decoder.feed(chunk)
+        except sip.BadSip as error:
+            return decoded + error.before, error.reason
+    return decoded, ""
 
 
 SIP_MESSAGES = (
@@ -45,24 +45,29 @@
 
 
 @given(st.lists(st.integers(0, 2000), max_size=12))
-def test_sip_decoding_does_not_depend_on_chunk_boundaries(at: list[int]) -> None:
-    got, limit = decode_sip(split_at(SIP_MESSAGES, at))
-    assert not limit and [getattr(one, "method", 200) for one in got] == ["INVITE", "ACK", "BYE", 200]
-    assert got[0].body == b"caller's own\r\n" and got[-1].body == b"abc"
+def test_sip_decoding_does_not_depend_on_chunk_boundaries(positions: list[int]) -> None:
+    decoded, reason = decode_sip(split_at(SIP_MESSAGES, positions))
+    assert not reason and [getattr(message, "method", 200) for message in decoded] == [
+        "INVITE",
+        "ACK",
+        "BYE",
+        200,
+    ]
+    assert decoded[0].body == b"caller's own\r\n" and decoded[-1].body == b"abc"
 
 
 @given(st.binary(max_size=600), st.lists(st.integers(0, 600), max_size=5))
-def test_arbitrary_bytes_give_sip_messages_or_one_named_error(data: bytes, at: list[int]) -> None:
-    decode_sip(split_at(data, at))
+def test_arbitrary_bytes_give_sip_messages_or_one_named_error(data: bytes, positions: list[int]) -> None:
+    decode_sip(split_at(data, positions))
 
 
 @given(st.integers(0, len(SIP_MESSAGES) - 1), st.binary(min_size=1, max_size=4))
-def test_inserted_bytes_give_sip_messages_or_one_named_error(at: int, extra: bytes) -> None:
-    decode_sip([SIP_MESSAGES[:at] + extra + SIP_MESSAGES[at:]])
+def test_inserted_bytes_give_sip_messages_or_one_named_error(position: int, extra: bytes) -> None:
+    decode_sip([SIP_MESSAGES[:position] + extra + SIP_MESSAGES[position:]])
 
 
 @pytest.mark.parametrize(
-    ("head", "limit"),
+    ("head", "reason"),
     [
         ("Content-Length: -5", "length"),
         ("Content-Length: 12a", "length"),
@@ -78,10 +83,10 @@
         ("X-Free: " + "a" * 9000, "head_too_long"),
     ],
 )
-def test_head_outside_its_limits_is_a_named_error(head: str, limit: str) -> None:
+def test_head_outside_its_limits_is_a_named_error(head: str, reason: str) -> None:
     data = f"INVITE sip:{CALL_ID}@net SIP/2.0\r\n{head}\r\n\r\n".encode()
-    assert decode_sip([data]) == ([], limit)
-    assert decode_sip([data[n : n + 1] for n in range(len(data))]) == ([], limit)
+    assert decode_sip([data]) == ([], reason)
+    assert decode_sip([data[n : n + 1] for n in range(len(data))]) == ([], reason)
 
 
 @pytest.mark.parametrize(
@@ -95,17 +100,17 @@
     bad = invite(CALL_ID).replace(b"Content-Length: 14", b"Content-Length: 999999")
     with pytest.raises(sip.BadSip) as caught:
         sip.Decoder().feed(bodyless_request("ACK", CALL_ID) + bad)
-    assert [one.method for one in caught.value.before] == ["ACK"]
+    assert [message.method for message in caught.value.before] == ["ACK"]
     assert caught.value.request is not None and caught.value.request.headers["call-id"] == CALL_ID
 
 
 def test_buffered_head_of_an_endless_message_is_bounded() -> None:
-    decoder, fed = sip.Decoder(), 0
+    decoder, fed_bytes = sip.Decoder(), 0
     with pytest.raises(sip.BadSip):
         for _ in range(1000):
-            decoder.feed(b"X" * 100 if fed else f"INVITE sip:{CALL_ID}@net SIP/2.0\r\n".encode())
-            fed += 100
-    assert fed <= sip.MAX_HEAD_BYTES + 200
+            decoder.feed(b"X" * 100 if fed_bytes else f"INVITE sip:{CALL_ID}@net SIP/2.0\r\n".encode())
+            fed_bytes += 100
+    assert fed_bytes <= sip.MAX_HEAD_BYTES + 200
 
 
 # ---- set-up requests ----
@@ -118,16 +123,22 @@
 
 
 def test_set_up_is_read() -> None:
-    got = read(invite(CALL_ID, 2, "dear", 671, ";transit:1;again:1"))
-    assert isinstance(got, SetUp)
-    assert (got.call_id, got.called_number, got.traffic_class, got.time_left_us, got.destination) == (
+    set_up = read(invite(CALL_ID, 2, "dear", 671, ";transit:1;again:1"))
+    assert isinstance(set_up, SetUp)
+    assert (
+        set_up.call_id,
+        set_up.called_number,
+        set_up.traffic_class,
+        set_up.time_left_us,
+        set_up.destination,
+    ) == (
         CALL_ID,
         "7f3a9c21e0b4d655",
         "dear",
         671_000,
         2,
     )
-    assert got.transit and got.advised is None and got.description == "caller's own\r\n"
+    assert set_up.transit and set_up.advised is None and set_up.description == "caller's own\r\n"
 
 
 @pytest.mark.parametrize(
@@ -183,30 +194,30 @@
 )
 
 
-def decode_lines(pieces: list[bytes]) -> tuple[list[lines.Line], str]:
-    decoder, out = lines.Decoder(), list[lines.Line]()
-    for piece in pieces:
+def decode_lines(chunks: list[bytes]) -> tuple[list[lines.Line], str]:
+    decoder, decoded = lines.Decoder(), list[lines.Line]()
+    for chunk in chunks:
         try:
-            out += decoder.feed(piece)
-        except lines.BadLine as bad:
-            return out + bad.before, bad.reason
-    return out, ""
+            decoded += decoder.feed(chunk)
+        except lines.BadLine as error:
+            return decoded + error.before, error.reason
+    return decoded, ""
 
 
 @given(st.lists(st.integers(0, 400), max_size=12))
-def test_line_decoding_does_not_depend_on_chunk_boundaries(at: list[int]) -> None:
-    got, limit = decode_lines(split_at(OFFICE_LINES, at))
-    assert not limit and [one.type for one in got] == ["gauge", "up", "down"]
-    assert got[2].cause == 34 and got[1].description == "9d\r\n"  # numbers may come as strings
+def test_line_decoding_does_not_depend_on_chunk_boundaries(positions: list[int]) -> None:
+    decoded, reason = decode_lines(split_at(OFFICE_LINES, positions))
+    assert not reason and [line.type for line in decoded] == ["gauge", "up", "down"]
+    assert decoded[2].cause == 34 and decoded[1].description == "9d\r\n"  # numbers may come as strings
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(0, 400), max_size=5))
-def test_arbitrary_bytes_give_lines_or_one_named_error(data: bytes, at: list[int]) -> None:
-    decode_lines(split_at(data, at))
+def test_arbitrary_bytes_give_lines_or_one_named_error(data: bytes, positions: list[int]) -> None:
+    decode_lines(split_at(data, positions))
 
 
 @pytest.mark.parametrize(
-    ("data", "limit"),
+    ("data", "reason"),
     [
         (b"\xff\xfe\x00\n", "line_unreadable"),
         (b'{"t":"up"\n', "line_unreadable"),
@@ -218,21 +229,21 @@
         (b'{"t":"' + b"x" * 17000 + b'"}\n', "line_too_long"),
     ],
 )
-def test_invalid_line_is_a_named_error(data: bytes, limit: str) -> None:
-    assert decode_lines([data])[1] == limit
+def test_invalid_line_is_a_named_error(data: bytes, reason: str) -> None:
+    assert decode_lines([data])[1] == reason
 
 
 def test_buffered_part_of_an_endless_line_is_bounded() -> None:
-    decoder, fed = lines.Decoder(), 0
+    decoder, fed_bytes = lines.Decoder(), 0
     with pytest.raises(lines.BadLine):
         for _ in range(100):
             decoder.feed(b"x" * 1000)
-            fed += 1000
-    assert fed <= lines.MAX_LINE_BYTES + 1000
+            fed_bytes += 1000
+    assert fed_bytes <= lines.MAX_LINE_BYTES + 1000
 
 
 @pytest.mark.parametrize(
-    ("load", "got"),
+    ("load", "values"),
     [
         ("spare:79;total:80", {"spare": 79.0, "total": 80.0}),
         ("spare:;total:x;q", {}),
@@ -241,8 +252,8 @@
         ("", {}),
     ],
 )
-def test_load_report_keeps_only_the_valid_numbers(load: object, got: dict[str, float]) -> None:
-    assert lines.parse_load(load) == got
+def test_load_report_keeps_only_the_valid_numbers(load: object, values: dict[str, float]) -> None:
+    assert lines.parse_load(load) == values
 
 
 # ---- discovery ----
@@ -256,31 +267,31 @@
     board.Update(2, False, (), True),
     board.Update(3, False, UPDATE_ROWS[:1]),
 ]
-UPDATE_FRAMES = b"".join(board.encode_update(one) for one in UPDATES)
+UPDATE_FRAMES = b"".join(board.encode_update(update) for update in UPDATES)
 
 
-def decode_frames(pieces: list[bytes]) -> tuple[list[board.Update], str]:
-    decoder, out = board.Decoder(), list[board.Update]()
-    for piece in pieces:
+def decode_frames(chunks: list[bytes]) -> tuple[list[board.Update], str]:
+    decoder, decoded = board.Decoder(), list[board.Update]()
+    for chunk in chunks:
         try:
-            out += decoder.feed(piece)
-        except board.BadFrame as bad:
-            return out + bad.before, str(bad)
-    return out, ""
+            decoded += decoder.feed(chunk)
+        except board.BadFrame as error:
+            return decoded + error.before, str(error)
+    return decoded, ""
 
 
 @given(st.lists(st.integers(0, 200), max_size=12))
-def test_frame_decoding_does_not_depend_on_chunk_boundaries(at: list[int]) -> None:
-    assert decode_frames(split_at(UPDATE_FRAMES, at)) == (UPDATES, "")
+def test_frame_decoding_does_not_depend_on_chunk_boundaries(positions: list[int]) -> None:
+    assert decode_frames(split_at(UPDATE_FRAMES, positions)) == (UPDATES, "")
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 200), max_size=5))
-def test_arbitrary_bytes_give_frames_or_one_named_error(data: bytes, at: list[int]) -> None:
-    decode_frames(split_at(data, at))
+def test_arbitrary_bytes_give_frames_or_one_named_error(data: bytes, positions: list[int]) -> None:
+    decode_frames(split_at(data, positions))
 
 
 @pytest.mark.parametrize(
-    ("data", "limit"),
+    ("data", "reason"),
     [
         (b"\xff\xff\xff\xff" + b"\0" * 9, "frame_length"),
         (b"\0\0\0\x08" + b"\0" * 9, "frame_length"),
@@ -300,8 +311,8 @@
         ),
     ],
 )
-def test_invalid_frame_is_a_named_error(data: bytes, limit: str) -> None:
-    assert decode_frames([data]) == ([], limit)
+def test_invalid_frame_is_a_named_error(data: bytes, reason: str) -> None:
+    assert decode_frames([data]) == ([], reason)
 
 
 def test_known_updates_are_read_and_a_wrong_field_is_named() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: all faults at once, each with field, value and what is allowed; the command's words and exit codes."""
+"""Settings report all errors at once, with field, value and what is allowed. Output and exit codes of commands."""
 
 import json
 from pathlib import Path
@@ -21,46 +21,46 @@
 SHEET = {"number": 3, "seed": 1, "peers": 2, "use_cases": USES, "rules": RULES, "doors": DOORS}
 
 
-def said(*args: str) -> tuple[int, str]:
-    done = CliRunner().invoke(main, list(args))
-    assert done.exception is None or isinstance(done.exception, SystemExit), done.exception
-    return done.exit_code, done.output
+def run_command(*args: str) -> tuple[int, str]:
+    result = CliRunner().invoke(main, list(args))
+    assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
+    return result.exit_code, result.output
 
 
-def test_a_sheet_is_read_with_times_in_whole_microseconds() -> None:
-    made = server.start_event(checked.read(SHEET, server.ServerSettings, "x"))
-    assert made.traffic_classes[0].target_latency == 1_500_000 and made.release.release_wait == 200_000
-    assert made.topology.own_number == 3 and not made.topology.has_centre
+def test_server_settings_are_read_with_durations_in_whole_microseconds() -> None:
+    event = server.start_event(checked.read(SHEET, server.ServerSettings, "x"))
+    assert event.traffic_classes[0].target_latency == 1_500_000 and event.release.release_wait == 200_000
+    assert event.topology.own_number == 3 and not event.topology.has_centre
 
 
 @pytest.mark.parametrize(("text", "us"), [("1.5s", 1_500_000), ("250ms", 250_000), ("7us", 7), ("0s", 0)])
-def test_spans(text: str, us: int) -> None:
+def test_durations(text: str, us: int) -> None:
     assert server.duration_us(text) == us
 
 
-def test_all_faults_are_listed_at_once() -> None:
+def test_all_errors_are_listed_at_once() -> None:
     bad: dict[str, Any] = json.loads(json.dumps(SHEET))
     bad["number"] = -1
     bad["colour"] = "red"
     bad["use_cases"][0]["payoff"] = "much"
     bad["use_cases"][1]["agreed_time"] = "2 hours"
     del bad["rules"]["release_wait"]
-    with pytest.raises(InvalidSettings) as faults:
+    with pytest.raises(InvalidSettings) as caught:
         checked.read(bad, server.ServerSettings, "x.jsonnet")
-    lines = faults.value.errors
-    assert len(lines) == 5
+    errors = caught.value.errors
+    assert len(errors) == 5
     for start in (
         "colour = 'red'",
         "number = -1",
         "use_cases[0].payoff = 'much'",
         "rules.release_wait: missing",
     ):
-        assert any(line.startswith(start) for line in lines), (start, lines)
-    assert any("use_cases[1].agreed_time = '2 hours'" in line for line in lines)
+        assert any(error.startswith(start) for error in errors), (start, errors)
+    assert any("use_cases[1].agreed_time = '2 hours'" in error for error in errors)
 
 
 @pytest.mark.parametrize(
-    ("change", "said_so"),
+    ("change", "message"),
     [
         ({"use_cases": []}, "use_cases = []"),
         ({"use_cases": [USES[0], USES[0]]}, "named twice"),
@@ -72,13 +72,13 @@
         ({"doors": {**DOORS, "callers": "127.evil.example:7000"}}, "a loopback address"),
     ],
 )
-def test_what_holds_between_fields_is_checked(change: dict[str, Any], said_so: str) -> None:
-    with pytest.raises(InvalidSettings, match=said_so.replace("[", r"\[").replace("]", r"\]")):
+def test_conditions_between_fields_are_checked(change: dict[str, Any], message: str) -> None:
+    with pytest.raises(InvalidSettings, match=message.replace("[", r"\[").replace("]", r"\]")):
         server.check(checked.read({**SHEET, **change}, server.ServerSettings, "x"), "x")
 
 
 @pytest.mark.parametrize(
-    ("change", "said_so"),
+    ("change", "message"),
     [
         ({"groups": [{"ends": [0, 9], "size": 1}]}, "must be two different exchanges of the day"),
         ({"groups": [{"ends": [0, 1], "size": 1}, {"ends": [1, 0], "size": 1}]}, "this pair is listed twice"),
@@ -86,8 +86,8 @@
         ({"troubles": [{"kind": "slow", "at": "1s", "on": [7]}]}, "no such exchange"),
     ],
 )
-def test_days_are_checked_too(change: dict[str, Any], said_so: str) -> None:
-    with pytest.raises(InvalidSettings, match=said_so):
+def test_conditions_in_days_are_checked(change: dict[str, Any], message: str) -> None:
+    with pytest.raises(InvalidSettings, match=message):
         day(**change)
 
 
@@ -97,50 +97,51 @@
     return str(file)
 
 
-def test_check_tells_well_from_ill(tmp_path: Path) -> None:
-    assert said("check", write(tmp_path, SHEET)) == (
+def test_check_accepts_valid_and_rejects_invalid_files(tmp_path: Path) -> None:
+    assert run_command("check", write(tmp_path, SHEET)) == (
         0,
         f"{tmp_path}/x.jsonnet: settings of a call server, without errors\n",
     )
-    code, text = said("check", write(tmp_path, {**SHEET, "number": "three", "seed": -1}))
+    code, text = run_command("check", write(tmp_path, {**SHEET, "number": "three", "seed": -1}))
     assert code == 2 and "number = 'three'" in text and "seed = -1" in text
-    code, text = said("check", write(tmp_path, "{ number: 1 + }"))
+    code, text = run_command("check", write(tmp_path, "{ number: 1 + }"))
     assert code == 2 and "x.jsonnet:1:" in text
-    code, text = said("check", str(tmp_path / "none.jsonnet"))
+    code, text = run_command("check", str(tmp_path / "none.jsonnet"))
     assert code == 2 and "no such file" in text
-    assert said("serve", write(tmp_path, "[]"))[0] == 2
+    assert run_command("serve", write(tmp_path, "[]"))[0] == 2
 
 
-def test_play_and_judge_by_the_command(tmp_path: Path) -> None:
-    small = json.loads(json.dumps(checked_plain(day(length="3s"))))
-    file, folder = write(tmp_path, small), str(tmp_path / "captures")
-    code, text = said("day", "play", file, "--virtual", "--capture", folder)
+def test_play_and_judge_commands(tmp_path: Path) -> None:
+    short_day = json.loads(json.dumps(to_plain(day(length="3s"))))
+    file, folder = write(tmp_path, short_day), str(tmp_path / "captures")
+    code, text = run_command("day", "play", file, "--virtual", "--capture", folder)
     assert code == 0 and text.count(" kept\n") == 5
-    code, again = said("judge", folder)
+    code, again = run_command("judge", folder)
     assert code == 0 and "never two dials out" in again
-    assert said("day", "play", file, "--virtual", "--capture", folder)[0] == 2  # never over another's
+    # Captures of another day are not overwritten.
+    assert run_command("day", "play", file, "--virtual", "--capture", folder)[0] == 2
     (Path(folder) / "world.capture").write_text("")
-    code, text = said("judge", folder)
+    code, text = run_command("judge", folder)
     assert code == 2 and "world.capture: empty" in text
 
 
-def checked_plain(made: Day) -> Any:
-    return msgspec.to_builtins(made)
+def to_plain(settings: Day) -> Any:
+    return msgspec.to_builtins(settings)
 
 
-def test_a_day_makes_the_sheets_of_its_call_servers() -> None:
-    made = sheet_of(day(), 1, HostAddresses())
-    assert made.doors.callers == "server-1:2" and made.peers == 2
+def test_settings_of_a_call_server_are_made_from_a_day() -> None:
+    settings = sheet_of(day(), 1, HostAddresses())
+    assert settings.doors.callers == "server-1:2" and settings.peers == 2
 
 
 # ---- days of the operators' bench ----
 
 
-def bench_day(**over: Any) -> dict[str, Any]:
-    """A small day in the bench's form, built here."""
+def bench_day(**changes: Any) -> dict[str, Any]:
+    """A small day in the format of the operators' bench."""
     n = 3
-    sizes = [0, 12, 12, 0, 0, 0, 0, 0, 0]  # 1 and 2 are not linked
-    made = {
+    sizes = [0, 12, 12, 0, 0, 0, 0, 0, 0]  # no trunk group between 1 and 2
+    bench = {
         "v": 1, "site": "s", "family": "trunks", "kind": "trouble", "length": 6_000_000, "tail": 1,
         "zones": ["a", "b"], "net": {"same": 2000, "cross": 4000, "client": 0, "jitter": 0.2},
         "traffic": {"load": 0.9, "shape": [[0.0, 1.0], [3.0, 1.2]], "zone_share": [0.6, 0.4]},
@@ -183,20 +184,24 @@
         },
         "stars": 5,
     }  # fmt: skip
-    return {**made, **over}
+    return {**bench, **changes}
 
 
-def test_a_bench_day_becomes_ours_and_nothing_is_dropped_in_silence() -> None:
+def test_a_bench_day_is_converted_and_each_dropped_part_is_noted() -> None:
     plain, notes = convert(bench_day(), "drawn", 3)
-    made = checked.read(plain, Day, "drawn")
-    check(made, "drawn")
-    assert made.rules.release_wait == "200000us" and made.offices.reports == "takes" and made.centre
-    assert [group.ends for group in made.groups] == [[0, 1], [0, 2]]
-    assert sum(sum(one.calls.values()) for one in made.exchanges) == pytest.approx(0.9 * 12)
-    # Two of the three exchanges stand in zone a, which has six tenths of the traffic.
-    assert sum(made.exchanges[0].calls.values()) == pytest.approx(0.9 * 12 * 0.3)
-    assert [one.kind for one in made.troubles] == ["answer_lost", "deploy"]
-    assert made.troubles[0].how == "reset" and made.troubles[1].on == [2]
+    converted = checked.read(plain, Day, "drawn")
+    check(converted, "drawn")
+    assert (
+        converted.rules.release_wait == "200000us"
+        and converted.offices.reports == "takes"
+        and converted.centre
+    )
+    assert [group.ends for group in converted.groups] == [[0, 1], [0, 2]]
+    assert sum(sum(one.calls.values()) for one in converted.exchanges) == pytest.approx(0.9 * 12)
+    # Two of the three exchanges are in zone a, which has six tenths of the traffic.
+    assert sum(converted.exchanges[0].calls.values()) == pytest.approx(0.9 * 12 * 0.3)
+    assert [one.kind for one in converted.troubles] == ["answer_lost", "deploy"]
+    assert converted.troubles[0].how == "reset" and converted.troubles[1].on == [2]
     for text in (
         "stars: not known",
         "fam.moon: not known",
@@ -207,28 +212,28 @@
 
 
 def test_a_bench_day_plays_and_keeps_the_rules() -> None:
-    made = checked.read(convert(bench_day(), "drawn", 3)[0], Day, "drawn")
-    done = played(made)
-    assert done.verdict.breaks == [] and done.service.whole > 0.5
+    converted = checked.read(convert(bench_day(), "drawn", 3)[0], Day, "drawn")
+    result = played(converted)
+    assert result.verdict.breaks == [] and result.service.whole > 0.5
 
 
 @pytest.mark.parametrize(
-    ("value", "said_so"),
+    ("value", "message"),
     [
         ([], "not a day file of the bench"),
         ({"fam": {}}, "classes: missing"),
         (bench_day(fam={**bench_day()["fam"], "pools": True}), "pools of agents are not played"),
     ],
 )
-def test_what_cannot_be_ours_is_told_plainly(value: Any, said_so: str, tmp_path: Path) -> None:
+def test_a_day_that_cannot_be_converted_is_one_clear_error(value: Any, message: str, tmp_path: Path) -> None:
     file = tmp_path / "d.json"
     file.write_text(json.dumps(value))
-    code, text = said("day", "from-bench", str(file))
-    assert code == 2 and said_so in text
+    code, text = run_command("day", "from-bench", str(file))
+    assert code == 2 and message in text
 
 
 @pytest.mark.parametrize(
-    ("change", "said_so"),
+    ("change", "message"),
     [
         ({"rules": {**RULES, "release_wait": "9" * 400 + "s"}}, "rules.release_wait"),
         ({"rules": {**RULES, "cold_for": "99999999999s"}}, "rules.cold_for"),
@@ -240,14 +245,15 @@
         ({"use_cases": [{**USES[0], "name": "x" * 100_000}]}, "name"),
     ],
 )
-def test_figures_beyond_all_sense_are_told_with_their_field(change: dict[str, Any], said_so: str) -> None:
-    """A span of 400 digits was a traceback; one of 10^18 us an answer that cannot be sent."""
-    with pytest.raises(InvalidSettings, match=said_so):
+def test_numbers_out_of_range_are_errors_with_their_field(change: dict[str, Any], message: str) -> None:
+    """Without a bound, a duration of 400 digits ended in a traceback, and one of 10^18 us made an answer that cannot be
+    encoded."""
+    with pytest.raises(InvalidSettings, match=message):
         server.check(checked.read({**SHEET, **change}, server.ServerSettings, "x"), "x")
 
 
 @pytest.mark.parametrize("number", ["\u00b2", "9" * 5000, "-1", ""])
-def test_a_days_calls_go_to_numbers_of_its_own(number: str) -> None:
+def test_calls_to_an_exchange_outside_the_day_are_an_error(number: str) -> None:
     plain = msgspec.to_builtins(day())
     plain["exchanges"][0]["calls"] = {number: 1.0}
     with pytest.raises(InvalidSettings, match="no such exchange"):
