--- a/deploy/fleet/exchange.libsonnet
+++ b/deploy/fleet/exchange.libsonnet
@@ -1,4 +1,4 @@
-// One shared template for a fleet's call servers: `(import 'exchange.libsonnet')(3)` is the sheet of exchange 3.
+// One shared template for a fleet's call servers: `(import 'exchange.libsonnet')(3)` has the settings for exchange 3.
 // Change figures here once; what one exchange has of its own is added with `+ { ... }` in its own file.
 local base = 7000;  // ports from here on, ten an exchange
 
