--- a/wellhitch/lab/trials/discovery.py
+++ b/wellhitch/lab/trials/discovery.py
@@ -234,8 +234,8 @@
             return now
         if not watches and now - self.recovered_at < RECONNECT_LIMIT_S:
             return now + RECONNECT_LIMIT_S  # connections failed until recently: counts from now
-        limit = SILENCE_LIMIT_S if watches else BREAK_LIMIT_S
-        return max(now, self.fault_since + limit)
+        limit_s = SILENCE_LIMIT_S if watches else BREAK_LIMIT_S
+        return max(now, self.fault_since + limit_s)
 
     def _record_reported(self, server: str, entry: EndpointEntry, time_s: float) -> None:
         self.records.add(
--- a/wellhitch/lab/trials/plan.py
+++ b/wellhitch/lab/trials/plan.py
@@ -135,7 +135,7 @@
 def _steps(
     kind: FaultKind, rng: random.Random, servers: int, endpoints: int, duration_s: float
 ) -> list[TrialStep]:
-    """Draw the steps of one kind of fault, which starts two seconds into the trial at the earliest."""
+    """Draw the steps of one kind of fault, which starts at a random time from 2 s to 60 % of the duration."""
     start_s = rng.uniform(2.0, duration_s * 0.6)
     endpoint = rng.randrange(endpoints)
     match kind:
