--- a/wellhitch/lab/trials/client.py
+++ b/wellhitch/lab/trials/client.py
@@ -9,7 +9,7 @@
 from wellhitch.lab.trials.records import EventKind, Record, Records
 from wellhitch.lab.trials.sockets import Connection, open_connection
 from wellhitch.sip import codec as sip
-from wellhitch.stand_ins.platform import invite, plain
+from wellhitch.stand_ins.platform import bodyless_request, invite
 
 IDLE_CLOSE_S = 4.0  # well-behaved clients close a connection without calls after this time
 CLOSE_RACE_S = 0.05  # set-ups sent this shortly before a close are sent once more on a new connection
@@ -125,7 +125,7 @@
             return
         call_id = self.rng.choice(sorted(self.established_calls))
         session = next((session for session in self.sessions if not session.connection.ended), None)
-        if session is None or not session.write(plain("BYE", call_id)):
+        if session is None or not session.write(bodyless_request("BYE", call_id)):
             return
         self._forget_call(call_id)
         self._record(EventKind.CLIENT_RELEASED, call_id)
@@ -203,7 +203,7 @@
 
     def _cancel(self, session: _Session, request: _Request) -> None:
         if session.pending.pop(request.call_id, None) is not None and session.write(
-            plain("CANCEL", request.call_id)
+            bodyless_request("CANCEL", request.call_id)
         ):
             self._record(EventKind.CANCELLED, request.call_id)
 
@@ -231,7 +231,7 @@
         request = session.pending.pop(call_id, None)
         body = message.body.decode("utf-8", "replace").strip()
         self._record(EventKind.ANSWERED, call_id, message.status, body)
-        session.write(plain("ACK", call_id))
+        session.write(bodyless_request("ACK", call_id))
         if message.status == 200 and request is not None:
             self.established_calls[call_id] = body.split(" ")[0]
             session.established.add(call_id)
--- a/wellhitch/lab/trials/fleet.py
+++ b/wellhitch/lab/trials/fleet.py
@@ -15,7 +15,7 @@
 from wellhitch.lab.trials.process import CallServer, earliest_kill_s
 from wellhitch.lab.trials.records import EventKind, Lag, Record, Records
 from wellhitch.lab.trials.sockets import open_connection
-from wellhitch.stand_ins.platform import plain
+from wellhitch.stand_ins.platform import bodyless_request
 
 READY_TIMEOUT_S = 30.0
 SETTLE_TIME_S = 9.5  # after the last step and the traffic: all ended calls are reported by then
@@ -218,7 +218,7 @@
         answered = asyncio.Event()
         connection.on_data = lambda data: answered.set()
         connection.start()
-        connection.write(plain("OPTIONS", "0000000000000001"))
+        connection.write(bodyless_request("OPTIONS", "0000000000000001"))
         try:
             async with asyncio.timeout(1.0):
                 await answered.wait()
@@ -378,7 +378,7 @@
         for connection in opened:
             if connection is not None:
                 connection.start()
-                connection.write(plain("OPTIONS", "0000000000000002"))
+                connection.write(bodyless_request("OPTIONS", "0000000000000002"))
         await asyncio.sleep(self.rng.uniform(0.5, 2.0))
         for connection in opened:
             if connection is not None:
