--- a/wellhitch/settings/day.py
+++ b/wellhitch/settings/day.py
@@ -30,8 +30,8 @@
 
 
 class ExchangeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One exchange: its zone, how long a set-up takes its office, and how many calls a second its callers make to each
-    other exchange, by number."""
+    """One exchange: its zone, how long its office works on one set-up, and how many calls a second its callers make to
+    each other exchange, by number."""
 
     number: Annotated[int, msgspec.Meta(ge=0, lt=MAX_EXCHANGES)]
     setup: Duration
