--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from world import RULES, USE_CASES, day, played
+from world import RULES, USE_CASES, day, play_day
 
 from wellhitch.cli.main import main
 from wellhitch.lab.fleet import HostAddresses, sheet_of
@@ -213,7 +213,7 @@
 
 def test_a_bench_day_plays_and_keeps_the_rules() -> None:
     converted = checked.read(convert(bench_day(), "drawn", 3)[0], Day, "drawn")
-    result = played(converted)
+    result = play_day(converted)
     assert result.verdict.breaks == [] and result.service.whole > 0.5
 
 
