--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -163,7 +163,7 @@
 
 
 def test_a_connection_without_a_hello_is_closed_even_if_bytes_arrive(pair: ConnectedChannels) -> None:
-    """Guards against clients that send a byte now and then: a thousand such connections would stay open for ever."""
+    """Guards against clients that send a byte now and then: a thousand such connections would stay open forever."""
     closed: list[str] = []
     hello = frames.Hello("call_server", 0, 1)
     channel = Channel(pair.loop, RecordingOwner(), hello, ("caller",), on_closed=closed.append)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -468,7 +468,7 @@
 
 
 def test_a_call_with_unbounded_time_ends_at_the_deadline(server: SwitchFixture) -> None:
-    """Guards against a dialogue that keeps its circuits for ever when the office does not answer."""
+    """Guards against a dialogue that keeps its circuits forever when the office does not answer."""
     server.dial(left=1 << 62)
     server.advance(CHEAP.deadline + SECOND)
     assert server.answers == ["forfeited"] and not server.switch.calls and server.free_circuits() == 10
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -287,7 +287,7 @@
                 previous_address = self.peer_addresses.get(entry.number, address)
                 self.peer_addresses[entry.number] = address
                 if previous_address != address and previous_address in self.peer_connections:
-                    # Guards against reconnecting for ever to a former address of the peer.
+                    # Guards against reconnecting forever to a former address of the peer.
                     self.peer_connections.pop(previous_address).close()
             if entry.number != self.switch.number and address and address not in self.peer_connections:
                 self.peer_connections[address] = PersistentChannel(
@@ -564,7 +564,7 @@
         """Start the timeout of the request."""
         self.transport = cast(asyncio.Transport, transport)
         self.daemon.operator_transports[self.transport] = None
-        # Guards against clients that send no request or read no reply: their connections were kept for ever.
+        # Guards against clients that send no request or read no reply: their connections were kept forever.
         self.timeout = self.daemon.loop.call_later(REQUEST_TIMEOUT_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/wellhitch/trunk/connection.py
+++ b/wellhitch/trunk/connection.py
@@ -116,7 +116,7 @@
 
     def timed_out(self, now: int) -> bool:
         """Whether the other end has been silent for too long: half-open, paused or dead. Before its Hello, the time
-        since the opening counts: a client that sends a byte now and then would keep its connection for ever."""
+        since the opening counts: a client that sends a byte now and then would keep its connection forever."""
         if self.state is ConnectionState.WAITING:
             return now - self.opened_at > SILENCE_TIMEOUT_US
         return self.state is not ConnectionState.CLOSED and now - self.received_at > SILENCE_TIMEOUT_US
