--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -530,7 +530,8 @@
 def test_a_repeated_id_or_dial_ref_is_ignored_during_and_after_its_dialogue(
     server: SwitchFixture,
 ) -> None:
-    """A duplicate that came after the answer was taken for a new dialogue and answered again."""
+    """Guards against a duplicate frame that came after the answer: it started a new dialogue, answered a second
+    time."""
     server.call(id=7, destination=9)
     server.call(id=7, destination=9)
     assert server.answers == ["pushed_back"] and server.switch.counts["strays.Call"] == 1
--- a/wellhitch/trunk/channel.py
+++ b/wellhitch/trunk/channel.py
@@ -126,8 +126,8 @@
             self.transport.write(b"".join([self._encoded(frame) for frame in batch]))
 
     def _encoded(self, frame: frames.AnyFrame) -> bytes:
-        """Encode a frame and pass it to the tap. Guards against a frame that cannot be encoded: it made the whole batch
-        get lost, with answers in it, and without an error."""
+        """Encode a frame and pass it to the tap. Guards against a frame that cannot be encoded: one such frame lost its
+        whole batch, answers included, without an error."""
         try:
             data = codec.encode(frame)
         except codec.BadFrame as error:
