--- a/wellhitch/stand_ins/simulated_fleet.py
+++ b/wellhitch/stand_ins/simulated_fleet.py
@@ -46,10 +46,10 @@
 class LinkFaultInjector(Protocol):
     """What can be done to the links of a day, where the network allows it."""
 
-    def cut(self, here: str, there: str) -> int:
+    def reset_connections(self, here: str, there: str) -> int:
         """Reset the links between two hosts."""
 
-    def spoil(self, here: str, there: str, what: str, how: bool | int) -> None:
+    def set_fault(self, here: str, there: str, what: str, how: bool | int) -> None:
         """`silent`, `trickle` or `broken` between two hosts, on or off; `late`, by so many us."""
 
 
@@ -62,27 +62,27 @@
     network: Callable[[str], Network]
     addresses: Addresses
     servers: Servers
-    wire: LinkFaultInjector | None = None
+    link_faults: LinkFaultInjector | None = None
     folder: Path | None = None
     recorders: dict[str, Recorder] = field(default_factory=dict)
     offices: dict[int, Office] = field(default_factory=dict)
-    past: list[Office] = field(default_factory=list)
+    replaced_offices: list[Office] = field(default_factory=list)
     callers: dict[int, Callers] = field(default_factory=dict)
     trunks: dict[int, Trunks] = field(default_factory=dict)
-    generation: dict[int, int] = field(default_factory=dict)
-    down: set[int] = field(default_factory=set)  # call servers that are killed, or paused, now
+    generations: dict[int, int] = field(default_factory=dict)
+    unavailable_servers: set[int] = field(default_factory=set)  # call servers that are killed, or paused, now
 
     def __post_init__(self) -> None:
         day = self.day
-        self.world = self.recorder(
+        self.world_recorder = self.new_recorder(
             "world",
             "world",
             drain_grace=duration_us(day.rules.drain_grace),
             release_wait=duration_us(day.rules.release_wait),
             cold_multiple=day.rules.cold_multiple,
             cold_window=duration_us(day.rules.cold_window),
-            way=self.ways()[0],
-            spread=self.ways()[1],
+            way=self.network_delays()[0],
+            spread=self.network_delays()[1],
             day=day.name,
             seed=day.seed,
             use_cases=[
@@ -95,7 +95,7 @@
                 for u in day.use_cases
             ],
         )
-        self.lines = {one.number: one for one in day.exchanges}
+        self.exchanges = {one.number: one for one in day.exchanges}
         self.zones = {one.number: one.zone for one in day.exchanges}
         for one in day.exchanges:
             # A pair without a group has one of no circuits: both ends tell so, and nobody dials over it.
@@ -115,29 +115,29 @@
             loop=self.loop,
             network=self.network("register"),
             address=self.addresses.of("register", "list"),
-            recorder=self.recorder("register", "register"),
-            chance=self.chance("register"),
+            recorder=self.new_recorder("register", "register"),
+            chance=self.random_for("register"),
             late=lambda standing: waits[standing],
             spread=duration_us(late.spread),
             boot=1,
         )
         for one in day.exchanges:
-            self.new_office(one.number, None)
+            self.start_office(one.number, None)
         self.centre: Centre | None = None
         if day.centre is not None:
             self.centre = Centre(
                 self.loop,
                 self.network("centre"),
                 self.addresses.of("centre", "advice"),
-                self.recorder("centre", "centre"),
-                self.free,
+                self.new_recorder("centre", "centre"),
+                self.free_circuits,
                 sorted(self.trunks),
                 duration_us(day.centre.period),
                 duration_us(day.centre.late),
                 1,
             )
 
-    def ways(self) -> tuple[int, int]:
+    def network_delays(self) -> tuple[int, int]:
         """One way at the longest, and by how much two ways from one call server to offices differ, us. On
         real sockets the figures of the day's net do not act, and a way is what a busy loop takes; the runner
         states it there."""
@@ -151,11 +151,11 @@
         """Time in us."""
         return now_us(self.loop)
 
-    def chance(self, what: str) -> random.Random:
+    def random_for(self, what: str) -> random.Random:
         """A generator of its own for each part, all from the day's seed."""
         return random.Random(f"{self.day.seed} {what}")
 
-    def recorder(self, party: str, name: str, **facts: Any) -> Recorder:
+    def new_recorder(self, party: str, name: str, **facts: Any) -> Recorder:
         """A capture of one party."""
         file: BinaryIO | None = None
         if self.folder is not None:
@@ -167,10 +167,10 @@
         """The host of an exchange's present office."""
         return self.offices[number].name
 
-    def new_office(self, number: int, started: int | None) -> Office:
+    def start_office(self, number: int, started: int | None) -> Office:
         """An office starts, the first or in place of another; the register hears of it at once."""
-        day, line = self.day, self.lines[number]
-        again = self.generation[number] = self.generation.get(number, -1) + 1
+        day, line = self.day, self.exchanges[number]
+        again = self.generations[number] = self.generations.get(number, -1) + 1
         name = f"office-{number}" if not again else f"office-{number}.{again}"
         cold = ColdStart(
             day.offices.cold_share,
@@ -178,13 +178,13 @@
             day.rules.cold_multiple,
             duration_us(day.rules.cold_window),
         )
-        recorder = self.recorder(
+        recorder = self.new_recorder(
             "office",
             name,
             number=number,
             started=started,
-            warm_after=cold.warm_after,
-            cold_share=cold.share,
+            warm_after=cold.warm_after_us,
+            cold_share=cold.initial_share,
             setup_us=duration_us(line.setup),
         )
         office = Office(
@@ -193,7 +193,7 @@
             name,
             self.trunks[number],
             recorder,
-            self.chance(name),
+            self.random_for(name),
             address=self.addresses.of(name, "trunk"),
             setup_us=duration_us(line.setup),
             queue_us=duration_us(day.offices.queue),
@@ -207,17 +207,17 @@
             reports=day.offices.reports,
             noise=day.offices.noise,
         )
-        office.ills.error_rate = day.offices.error_rate
+        office.faults.error_rate = day.offices.error_rate
         if number in self.offices:
-            self.past.append(self.offices[number])
+            self.replaced_offices.append(self.offices[number])
         self.offices[number] = office
-        self.tell(office, "ready")
+        self.update_register(office, "ready")
         return office
 
-    def tell(self, office: Office, standing: str) -> None:
+    def update_register(self, office: Office, standing: str) -> None:
         """The register hears of an office."""
         number = office.trunks.number
-        self.register.change(
+        self.register.update(
             office.name,
             number,
             standing,
@@ -226,7 +226,7 @@
             self.addresses.of(f"server-{number}", "peers"),
         )
 
-    def begin(self) -> None:
+    def start_callers(self) -> None:
         """Callers begin."""
         for line in self.day.exchanges:
             callers = self.callers[line.number] = self._callers(line)
@@ -241,7 +241,7 @@
             day.callers.doubles,
             day.callers.heeds,
             day.limits.marks_redials,
-            impatient=day.callers.impatient,
+            early_hang_up_share=day.callers.impatient,
             tenants=tuple(day.callers.tenants),
         )
         return Callers(
@@ -249,11 +249,11 @@
             self.network(name),
             line.number,
             self.addresses.of(f"server-{line.number}", "callers"),
-            self.recorder("callers", name, number=line.number),
-            self.chance(name),
+            self.new_recorder("callers", name, number=line.number),
+            self.random_for(name),
             TrafficDemand(
                 {int(to): rate for to, rate in line.calls.items() if rate > 0},
-                self.use_cases(),
+                self.traffic_classes(),
                 shape=sorted(day.shape),
                 drift=(duration_us(day.drift.every), day.drift.cv) if day.drift else None,
                 bursts=(duration_us(day.bursts.every), day.bursts.cv) if day.bursts else None,
@@ -262,7 +262,7 @@
             1,
         )
 
-    def use_cases(self) -> list[tuple[TrafficClass, float]]:
+    def traffic_classes(self) -> list[tuple[TrafficClass, float]]:
         """Use cases as the callers know them, with their shares."""
         return [
             (
@@ -283,20 +283,20 @@
             for u in self.day.use_cases
         ]
 
-    def free(self, here: int, there: int) -> int:
+    def free_circuits(self, here: int, there: int) -> int:
         """Free circuits of a group, for the centre; -1 where there is none."""
         group = self.trunks[here].groups.get(there)
         return group.free if group else -1
 
-    def finish(self) -> None:
+    def stop_new_calls(self) -> None:
         """No more new dialogues."""
         for callers in self.callers.values():
-            callers.finish()
+            callers.stop_new_calls()
 
     @property
-    def open(self) -> int:
+    def open_calls(self) -> int:
         """Cases that are not over."""
-        return sum(callers.open for callers in self.callers.values())
+        return sum(callers.open_calls for callers in self.callers.values())
 
     def close(self) -> None:
         """End the captures."""
