--- a/wellhitch/judge/__init__.py
+++ b/wellhitch/judge/__init__.py
@@ -1,2 +1,2 @@
-"""The five rules, read from captures taken at the stand-ins' ends. Shares the frames' codec with the server and
-nothing else: what the server says of itself is no evidence."""
+"""Checks the five rules and computes the service level from the captures of the stand-ins. Shares only the frame codec
+with the server: what a server reports about itself is not evidence."""
--- a/wellhitch/judge/page.py
+++ b/wellhitch/judge/page.py
@@ -1,4 +1,4 @@
-"""The verdict and the service on one page of text."""
+"""Formats the verdict and the service level as text."""
 
 from wellhitch.judge.rules import Verdict
 from wellhitch.judge.service import Service
@@ -10,46 +10,56 @@
     4: "no cold office pushed over",
     5: "the release is awaited",
 }
-SHOWN = 5  # breaks of one rule on the page; the rest is counted
+MAX_SHOWN = 5  # violations of one rule on the page; the rest are only counted
 
 
 def verdict_page(verdict: Verdict) -> str:
-    """The five rules, with the frames that broke them."""
-    out = ["rules, by what went over the sockets"]
+    """The five rules and their violations."""
+    lines = ["rules, by what went over the sockets"]
     for rule, name in RULES.items():
-        breaks = [one for one in verdict.violations if one.rule == rule]
-        out.append(f"  {rule}  {name:32} {'kept' if not breaks else f'BROKEN {len(breaks)} times'}")
-        for one in breaks[:SHOWN]:
-            who = f"call server {one.server}: " if one.server >= 0 else ""
-            out.append(f"       at {one.time_us / 1e6:.6f} s  {who}{one.description}")
-        if len(breaks) > SHOWN:
-            out.append(f"       and {len(breaks) - SHOWN} more")
+        violations = [violation for violation in verdict.violations if violation.rule == rule]
+        lines.append(f"  {rule}  {name:32} {'kept' if not violations else f'BROKEN {len(violations)} times'}")
+        for violation in violations[:MAX_SHOWN]:
+            server = f"call server {violation.server}: " if violation.server >= 0 else ""
+            lines.append(f"       at {violation.time_us / 1e6:.6f} s  {server}{violation.description}")
+        if len(violations) > MAX_SHOWN:
+            lines.append(f"       and {len(violations) - MAX_SHOWN} more")
     seen = ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in sorted(verdict.examined.items()))
-    out.append(f"  judged: {seen}")
-    return "\n".join(out)
+    lines.append(f"  judged: {seen}")
+    return "\n".join(lines)
 
 
 def service_page(service: Service) -> str:
-    """Service by use case, and the worst 10 s."""
-    head = ("use case", "asked", "in time", "late", "cut", "pushed back", "forfeited", "gave up", "service")
-    rows: list[tuple[str, ...]] = [head]
-    for name, one in service.by_traffic_class.items():
-        counts = (one.asked, one.in_time, one.late, one.cut, one.rejected, one.failed, one.abandoned)
-        rows.append((name, *(str(count) for count in counts), f"{one.share:.3f}"))
-    widths = [max(len(row[at]) for row in rows) for at in range(len(head))]
-    out = ["service"]
+    """The service level by traffic class, and in the worst 10 s."""
+    header = ("use case", "asked", "in time", "late", "cut", "pushed back", "forfeited", "gave up", "service")
+    rows: list[tuple[str, ...]] = [header]
+    for name, outcomes in service.by_traffic_class.items():
+        counts = (
+            outcomes.asked,
+            outcomes.in_time,
+            outcomes.late,
+            outcomes.cut,
+            outcomes.rejected,
+            outcomes.failed,
+            outcomes.abandoned,
+        )
+        rows.append((name, *(str(count) for count in counts), f"{outcomes.share:.3f}"))
+    widths = [max(len(row[column]) for row in rows) for column in range(len(header))]
+    lines = ["service"]
     for row in rows:
         cells = [
             row[0].ljust(widths[0]),
             *(cell.rjust(width) for cell, width in zip(row[1:], widths[1:], strict=True)),
         ]
-        out.append("  " + "  ".join(cells))
+        lines.append("  " + "  ".join(cells))
     worst = f"worst 10 s {service.worst_window:.3f} (from second {service.worst_window_index * 10 + 1})"
-    out.append(
+    lines.append(
         f"  whole day {service.overall:.3f}, {worst}, worst use case {service.worst_traffic_class:.3f}"
     )
     times = sorted(service.setup_times_us)
     if times:
-        middle, high = times[len(times) // 2], times[int(len(times) * 0.99)]
-        out.append(f"  set-up as callers saw it: median {middle / 1000:.1f} ms, 99th {high / 1000:.1f} ms")
-    return "\n".join(out)
+        median, percentile_99 = times[len(times) // 2], times[int(len(times) * 0.99)]
+        lines.append(
+            f"  set-up as callers saw it: median {median / 1000:.1f} ms, 99th {percentile_99 / 1000:.1f} ms"
+        )
+    return "\n".join(lines)
