--- a/wellhitch/emulator/__init__.py
+++ b/wellhitch/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time: the same server code on a simulated loop and network, the same on every run."""
+"""Runs the server code in virtual time on a simulated loop, network and disk, deterministically."""
--- a/wellhitch/emulator/disk.py
+++ b/wellhitch/emulator/disk.py
@@ -1,5 +1,5 @@
-"""A disk in memory whose power can be cut at any write or sync, and that keeps, loses, tears and reorders what was not
-synced, sector by sector. The store's engine runs on it as on the real one, through SQLite's own file seam (a VFS)."""
+"""An in-memory disk whose power can be cut at any write or sync. Unsynced writes are then kept, lost, torn or
+reordered, sector by sector. The store's engine runs on it through a SQLite VFS, as on a real disk."""
 
 import asyncio
 import random
@@ -12,71 +12,70 @@
 
 from wellhitch.store.engine import Engine, StoreError, as_store_error
 
-SECTOR = 512  # bytes that a disk writes at once, at best: the least that can be torn off
+SECTOR = 512  # bytes a disk writes at once at best: the smallest unit of a torn write
 
 
 class PowerCut(Exception):
-    """The power is gone: nothing more is read or written in this life."""
+    """The power was cut: this emulated process reads and writes nothing more."""
 
 
 @dataclass(slots=True)
 class EmulatedFile:
-    """One file: what is surely on the platter, what the program sees, and the writes between the two."""
+    """One file: its durable content, the content the program sees, and the unsynced writes between the two."""
 
     synced: bytes = b""
     content: bytearray = field(default_factory=bytearray)
-    unsynced: list[tuple[int, bytes | None]] = field(
-        default_factory=list
-    )  # (at, bytes), or (size, None): truncated
+    # (offset, bytes), or (size, None) for a truncation
+    unsynced: list[tuple[int, bytes | None]] = field(default_factory=list)
 
-    def write(self, at: int, data: bytes) -> None:
-        """Write, not synced."""
-        _put(self.content, at, data)
-        self.unsynced.append((at, data))
+    def write(self, offset: int, data: bytes) -> None:
+        """Write without syncing."""
+        _put(self.content, offset, data)
+        self.unsynced.append((offset, data))
 
     def truncate(self, size: int) -> None:
-        """Cut off, not synced."""
+        """Truncate without syncing."""
         del self.content[size:]
         self.unsynced.append((size, None))
 
     def sync(self) -> None:
-        """All is on the platter."""
+        """Make all writes durable."""
         self.synced = bytes(self.content)
         self.unsynced.clear()
 
-    def after_power_cut(self, chance: random.Random, keep: float) -> bytes:
-        """What is there after a power cut: of each write since the last sync, each sector is kept with the
-        probability `keep`, else lost, and now and then torn in the middle; whatever the order they were written in."""
-        out = bytearray(self.synced)
-        for at, data in self.unsynced:
+    def after_power_cut(self, rng: random.Random, keep: float) -> bytes:
+        """The content after a power cut: of each write since the last sync, each sector is kept with probability
+        `keep`, otherwise lost, and sometimes torn in the middle, regardless of the order of the writes."""
+        result = bytearray(self.synced)
+        for offset, data in self.unsynced:
             if data is None:
-                if chance.random() < keep:
-                    del out[at:]
+                if rng.random() < keep:
+                    del result[offset:]
                 continue
-            for start in range(at - at % SECTOR, at + len(data), SECTOR):
-                low, high = max(start, at), min(start + SECTOR, at + len(data))
-                drawn = chance.random()
-                if drawn < keep * 0.9:
-                    _put(out, low, data[low - at : high - at])
-                elif drawn < keep:
-                    _put(out, low, data[low - at : chance.randrange(low, high) - at])
-        return bytes(out)
+            for start in range(offset - offset % SECTOR, offset + len(data), SECTOR):
+                low, high = max(start, offset), min(start + SECTOR, offset + len(data))
+                draw = rng.random()
+                if draw < keep * 0.9:
+                    _put(result, low, data[low - offset : high - offset])
+                elif draw < keep:
+                    _put(result, low, data[low - offset : rng.randrange(low, high) - offset])
+        return bytes(result)
 
 
-def _put(into: bytearray, at: int, data: bytes) -> None:
+def _put(into: bytearray, offset: int, data: bytes) -> None:
     if not data:
         return
-    if len(into) < at:
-        into.extend(bytes(at - len(into)))
-    into[at : at + len(data)] = data
+    if len(into) < offset:
+        into.extend(bytes(offset - len(into)))
+    into[offset : offset + len(data)] = data
 
 
 _NAMES = count()
 
 
 class EmulatedDisk:
-    """One machine's disk. `cut_at`: the number of the write or sync at which the power goes, counted from 0 in each
-    life. `ills` as troubles set them: `full`, `read_only`, `slow_us`."""
+    """One machine's disk. `power_cut_at`: the index of the write or sync at which the power is cut, counted from 0 in
+    each process. Faults: `full`, `read_only`, and a raised `operation_us`."""
 
     def __init__(self, seed: int = 0, loop: asyncio.AbstractEventLoop | None = None) -> None:
         self.rng = random.Random(seed)
@@ -86,12 +85,12 @@
         self.power_cut_at: int | None = None
         self.dead = False
         self.full = self.read_only = False
-        self.operation_us = 200  # of one piece of work, in virtual time: a commit on a fast disk
+        self.operation_us = 200  # virtual time of one operation: a commit on a fast disk
         self.locked: set[str] = set()
         self._free_at = 0
         self._vfs = _Vfs(self, f"emulated-{next(_NAMES)}")
 
-    # -- the seam --
+    # -- the interface `Disk` --
 
     def open(self, name: str) -> Engine:
         """As `Disk`."""
@@ -101,37 +100,37 @@
         self.locked.add(name)
         return engine
 
-    def run(self, work: Callable[[], Any], done: Callable[[Any], None]) -> None:
-        """As `Disk`: done at once, told after the time it takes, behind what was asked before."""
-        found: Any
+    def run(self, operation: Callable[[], Any], done: Callable[[Any], None]) -> None:
+        """As `Disk`: runs at once and reports after the operation time, queued behind earlier operations."""
+        outcome: Any
         if self.dead:
             return
         try:
-            found = work()
+            outcome = operation()
         except PowerCut:
-            return  # nobody is left to be told
-        except Exception as fault:
-            found = as_store_error(fault)
+            return  # the process died with the power
+        except Exception as error:
+            outcome = as_store_error(error)
         if self.dead:
-            return  # the power went where the database looks past a failure
+            return  # the power was cut in a call whose failure SQLite ignores
         if self.loop is None:
-            done(found)
+            done(outcome)
             return
         now = round(self.loop.time() * 1e6)
         self._free_at = max(self._free_at, now) + self.operation_us
-        self.loop.call_later((self._free_at - now) / 1e6, done, found)
+        self.loop.call_later((self._free_at - now) / 1e6, done, outcome)
 
     def read_concurrently(
-        self, engine: Engine, work: Callable[[Engine], Any], done: Callable[[Any], None]
+        self, engine: Engine, operation: Callable[[Engine], Any], done: Callable[[Any], None]
     ) -> None:
         """As `Disk`."""
-        self.run(lambda: work(engine), done)
+        self.run(lambda: operation(engine), done)
 
-    # -- life and death --
+    # -- power cuts and kills --
 
     def begin_operation(self) -> bool:
-        """One write or sync is about to happen; whether it has any effect. Raises PowerCut once, where the power goes:
-        what the dying program still does has no effect. Where the database looks past a failure only `dead` tells."""
+        """Count a write or sync; returns whether it has any effect. Raises PowerCut once, when the power is cut; later
+        operations have no effect. Where SQLite ignores the exception, only `dead` shows the power cut."""
         if self.dead:
             return False
         if self.operations == self.power_cut_at:
@@ -141,21 +140,22 @@
         return True
 
     def after_power_cut(self, seed: int, keep: float) -> "EmulatedDisk":
-        """The disk as the next life finds it."""
-        out = EmulatedDisk(seed, self.loop)
-        chance = random.Random(seed)
+        """The disk as the next process finds it."""
+        result = EmulatedDisk(seed, self.loop)
+        rng = random.Random(seed)
         for name in sorted(self.files):
-            kept = self.files[name].after_power_cut(chance, keep)
-            out.files[name] = EmulatedFile(kept, bytearray(kept))
-        return out
+            content = self.files[name].after_power_cut(rng, keep)
+            result.files[name] = EmulatedFile(content, bytearray(content))
+        return result
 
     def after_kill(self) -> "EmulatedDisk":
-        """The disk as the next process finds it where only the process died: the system still writes all out."""
-        out = EmulatedDisk(self.rng.randrange(1 << 30), self.loop)
-        out.files = {
-            name: EmulatedFile(bytes(one.content), bytearray(one.content)) for name, one in self.files.items()
+        """The disk after only the process was killed: the operating system still writes everything out."""
+        result = EmulatedDisk(self.rng.randrange(1 << 30), self.loop)
+        result.files = {
+            name: EmulatedFile(bytes(file.content), bytearray(file.content))
+            for name, file in self.files.items()
         }
-        return out
+        return result
 
 
 class _Vfs(apsw.VFS):
@@ -163,7 +163,7 @@
         self.disk, self.vfs_name = disk, name
         super().__init__(name, "")
 
-    def xOpen(self, name: Any, flags: list[int]) -> Any:  # noqa: N802 - SQLite's name
+    def xOpen(self, name: Any, flags: list[int]) -> Any:  # noqa: N802 - the VFS method's name
         text = (
             name
             if isinstance(name, str)
@@ -202,37 +202,37 @@
 
 
 class _File:
-    def __init__(self, disk: EmulatedDisk, blob: EmulatedFile) -> None:
-        self.disk, self.blob = disk, blob
+    def __init__(self, disk: EmulatedDisk, file: EmulatedFile) -> None:
+        self.disk, self.file = disk, file
 
-    def xRead(self, size: int, at: int) -> bytes:  # noqa: N802
-        return bytes(self.blob.content[at : at + size])
+    def xRead(self, size: int, offset: int) -> bytes:  # noqa: N802
+        return bytes(self.file.content[offset : offset + size])
 
-    def xWrite(self, data: bytes, at: int) -> None:  # noqa: N802
+    def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802
         if self.disk.read_only:
             raise apsw.ReadOnlyError("read-only disk")
-        if self.disk.full and at + len(data) > len(self.blob.content):
+        if self.disk.full and offset + len(data) > len(self.file.content):
             raise apsw.FullError("disk full")
         try:
             if not self.disk.begin_operation():
                 return
         except PowerCut:
-            # The write that the power went in may be on the platter, in part or not at all.
-            self.blob.unsynced.append((at, bytes(data)))
+            # The write during which the power was cut may be durable in whole, in part or not at all.
+            self.file.unsynced.append((offset, bytes(data)))
             raise
-        self.blob.write(at, bytes(data))
+        self.file.write(offset, bytes(data))
 
     def xTruncate(self, size: int) -> None:  # noqa: N802
         if self.disk.begin_operation():
-            self.blob.truncate(size)
+            self.file.truncate(size)
 
     def xSync(self, flags: int) -> bool:  # noqa: N802
         if self.disk.begin_operation():
-            self.blob.sync()
+            self.file.sync()
         return True
 
     def xFileSize(self) -> int:  # noqa: N802
-        return len(self.blob.content)
+        return len(self.file.content)
 
     def xLock(self, level: int) -> None:  # noqa: N802
         pass
--- a/wellhitch/emulator/loop.py
+++ b/wellhitch/emulator/loop.py
@@ -1,6 +1,6 @@
-"""An asyncio loop whose clock jumps to the next timer: a day takes as long as its work, not as its hours.
+"""An asyncio loop in virtual time: its clock jumps to the next timer, so a day takes only its processing time.
 
-It keeps asyncio's own scheduling and replaces the selector alone: where that would wait, the clock moves on.
+It keeps asyncio's scheduling and replaces only the selector: instead of waiting, it advances the clock.
 """
 
 import asyncio
@@ -9,37 +9,36 @@
 
 
 class DeadlockError(Exception):
-    """The loop has neither work nor a timer, and would wait for ever."""
+    """The loop has neither ready callbacks nor timers and would wait forever."""
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """A loop in virtual time. The clock counts whole nanoseconds from nought."""
+    """A loop in virtual time. The clock counts whole nanoseconds from zero."""
 
     def __init__(self, wait: Callable[[float], None] | None = None) -> None:
-        """`wait`: called with the virtual seconds that would be waited; for a day that people watch."""
+        """`wait`: called with the virtual seconds to wait, for playing a day at a visible speed."""
         super().__init__()
         self._now_ns = 0
         self._wait = wait
         self._selector = self  # BaseEventLoop calls its select() between rounds
 
     def time(self) -> float:
-        """Virtual seconds since the loop was made."""
+        """Virtual seconds since the loop was created."""
         return self._now_ns / 1e9
 
     def select(self, timeout: float | None) -> list[Any]:
-        """Move the clock instead of waiting."""
+        """Advance the clock instead of waiting."""
         if timeout is None:
             raise DeadlockError
         if timeout > 0:
-            # Rounded up to a whole microsecond: rounded down, the timer would not be due and the loop would
-            # turn on the spot.
+            # Rounded up to a whole microsecond: rounded down, the timer would not be due and the loop would spin.
             if self._wait:
                 self._wait(timeout)
             self._now_ns += -(-round(timeout * 1e9) // 1000) * 1000
         return []
 
     def advance(self, seconds: float) -> None:
-        """Run for so much virtual time."""
+        """Run for `seconds` of virtual time."""
         self.call_later(seconds, self.stop)
         self.run_forever()
 
--- a/wellhitch/emulator/pausable_loop.py
+++ b/wellhitch/emulator/pausable_loop.py
@@ -1,5 +1,5 @@
-"""A loop for one party of a day, so that it alone can be paused as SIGSTOP pauses a process: its clock runs on,
-and when it goes on, what came over its links meanwhile is taken before its overdue timers, as asyncio does."""
+"""An event loop for one party of a day that can be paused as SIGSTOP pauses a process. Its clock runs on, and after the
+pause network events are handled before overdue timers, as asyncio does."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,68 +7,68 @@
 
 
 class PausableLoop:
-    """The part of an asyncio loop that the server code uses, with a gate in it. `ahead`: seconds that this
-    party's clock is ahead of the others'."""
+    """The part of an asyncio loop that the server code uses, with a pause. `clock_offset_s`: how far this party's clock
+    is ahead of the shared one."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, ahead: float = 0.0) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, clock_offset_s: float = 0.0) -> None:
         self._loop = loop
-        self._ahead = ahead
+        self._clock_offset_s = clock_offset_s
         self.paused = False
         self.killed = False
-        self._io: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
-        self._due: list[tuple[Callable[..., object], tuple[Any, ...], _Handle]] = []
+        self._deferred_io: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
+        self._deferred_timers: list[tuple[Callable[..., object], tuple[Any, ...], _Handle]] = []
 
     def as_loop(self) -> asyncio.AbstractEventLoop:
-        """Itself, for code that is typed with asyncio's loop."""
+        """This loop, typed as asyncio's loop."""
         return cast(asyncio.AbstractEventLoop, self)
 
     def time(self) -> float:
-        """As asyncio's."""
-        return self._loop.time() + self._ahead
+        """As in asyncio."""
+        return self._loop.time() + self._clock_offset_s
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> "_Handle":
-        """As asyncio's."""
+        """As in asyncio."""
         handle = _Handle()
         handle.inner = self._loop.call_soon(self._run, callback, args, handle)
         return handle
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> "_Handle":
-        """As asyncio's."""
+        """As in asyncio."""
         handle = _Handle()
         handle.inner = self._loop.call_later(delay, self._run, callback, args, handle)
         return handle
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """As asyncio's."""
+        """As in asyncio."""
         self._loop.call_exception_handler(context)
 
     def _run(self, callback: Callable[..., object], args: tuple[Any, ...], handle: "_Handle") -> None:
         if self.killed or handle.cancelled:
             return
         if self.paused:
-            self._due.append((callback, args, handle))
+            self._deferred_timers.append((callback, args, handle))
         else:
             callback(*args)
 
     def run_or_defer(self, callback: Callable[..., object], *args: Any) -> None:
-        """Something that the network has for this party."""
+        """Run a network callback of this party, or defer it while paused."""
         if self.paused:
-            self._io.append((callback, args))
+            self._deferred_io.append((callback, args))
         else:
             callback(*args)
 
     def pause(self) -> None:
-        """Stop, wherever it is."""
+        """Defer all callbacks until `resume`."""
         self.paused = True
 
     def resume(self) -> None:
-        """Go on."""
+        """Run the deferred callbacks and continue."""
         self.paused = False
-        io, due = self._io, self._due
-        self._io, self._due = [], []
+        io, timers = self._deferred_io, self._deferred_timers
+        self._deferred_io, self._deferred_timers = [], []
         for callback, args in io:
             callback(*args)
-        for callback, args, handle in due:
+        for callback, args, handle in timers:
             if not handle.cancelled:
                 callback(*args)
 
@@ -79,7 +79,7 @@
         self.cancelled = False
 
     def cancel(self) -> None:
-        """As asyncio's; also once it waits behind the gate."""
+        """As in asyncio; also cancels a deferred callback."""
         self.cancelled = True
         if self.inner:
             self.inner.cancel()
