--- a/wellhitch/stand_ins/faults.py
+++ b/wellhitch/stand_ins/faults.py
@@ -1,6 +1,7 @@
-"""What goes wrong on a day: each kind as a pair of what begins and what ends it, on the stand-ins alone.
+"""Injects the faults of a day into the stand-ins. Each fault kind is a function that starts it and may return one that
+ends it.
 
-`FAULT_INJECTORS` has every kind of `settings.day.FAULT_KINDS`; a test holds the two together.
+`FAULT_INJECTORS` has every kind of `settings.day.FAULT_KINDS`; a test compares the two.
 """
 
 import math
@@ -11,260 +12,275 @@
 from wellhitch.settings.server import duration_us
 from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 
-Undo = Callable[[], None]
-Begin = Callable[[SimulatedFleet, FaultSettings], Undo | None]
+EndFault = Callable[[], None]
+InjectFault = Callable[[SimulatedFleet, FaultSettings], EndFault | None]
 
 
 class UnsupportedFaultError(Exception):
-    """A trouble that this way of playing the day cannot make; the text says why."""
+    """A fault that cannot be injected in this mode of playing the day; the message says why."""
 
 
 def schedule(simulation: SimulatedFleet) -> None:
-    """Set all troubles of the day, each at its time from now on."""
-    for trouble in simulation.day.troubles:
-        if trouble.kind in _NEED_WIRE and simulation.link_faults is None:
-            raise UnsupportedFaultError(f"trouble {trouble.kind!r} needs the emulated network (--virtual)")
-        simulation.loop.call_later(duration_us(trouble.at) / 1e6, _begin, simulation, trouble)
+    """Schedule all faults of the day, with times relative to now."""
+    for fault in simulation.day.troubles:
+        if fault.kind in _NEED_EMULATED_NETWORK and simulation.link_faults is None:
+            raise UnsupportedFaultError(f"trouble {fault.kind!r} needs the emulated network (--virtual)")
+        simulation.loop.call_later(duration_us(fault.at) / 1e6, _start_fault, simulation, fault)
 
 
-def _begin(simulation: SimulatedFleet, trouble: FaultSettings) -> None:
-    simulation.world_recorder.record_note("trouble", kind=trouble.kind, on=trouble.on, size=trouble.size)
-    undo = FAULT_INJECTORS[trouble.kind](simulation, trouble)
-    if undo is not None:
-        simulation.loop.call_later(duration_us(trouble.length) / 1e6, _end, simulation, trouble, undo)
+def _start_fault(simulation: SimulatedFleet, fault: FaultSettings) -> None:
+    simulation.world_recorder.record_note("trouble", kind=fault.kind, on=fault.on, size=fault.size)
+    end_fault = FAULT_INJECTORS[fault.kind](simulation, fault)
+    if end_fault is not None:
+        simulation.loop.call_later(duration_us(fault.length) / 1e6, _end_fault, simulation, fault, end_fault)
 
 
-def _end(simulation: SimulatedFleet, trouble: FaultSettings, undo: Undo) -> None:
-    simulation.world_recorder.record_note("trouble_over", kind=trouble.kind)
-    undo()
+def _end_fault(simulation: SimulatedFleet, fault: FaultSettings, end_fault: EndFault) -> None:
+    simulation.world_recorder.record_note("trouble_over", kind=fault.kind)
+    end_fault()
 
 
-def _on(simulation: SimulatedFleet, trouble: FaultSettings) -> list[int]:
-    return trouble.on or sorted(simulation.offices)
+def _affected_exchanges(simulation: SimulatedFleet, fault: FaultSettings) -> list[int]:
+    return fault.on or sorted(simulation.offices)
 
 
-def _later(simulation: SimulatedFleet, seconds: float, work: Callable[..., object], *args: object) -> None:
-    simulation.loop.call_later(seconds, work, *args)
+def _call_later(
+    simulation: SimulatedFleet, seconds: float, callback: Callable[..., object], *args: object
+) -> None:
+    simulation.loop.call_later(seconds, callback, *args)
 
 
 # ---- processors ----
 
 
-def _slower(simulation: SimulatedFleet, numbers: list[int], times: float) -> Undo:
-    struck = [simulation.offices[number].processor for number in numbers]
-    for processor in struck:
-        processor.slowdown *= times
+def _slow_down(simulation: SimulatedFleet, numbers: list[int], factor: float) -> EndFault:
+    affected = [simulation.offices[number].processor for number in numbers]
+    for processor in affected:
+        processor.slowdown *= factor
 
-    def undo() -> None:
-        for processor in struck:
-            processor.slowdown /= times
+    def end_fault() -> None:
+        for processor in affected:
+            processor.slowdown /= factor
 
-    return undo
+    return end_fault
 
 
-def slow(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """`size` times slower."""
-    return _slower(simulation, _on(simulation, t), max(t.size, 0.01))
+def slow(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """Processors are `size` times slower."""
+    return _slow_down(simulation, _affected_exchanges(simulation, fault), max(fault.size, 0.01))
 
 
-def hang(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """Work is taken and nothing comes of it."""
-    struck = [simulation.offices[number].processor for number in _on(simulation, t)]
-    for processor in struck:
+def hang(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """Processors accept work and complete none."""
+    affected = [simulation.offices[number].processor for number in _affected_exchanges(simulation, fault)]
+    for processor in affected:
         processor.hung = True
 
-    def undo() -> None:
-        for processor in struck:
+    def end_fault() -> None:
+        for processor in affected:
             processor.resume()
 
-    return undo
+    return end_fault
 
 
-def neighbour(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """Other work takes `size` of the processor, on and off every `extra` seconds."""
-    over = [False]
+def neighbour(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """Other work takes `size` of the processor, alternately on and off for `extra` seconds."""
+    ended = [False]
 
-    def on() -> None:
-        if not over[0]:
-            undo = _slower(simulation, _on(simulation, t), 1 / max(0.01, 1 - t.size))
-            _later(simulation, max(0.1, t.extra), off, undo)
+    def start() -> None:
+        if not ended[0]:
+            end_fault = _slow_down(
+                simulation, _affected_exchanges(simulation, fault), 1 / max(0.01, 1 - fault.size)
+            )
+            _call_later(simulation, max(0.1, fault.extra), stop, end_fault)
 
-    def off(undo: Undo) -> None:
-        undo()
-        _later(simulation, max(0.1, t.extra), on)
+    def stop(end_fault: EndFault) -> None:
+        end_fault()
+        _call_later(simulation, max(0.1, fault.extra), start)
 
-    on()
-    return lambda: over.__setitem__(0, True)
+    start()
+    return lambda: ended.__setitem__(0, True)
 
 
-def ageing(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """Slower and slower, up to `size` times; dead at the end, and back `extra` seconds later, cold."""
-    numbers, steps = _on(simulation, t), 20
-    step = max(1.0, t.size) ** (1 / steps)
-    for at in range(steps):
-        _later(simulation, duration_us(t.length) / 1e6 * at / steps, _slower, simulation, numbers, step)
+def ageing(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """Processors slow down gradually, up to `size` times, crash at the end and restart cold `extra` seconds later."""
+    numbers, steps = _affected_exchanges(simulation, fault), 20
+    step = max(1.0, fault.size) ** (1 / steps)
+    for index in range(steps):
+        _call_later(
+            simulation, duration_us(fault.length) / 1e6 * index / steps, _slow_down, simulation, numbers, step
+        )
 
-    def undo() -> None:
+    def end_fault() -> None:
         for number in numbers:
-            _crash(simulation, number, t.extra)
+            _crash(simulation, number, fault.extra)
 
-    return undo
+    return end_fault
 
 
-def _crash(simulation: SimulatedFleet, number: int, back_after: float) -> None:
+def _crash(simulation: SimulatedFleet, number: int, restart_after_s: float) -> None:
     office = simulation.offices[number]
     office.stop("crash")
     simulation.update_register(office, "gone")
-    _later(simulation, back_after, lambda: simulation.start_office(number, simulation.now()))
+    _call_later(simulation, restart_after_s, lambda: simulation.start_office(number, simulation.now()))
 
 
-def crash(simulation: SimulatedFleet, t: FaultSettings) -> None:
-    """The processor dies and comes back after `length`, cold."""
-    for number in _on(simulation, t):
-        _crash(simulation, number, duration_us(t.length) / 1e6)
+def crash(simulation: SimulatedFleet, fault: FaultSettings) -> None:
+    """The processor crashes and restarts cold after `length`."""
+    for number in _affected_exchanges(simulation, fault):
+        _crash(simulation, number, duration_us(fault.length) / 1e6)
 
 
-def mass_restart(simulation: SimulatedFleet, t: FaultSettings) -> None:
-    """Many die at once and are back after `length`, cold, all together."""
-    crash(simulation, t)
+def mass_restart(simulation: SimulatedFleet, fault: FaultSettings) -> None:
+    """Many processors crash at once and all restart cold after `length`."""
+    crash(simulation, fault)
 
 
-def deploy(simulation: SimulatedFleet, t: FaultSettings) -> None:
-    """New processors take the place of the old, `size` of all at a time; each drains for `extra` seconds."""
-    numbers = _on(simulation, t)
-    batch = max(1, round(t.size * len(simulation.offices)))
-    batches = [numbers[at : at + batch] for at in range(0, len(numbers), batch)]
-    for at, lot in enumerate(batches):
-        _later(
-            simulation, duration_us(t.length) / 1e6 * at / len(batches), _replace, simulation, lot, t.extra
+def deploy(simulation: SimulatedFleet, fault: FaultSettings) -> None:
+    """New processors replace the old, a share `size` of all at a time; each old one drains for `extra` seconds."""
+    numbers = _affected_exchanges(simulation, fault)
+    batch = max(1, round(fault.size * len(simulation.offices)))
+    batches = [numbers[index : index + batch] for index in range(0, len(numbers), batch)]
+    for index, batch_numbers in enumerate(batches):
+        _call_later(
+            simulation,
+            duration_us(fault.length) / 1e6 * index / len(batches),
+            _replace,
+            simulation,
+            batch_numbers,
+            fault.extra,
         )
 
 
-def _replace(simulation: SimulatedFleet, numbers: list[int], drain: float) -> None:
+def _replace(simulation: SimulatedFleet, numbers: list[int], drain_s: float) -> None:
     for number in numbers:
-        old = simulation.offices[number]
-        if not old.running:
+        old_office = simulation.offices[number]
+        if not old_office.running:
             continue
-        simulation.update_register(old, "draining")
+        simulation.update_register(old_office, "draining")
         simulation.start_office(number, simulation.now())
-        _later(simulation, drain, _stop_old, simulation, old)
+        _call_later(simulation, drain_s, _stop_old, simulation, old_office)
 
 
-def _stop_old(simulation: SimulatedFleet, old: object) -> None:
+def _stop_old(simulation: SimulatedFleet, old_office: object) -> None:
     for office in [*simulation.replaced_offices, *simulation.offices.values()]:
-        if office is old:
+        if office is old_office:
             office.stop("replaced")
             simulation.update_register(office, "gone")
 
 
-def errors(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """`size` of all set-ups fail at once."""
-    return _ill(simulation, t, "error_rate", t.size, simulation.day.offices.error_rate)
+def errors(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """A share `size` of all set-ups fails immediately."""
+    return _set_office_faults(simulation, fault, "error_rate", fault.size, simulation.day.offices.error_rate)
 
 
-def answer_lost(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """`size` of the answers do not come: silence, or where `how` says so a reset."""
-    return _ill(simulation, t, "reset_answers" if t.how == "reset" else "lost_answers", t.size, 0.0)
+def answer_lost(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """A share `size` of the answers is lost: silently, or with a reset if `how` is "reset"."""
+    return _set_office_faults(
+        simulation, fault, "reset_answers" if fault.how == "reset" else "lost_answers", fault.size, 0.0
+    )
 
 
-def answer_twice(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """`size` of the answers come twice."""
-    return _ill(simulation, t, "duplicated_answers", t.size, 0.0)
+def answer_twice(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """A share `size` of the answers is sent twice."""
+    return _set_office_faults(simulation, fault, "duplicated_answers", fault.size, 0.0)
 
 
-def answer_after_release(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """An answer comes once more when the dial is released or cancelled."""
-    return _ill(simulation, t, "answers_after_release", True, False)
+def answer_after_release(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """An answer is sent again when the dial is released or cancelled."""
+    return _set_office_faults(simulation, fault, "answers_after_release", True, False)
 
 
-def garbage(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """The next answer of each office is a frame of garbage."""
-    return _ill(simulation, t, "sends_garbage", True, False)
+def garbage(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """The next answer of each office is an undecodable frame."""
+    return _set_office_faults(simulation, fault, "sends_garbage", True, False)
 
 
-def report_late(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """Load reports are `size` seconds older."""
-    return _ill(simulation, t, "report_age_us", int(t.size * 1e6), 0)
+def report_late(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """Load reports are `size` seconds old."""
+    return _set_office_faults(simulation, fault, "report_age_us", int(fault.size * 1e6), 0)
 
 
-def _ill(simulation: SimulatedFleet, t: FaultSettings, name: str, during: object, after: object) -> Undo:
-    struck = [simulation.offices[number].faults for number in _on(simulation, t)]
-    for ills in struck:
-        setattr(ills, name, during)
+def _set_office_faults(
+    simulation: SimulatedFleet, fault: FaultSettings, attribute: str, during: object, after: object
+) -> EndFault:
+    affected = [simulation.offices[number].faults for number in _affected_exchanges(simulation, fault)]
+    for office_faults in affected:
+        setattr(office_faults, attribute, during)
 
-    def undo() -> None:
-        for ills in struck:
-            setattr(ills, name, after)
+    def end_fault() -> None:
+        for office_faults in affected:
+            setattr(office_faults, attribute, after)
 
-    return undo
+    return end_fault
 
 
 # ---- callers ----
 
 
-def burst(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """All callers call `size` times as often."""
-    return _demand(simulation, _on(simulation, t), t.size)
+def burst(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """The call rate is multiplied by `size`."""
+    return _multiply_demand(simulation, _affected_exchanges(simulation, fault), fault.size)
 
 
-def _demand(simulation: SimulatedFleet, numbers: list[int], times: float) -> Undo:
-    struck = [simulation.callers[number].demand for number in numbers]
-    for demand in struck:
-        demand.multiplier *= times
+def _multiply_demand(simulation: SimulatedFleet, numbers: list[int], factor: float) -> EndFault:
+    affected = [simulation.callers[number].demand for number in numbers]
+    for demand in affected:
+        demand.multiplier *= factor
 
-    def undo() -> None:
-        for demand in struck:
-            demand.multiplier /= times
+    def end_fault() -> None:
+        for demand in affected:
+            demand.multiplier /= factor
 
-    return undo
+    return end_fault
 
 
-def hot_caller(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """A few exchanges get `size` of all dialogues on top of their own."""
-    numbers = _on(simulation, t)
+def hot_caller(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """Callers of the exchanges add a share `size` of all dialogues to their own."""
+    numbers = _affected_exchanges(simulation, fault)
     total = sum(sum(c.demand.rates.values()) for c in simulation.callers.values())
-    mine = sum(sum(simulation.callers[n].demand.rates.values()) for n in numbers) or 1.0
-    return _demand(simulation, numbers, 1 + t.size * total / mine)
+    own = sum(sum(simulation.callers[n].demand.rates.values()) for n in numbers) or 1.0
+    return _multiply_demand(simulation, numbers, 1 + fault.size * total / own)
 
 
-def hot_number(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """`size` of all dialogues call one number of the first exchange named."""
-    struck = [callers.demand for callers in simulation.callers.values()]
-    for demand in struck:
+def hot_number(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """A share `size` of all dialogues calls one number of the first exchange named."""
+    affected = [callers.demand for callers in simulation.callers.values()]
+    for demand in affected:
         demand.hot_share, demand.hot_exchange, demand.hot_number = (
-            min(1.0, t.size),
-            _on(simulation, t)[0],
+            min(1.0, fault.size),
+            _affected_exchanges(simulation, fault)[0],
             "hot",
         )
 
-    def undo() -> None:
-        for demand in struck:
+    def end_fault() -> None:
+        for demand in affected:
             demand.hot_share = 0.0
 
-    return undo
+    return end_fault
 
 
-def give_up(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """`size` of the callers wait for but `extra` of their usual patience, and do not try again."""
-    short = (min(1.0, t.size), t.extra or 0.5)
+def give_up(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """A share `size` of the callers waits only `extra` of the usual patience and does not retry."""
+    shortened = (min(1.0, fault.size), fault.extra or 0.5)
     for callers in simulation.callers.values():
-        callers.behaviour.shortened_patience.append(short)
+        callers.behaviour.shortened_patience.append(shortened)
 
-    def undo() -> None:
+    def end_fault() -> None:
         for callers in simulation.callers.values():
-            callers.behaviour.shortened_patience.remove(short)
+            callers.behaviour.shortened_patience.remove(shortened)
 
-    return undo
+    return end_fault
 
 
 # ---- groups ----
 
 
-def origin_slow(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """Groups between the zone of the first exchange named and the others keep 1 / root(`size`) of their
-    circuits; calls on the lost ones are cut."""
-    zone = simulation.zones[_on(simulation, t)[0]]
-    chance = random.Random(f"{simulation.day.seed} origin_slow")
+def origin_slow(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """Groups between the zone of the first exchange named and the other zones are reduced to 1 / sqrt(`size`) of their
+    circuits; calls on the removed circuits are cut."""
+    zone = simulation.zones[_affected_exchanges(simulation, fault)[0]]
+    rng = random.Random(f"{simulation.day.seed} origin_slow")
     pairs = [
         (a, b)
         for a in sorted(simulation.trunks)
@@ -273,180 +289,194 @@
     ]
     sizes = {pair: simulation.trunks[pair[0]].groups[pair[1]].size for pair in pairs}
     for pair in pairs:
-        _resize(simulation, pair, int(sizes[pair] / math.sqrt(max(1.0, t.size))), chance)
+        _resize(simulation, pair, int(sizes[pair] / math.sqrt(max(1.0, fault.size))), rng)
 
-    def undo() -> None:
+    def end_fault() -> None:
         for pair in pairs:
-            _resize(simulation, pair, sizes[pair], chance)
+            _resize(simulation, pair, sizes[pair], rng)
 
-    return undo
+    return end_fault
 
 
-def _resize(simulation: SimulatedFleet, pair: tuple[int, int], size: int, chance: random.Random) -> None:
+def _resize(simulation: SimulatedFleet, pair: tuple[int, int], size: int, rng: random.Random) -> None:
     a, b = pair
-    ends = [(simulation.offices[a], b), (simulation.offices[b], a)]
-    legs = [(office, leg) for office, other in ends for leg in office.legs_from_exchange(other)]
-    chance.shuffle(legs)
+    group_ends = [(simulation.offices[a], b), (simulation.offices[b], a)]
+    legs = [(office, leg) for office, other in group_ends for leg in office.legs_from_exchange(other)]
+    rng.shuffle(legs)
     held = sum(leg.setup.width for _, leg in legs)
     while held > size and legs:
         office, leg = legs.pop()
         held -= leg.setup.width
         office.cut_leg(leg)
-    for office, other in ends:
+    for office, other in group_ends:
         office.resize(other, size)
 
 
-# ---- links, lists, call servers ----
+# ---- connections, office lists, call servers ----
 
 
-def _pairs(simulation: SimulatedFleet, t: FaultSettings) -> list[tuple[str, str]]:
+def _server_office_pairs(simulation: SimulatedFleet, fault: FaultSettings) -> list[tuple[str, str]]:
     return [
-        (f"server-{server}", simulation.host_of(number))
-        for number in _on(simulation, t)
-        for server in sorted(simulation.offices)
-        if server != number
+        (f"server-{server_number}", simulation.host_of(number))
+        for number in _affected_exchanges(simulation, fault)
+        for server_number in sorted(simulation.offices)
+        if server_number != number
     ]
 
 
-def link_cut(simulation: SimulatedFleet, t: FaultSettings) -> None:
-    """Every link to these offices is reset, `size` times with `extra` seconds between."""
+def link_cut(simulation: SimulatedFleet, fault: FaultSettings) -> None:
+    """Every connection to these offices is reset, `size` times, `extra` seconds apart."""
     assert simulation.link_faults is not None
-    for at in range(max(1, int(t.size))):
-        for server, office in _pairs(simulation, t):
-            _later(simulation, at * t.extra, simulation.link_faults.reset_connections, server, office)
-
-
-def _spoil(
-    what: str,
-    pairs_of: Callable[[SimulatedFleet, FaultSettings], list[tuple[str, str]]] = _pairs,
-    how: Callable[[FaultSettings], bool | int] = lambda t: True,
-) -> Begin:
-    def begin(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-        wire = simulation.link_faults
-        assert wire is not None
-        pairs = pairs_of(simulation, t)
+    for index in range(max(1, int(fault.size))):
+        for server_host, office_host in _server_office_pairs(simulation, fault):
+            _call_later(
+                simulation,
+                index * fault.extra,
+                simulation.link_faults.reset_connections,
+                server_host,
+                office_host,
+            )
+
+
+def _link_fault_injector(
+    fault_name: str,
+    select_pairs: Callable[[SimulatedFleet, FaultSettings], list[tuple[str, str]]] = _server_office_pairs,
+    value_of: Callable[[FaultSettings], bool | int] = lambda fault: True,
+) -> InjectFault:
+    def inject(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+        link_faults = simulation.link_faults
+        assert link_faults is not None
+        pairs = select_pairs(simulation, fault)
         for here, there in pairs:
-            wire.set_fault(here, there, what, how(t))
-            if what != "extra_delay_us":
+            link_faults.set_fault(here, there, fault_name, value_of(fault))
+            if fault_name != "extra_delay_us":
                 simulation.world_recorder.record_note("silent", here=here, there=there)
 
-        def undo() -> None:
+        def end_fault() -> None:
             for here, there in pairs:
-                wire.set_fault(here, there, what, False)
-                if what != "extra_delay_us":
+                link_faults.set_fault(here, there, fault_name, False)
+                if fault_name != "extra_delay_us":
                     simulation.world_recorder.record_note("silent_over", here=here, there=there)
 
-        return undo
+        return end_fault
 
-    return begin
+    return inject
 
 
-def _between_servers(simulation: SimulatedFleet, t: FaultSettings) -> list[tuple[str, str]]:
-    """Links over which the call servers of these exchanges tell each other words."""
+def _peer_server_pairs(simulation: SimulatedFleet, fault: FaultSettings) -> list[tuple[str, str]]:
+    """Host pairs over which the call servers of these exchanges send peer messages."""
     return [
         (f"server-{here}", f"server-{there}")
-        for here in _on(simulation, t)
+        for here in _affected_exchanges(simulation, fault)
         for there in sorted(simulation.offices)
         if here != there
     ]
 
 
-def answer_reordered(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """`size` of the answers come after others that were said later."""
-    return _ill(simulation, t, "reordered_answers", t.size, 0.0)
+def answer_reordered(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """A share `size` of the answers is delayed so that later ones overtake it."""
+    return _set_office_faults(simulation, fault, "reordered_answers", fault.size, 0.0)
 
 
-def reads_nothing(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """These offices stop reading."""
-    struck = [simulation.offices[number] for number in _on(simulation, t)]
-    for office in struck:
+def reads_nothing(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """These offices stop reading their connections."""
+    affected = [simulation.offices[number] for number in _affected_exchanges(simulation, fault)]
+    for office in affected:
         office.set_reading(False)
 
-    def undo() -> None:
-        for office in struck:
+    def end_fault() -> None:
+        for office in affected:
             office.set_reading(True)
 
-    return undo
+    return end_fault
 
 
-def mid_frame_reset(simulation: SimulatedFleet, t: FaultSettings) -> None:
-    """Each link of these offices ends in the middle of a frame."""
-    for number in _on(simulation, t):
-        for port in list(simulation.offices[number].channels):
-            if port.transport is not None:
-                port.transport.write(b"\x01\x00\x00\x40half")
-                port.transport.abort()
+def mid_frame_reset(simulation: SimulatedFleet, fault: FaultSettings) -> None:
+    """Each connection of these offices is reset in the middle of a frame."""
+    for number in _affected_exchanges(simulation, fault):
+        for channel in list(simulation.offices[number].channels):
+            if channel.transport is not None:
+                channel.transport.write(b"\x01\x00\x00\x40half")
+                channel.transport.abort()
 
 
-def list_goes_back(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """The register tells an old list after each new one."""
+def list_goes_back(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """The register sends an old office list after each new one."""
     simulation.register.resends_old_list = True
     return lambda: setattr(simulation.register, "resends_old_list", False)
 
 
-def register_restart(simulation: SimulatedFleet, t: FaultSettings) -> None:
-    """The register restarts with a list `size` revisions old."""
-    simulation.register.restart(int(t.size))
+def register_restart(simulation: SimulatedFleet, fault: FaultSettings) -> None:
+    """The register restarts with an office list `size` revisions old."""
+    simulation.register.restart(int(fault.size))
 
 
-def server_killed(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """The call servers are ended outright, and started again after `length`."""
-    numbers = [number for number in _on(simulation, t) if number not in simulation.unavailable_servers]
+def server_killed(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """The call servers are killed and started again after `length`."""
+    numbers = [
+        number
+        for number in _affected_exchanges(simulation, fault)
+        if number not in simulation.unavailable_servers
+    ]
     simulation.unavailable_servers.update(numbers)
     for number in numbers:
         simulation.world_recorder.record_note("server_killed", server=number)
         simulation.servers.kill(number)
 
-    def undo() -> None:
+    def end_fault() -> None:
         for number in numbers:
             simulation.unavailable_servers.discard(number)
             simulation.world_recorder.record_note("server_started", server=number)
             simulation.servers.start(number)
 
-    return undo
+    return end_fault
 
 
-def server_paused(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """The call servers' processes stand still for `length`."""
-    numbers = [number for number in _on(simulation, t) if number not in simulation.unavailable_servers]
+def server_paused(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """The call servers' processes are paused for `length`."""
+    numbers = [
+        number
+        for number in _affected_exchanges(simulation, fault)
+        if number not in simulation.unavailable_servers
+    ]
     simulation.unavailable_servers.update(numbers)
     for number in numbers:
         simulation.world_recorder.record_note("server_paused", server=number)
         simulation.servers.pause(number)
 
-    def undo() -> None:
+    def end_fault() -> None:
         for number in numbers:
             simulation.unavailable_servers.discard(number)
             simulation.servers.resume(number)
             simulation.world_recorder.record_note("server_resumed", server=number)
 
-    return undo
+    return end_fault
 
 
-def server_stalls(simulation: SimulatedFleet, t: FaultSettings) -> Undo:
-    """The call servers' loops stand still for `size` ms, again `extra` seconds later, each at times of its own. The
-    judge is not told: a call server does what it owes in spite of it."""
-    over = [False]
-    numbers = _on(simulation, t)
+def server_stalls(simulation: SimulatedFleet, fault: FaultSettings) -> EndFault:
+    """The call servers' loops stall for `size` ms, repeatedly, `extra` seconds apart and each at different times. The
+    captures do not record it: the rules apply in full during these stalls."""
+    ended = [False]
+    numbers = _affected_exchanges(simulation, fault)
 
     def stall(number: int) -> None:
-        if over[0]:
+        if ended[0]:
             return
         if number not in simulation.unavailable_servers:
             simulation.servers.pause(number)
-        _later(simulation, t.size / 1000, go_on, number)
+        _call_later(simulation, fault.size / 1000, resume, number)
 
-    def go_on(number: int) -> None:
+    def resume(number: int) -> None:
         if number not in simulation.unavailable_servers:
             simulation.servers.resume(number)
-        _later(simulation, max(0.02, t.extra), stall, number)
+        _call_later(simulation, max(0.02, fault.extra), stall, number)
 
     for index, number in enumerate(numbers):
-        _later(simulation, t.extra * index / len(numbers), stall, number)
-    return lambda: over.__setitem__(0, True)
+        _call_later(simulation, fault.extra * index / len(numbers), stall, number)
+    return lambda: ended.__setitem__(0, True)
 
 
-FAULT_INJECTORS: dict[str, Begin] = {
+FAULT_INJECTORS: dict[str, InjectFault] = {
     "slow": slow,
     "hang": hang,
     "answer_lost": answer_lost,
@@ -465,11 +495,13 @@
     "errors": errors,
     "crash": crash,
     "link_cut": link_cut,
-    "half_open": _spoil("silent"),
+    "half_open": _link_fault_injector("silent"),
     "reads_nothing": reads_nothing,
-    "trickle": _spoil("trickle"),
-    "words_lost": _spoil("silent", _between_servers),
-    "words_late": _spoil("extra_delay_us", _between_servers, lambda t: int(t.size * 1e6)),
+    "trickle": _link_fault_injector("trickle"),
+    "words_lost": _link_fault_injector("silent", _peer_server_pairs),
+    "words_late": _link_fault_injector(
+        "extra_delay_us", _peer_server_pairs, lambda fault: int(fault.size * 1e6)
+    ),
     "answer_reordered": answer_reordered,
     "mid_frame_reset": mid_frame_reset,
     "garbage": garbage,
@@ -481,4 +513,4 @@
     "server_killed": server_killed,
     "server_stalls": server_stalls,
 }
-_NEED_WIRE = ("link_cut", "half_open", "trickle", "words_lost", "words_late")
+_NEED_EMULATED_NETWORK = ("link_cut", "half_open", "trickle", "words_lost", "words_late")
