--- a/tests/test_ledger_tools.py
+++ b/tests/test_ledger_tools.py
@@ -86,7 +86,7 @@
     # Two of north: 0.10 + 0.10 + 15 s at 0.001; one of south: 0.10 + 30 s.
     assert (
         result.exit_code == 0
-        and "whole: 0.35 BRL" in result.output
+        and "total: 0.35 BRL" in result.output
         and "0.22" in result.output
         and "0.13" in result.output
     )
@@ -116,7 +116,7 @@
     ("words", "code", "why"),
     [
         (["show", "SHEET", "--period", "2026-13"], 2, "period '2026-13': expected a month such as 2026-12"),
-        (["show", "SHEET", "--as-of", "soon"], 2, "--as-of: 'soon': a day such as"),
+        (["show", "SHEET", "--as-of", "soon"], 2, "--as-of: 'soon': must be a day such as"),
         (["show", "none.jsonnet"], 2, "no such file"),
         (["rate", "SHEET", "TARIFF", "--period", "x"], 2, "period 'x'"),
         (["close", "SHEET", "2026-12"], 2, "doors.operators = '127.0.0.1:1'"),
@@ -181,4 +181,4 @@
     result = run_ledger("accounting", tmp_path / "way", "--key", key, "--once")
     assert "1 files booked" in result.output and result.exit_code == 0
     for name in ("\u00b2-1.wh", "1-1.wh", "2-1.wh"):
-        assert f"{name}: put aside" in result.output
+        assert f"{name}: quarantined" in result.output
