--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -224,14 +224,14 @@
 def answer_tests(world: World) -> None:
     """Make the simulated office answer liveness tests."""
     office = world.offices[1]
-    came = office._came
+    came = office._data_received
 
     def answering(end: Any, data: bytes) -> None:
         came(end, data)
         if b'"hb"' in data:
             end.write(b'{"t":"hb_ok","ref":"0000000000000000","f":{},"c":1}\n')
 
-    office._came = answering  # type: ignore[method-assign]
+    office._data_received = answering  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("may_probe", [True, False])
--- a/wellhitch/stand_ins/__init__.py
+++ b/wellhitch/stand_ins/__init__.py
@@ -1,2 +1,2 @@
-"""Stand-ins for what the call server meets: offices, callers, the register, the centre, and their troubles.
-They use the same seams as the server, so that they run on real sockets and in virtual time alike."""
+"""Simulated counterparts of the call server: offices, callers, the register, the centre, and injected faults. They use
+the same network interface as the server and run on real sockets and in virtual time."""
--- a/wellhitch/stand_ins/accounting.py
+++ b/wellhitch/stand_ins/accounting.py
@@ -1,5 +1,5 @@
-"""A stand-in accounting side: it takes files over, books each once in a store of its own, and answers with receipts. It
-may be slow, answer twice, answer for the wrong file, lose the answer, or take half and die."""
+"""A simulated accounting system: it receives export files, books each once in its own store, and answers with receipts.
+It can be made to answer twice, answer for the wrong file, lose the receipt, or receive a truncated file."""
 
 import random
 from collections import Counter
@@ -12,12 +12,12 @@
 from wellhitch.store.engine import Engine
 from wellhitch.store.records import Change
 
-BOOKED, LAST, FILES = "booked", "last", "file"
+BOOKED, LAST_FILE, FILES = "booked", "last", "file"
 
 
 @dataclass(slots=True)
 class AccountingFaults:
-    """What is wrong with it, as shares of the files that it is handed."""
+    """Injected faults, as shares of the files received."""
 
     loses_receipt: float = 0.0
     duplicates_receipt: float = 0.0
@@ -26,14 +26,14 @@
 
 
 class LastBookedFile(msgspec.Struct, frozen=True, array_like=True):
-    """The last file booked of an instance."""
+    """The last booked file of an instance."""
 
     sequence: int
     mac: bytes
 
 
 class BookedTotal(msgspec.Struct, frozen=True, array_like=True):
-    """What is booked of a dialogue: the sum of its changes, and how many lines spoke of it."""
+    """The bookings of a dialogue: the sum of its changes, and the number of lines about it."""
 
     tenant: str
     traffic_class: str
@@ -42,30 +42,30 @@
 
 
 class Accounting:
-    """One accounting side. Its store outlives it: begin another on the same engine after it died."""
+    """One accounting system. Its store outlives it: after a crash, create another on the same engine."""
 
     def __init__(
-        self, engine: Engine, keys: dict[int, bytes], ills: AccountingFaults, chance: random.Random
+        self, engine: Engine, keys: dict[int, bytes], faults: AccountingFaults, rng: random.Random
     ) -> None:
-        """`keys`: one an instance."""
-        self.engine, self.keys, self.faults, self.rng = engine, keys, ills, chance
+        """`keys`: the export key of each instance."""
+        self.engine, self.keys, self.faults, self.rng = engine, keys, faults, rng
         self.counts: Counter[str] = Counter()
-        self._receipts: list[bytes] = []
+        self._sent_receipts: list[bytes] = []
 
-    def _last(self, instance: int) -> LastBookedFile:
-        found = self.engine.get(LAST, instance.to_bytes(4, "big"))
+    def _last_booked(self, instance: int) -> LastBookedFile:
+        found = self.engine.get(LAST_FILE, instance.to_bytes(4, "big"))
         return (
             msgspec.msgpack.decode(found[1], type=LastBookedFile)
             if found
             else LastBookedFile(0, export.INITIAL_MAC)
         )
 
-    def _file(self, instance: int, sequence: int) -> bytes | None:
+    def _booked_file(self, instance: int, sequence: int) -> bytes | None:
         found = self.engine.get(FILES, _file_key(instance, sequence))
         return found[1] if found else None
 
     def receive_file(self, instance: int, data: bytes) -> list[bytes]:
-        """A file, whole or not; the receipts that are said, in order."""
+        """Receive a file, complete or not; returns the receipts sent, in order."""
         if self.rng.random() < self.faults.truncates_file:
             data = data[: self.rng.randrange(len(data) + 1)]
             self.counts["took_half"] += 1
@@ -78,63 +78,63 @@
         if file.manifest.instance != instance:
             self.counts["refused"] += 1
             return []
-        last = self._last(instance)
-        held = self._file(instance, file.manifest.sequence)
-        booked_mac = export.read_file(key, held).mac if held else None
-        decision = export.evaluate_file(file, last.sequence, last.mac, booked_mac)
+        last_booked = self._last_booked(instance)
+        booked_file = self._booked_file(instance, file.manifest.sequence)
+        booked_mac = export.read_file(key, booked_file).mac if booked_file else None
+        decision = export.evaluate_file(file, last_booked.sequence, last_booked.mac, booked_mac)
         if decision.action == "refuse":
             self.counts["refused"] += 1
             return []
         if decision.action == "give_back":
             self.counts["gave_back"] += 1
-            wanted = range(file.manifest.sequence, last.sequence + 1)
-            return [one for n in wanted if (one := self._file(instance, n))]
+            missing = range(file.manifest.sequence, last_booked.sequence + 1)
+            return [file_data for n in missing if (file_data := self._booked_file(instance, n))]
         receipt = export.make_receipt(key, file)
         if decision.action == "book":
             self._book(file, data)
-        return self._answers(receipt)
+        return self._receipts_with_faults(receipt)
 
     def _book(self, file: export.File, data: bytes) -> None:
-        """All lines and the mark that they are booked, or nothing."""
-        held: dict[bytes, BookedTotal] = {}
+        """Book all lines and record the file as booked, in one transaction."""
+        totals: dict[bytes, BookedTotal] = {}
         for line in file.lines:
             key = line.origin.to_bytes(4, "big") + (line.dialogue & (1 << 64) - 1).to_bytes(8, "big")
-            was = held.get(key)
-            if was is None and (found := self.engine.get(BOOKED, key)):
-                was = msgspec.msgpack.decode(found[1], type=BookedTotal)
-            had, lines = (was.billed, was.line_count) if was else (0, 0)
-            held[key] = BookedTotal(line.tenant, line.traffic_class, had + line.change, lines + 1)
-        changes = [Change(BOOKED, key, msgspec.msgpack.encode(one)) for key, one in held.items()]
-        one = file.manifest
-        mark = msgspec.msgpack.encode(LastBookedFile(one.sequence, file.mac))
-        changes.append(Change(LAST, one.instance.to_bytes(4, "big"), mark))
-        changes.append(Change(FILES, _file_key(one.instance, one.sequence), data))
+            total = totals.get(key)
+            if total is None and (found := self.engine.get(BOOKED, key)):
+                total = msgspec.msgpack.decode(found[1], type=BookedTotal)
+            billed, lines = (total.billed, total.line_count) if total else (0, 0)
+            totals[key] = BookedTotal(line.tenant, line.traffic_class, billed + line.change, lines + 1)
+        changes = [Change(BOOKED, key, msgspec.msgpack.encode(entry)) for key, entry in totals.items()]
+        manifest = file.manifest
+        last_file = msgspec.msgpack.encode(LastBookedFile(manifest.sequence, file.mac))
+        changes.append(Change(LAST_FILE, manifest.instance.to_bytes(4, "big"), last_file))
+        changes.append(Change(FILES, _file_key(manifest.instance, manifest.sequence), data))
         self.engine.commit(changes)
         self.counts["booked"] += 1
 
-    def _answers(self, receipt: bytes) -> list[bytes]:
-        out = [receipt]
+    def _receipts_with_faults(self, receipt: bytes) -> list[bytes]:
+        result = [receipt]
         if self.rng.random() < self.faults.duplicates_receipt:
-            out.append(receipt)
-        if self._receipts and self.rng.random() < self.faults.sends_wrong_receipt:
-            out.insert(0, self.rng.choice(self._receipts))
+            result.append(receipt)
+        if self._sent_receipts and self.rng.random() < self.faults.sends_wrong_receipt:
+            result.insert(0, self.rng.choice(self._sent_receipts))
             self.counts["answered_for_another"] += 1
         if self.rng.random() < self.faults.loses_receipt:
             self.counts["lost_answer"] += 1
-            out = []
-        self._receipts.append(receipt)
-        return out
+            result = []
+        self._sent_receipts.append(receipt)
+        return result
 
     def booked_totals(self) -> dict[tuple[int, int], BookedTotal]:
-        """All that is booked, by dialogue."""
-        out = {}
-        for one in self.engine.scan(BOOKED):
-            assert isinstance(one, tuple)
-            dialogue = int.from_bytes(one[0][4:], "big")
-            out[int.from_bytes(one[0][:4], "big"), dialogue] = msgspec.msgpack.decode(
-                one[2], type=BookedTotal
+        """All bookings, by dialogue."""
+        result = {}
+        for entry in self.engine.scan(BOOKED):
+            assert isinstance(entry, tuple)
+            dialogue = int.from_bytes(entry[0][4:], "big")
+            result[int.from_bytes(entry[0][:4], "big"), dialogue] = msgspec.msgpack.decode(
+                entry[2], type=BookedTotal
             )
-        return out
+        return result
 
 
 def _file_key(instance: int, sequence: int) -> bytes:
--- a/wellhitch/stand_ins/callers.py
+++ b/wellhitch/stand_ins/callers.py
@@ -94,11 +94,11 @@
         self.calls: dict[int, CallRequest] = {}
         self.waiting_to_retry: dict[CallRequest, None] = {}
         self.generating = False
-        self._began = 0
-        self._burst_times = 1.0
+        self._started_at = 0
+        self._burst_multiplier = 1.0
         self._shares: dict[int, float] = {}
-        self._next_id = 0
-        self._next_case = 0
+        self._next_call_id = 0
+        self._next_request = 0
         hello = frames.Hello("caller", number, boot)
         self.channel = PersistentChannel(
             loop, network, address, self, hello, ("call_server",), chance, recorder.record_frame
@@ -111,26 +111,26 @@
     def start(self) -> None:
         """Begin to call."""
         self.generating = True
-        self._began = self.now()
+        self._started_at = self.now()
         self._shares = dict(self.demand.rates)
         if self.demand.drift:
-            self._drift()
+            self._redraw_shares()
         if self.demand.bursts:
-            self._burst()
+            self._redraw_burst()
         self._schedule()
 
     def stop_new_calls(self) -> None:
         """No new dialogues; those that run go on."""
         self.generating = False
 
-    def _burst(self) -> None:
+    def _redraw_burst(self) -> None:
         """Draw the rate anew."""
         if self.generating and self.demand.bursts:
             every, cv = self.demand.bursts
-            self._burst_times = self.rng.gammavariate(1 / (cv * cv), cv * cv)
-            self.loop.call_later(every / 1e6, self._burst)
+            self._burst_multiplier = self.rng.gammavariate(1 / (cv * cv), cv * cv)
+            self.loop.call_later(every / 1e6, self._redraw_burst)
 
-    def _drift(self) -> None:
+    def _redraw_shares(self) -> None:
         """Draw the shares of destinations anew, the whole as it was."""
         if not self.generating or not self.demand.drift:
             return
@@ -139,34 +139,34 @@
         drawn = {to: rate * self.rng.lognormvariate(0, sigma) for to, rate in self.demand.rates.items()}
         whole = sum(drawn.values()) or 1.0
         self._shares = {to: rate * sum(self.demand.rates.values()) / whole for to, rate in drawn.items()}
-        self.loop.call_later(every / 1e6, self._drift)
+        self.loop.call_later(every / 1e6, self._redraw_shares)
 
-    def _times(self) -> float:
+    def _rate_multiplier(self) -> float:
         """How many times the usual traffic now."""
         shape = self.demand.shape
         if not shape:
-            return self.demand.multiplier * self._burst_times
-        second = (self.now() - self._began) / 1e6
+            return self.demand.multiplier * self._burst_multiplier
+        second = (self.now() - self._started_at) / 1e6
         return (
             self.demand.multiplier
-            * self._burst_times
+            * self._burst_multiplier
             * shape[max(0, bisect_right(shape, (second, math.inf)) - 1)][1]
         )
 
     def _schedule(self) -> None:
-        rate = sum(self.demand.rates.values()) * self._times()
+        rate = sum(self.demand.rates.values()) * self._rate_multiplier()
         wait = self.rng.expovariate(rate) if rate > 0 else 0.2
         # Looked at again after a fifth of a second at most, so that a change of rate is followed.
         if wait > 0.2 or rate <= 0:
-            self.loop.call_later(0.2, self._again)
+            self.loop.call_later(0.2, self._check_rate)
         else:
-            self.loop.call_later(wait, self._arrive)
+            self.loop.call_later(wait, self._new_call)
 
-    def _again(self) -> None:
+    def _check_rate(self) -> None:
         if self.generating:
             self._schedule()
 
-    def _arrive(self) -> None:
+    def _new_call(self) -> None:
         if not self.generating:
             return
         demand, chance = self.demand, self.rng
@@ -182,18 +182,18 @@
 
     def call(self, use: TrafficClass, destination: int, called: str) -> CallRequest:
         """One caller begins to try."""
-        self._next_case += 1
-        case = CallRequest(self._next_case, use, destination, called, self.now())
+        self._next_request += 1
+        case = CallRequest(self._next_request, use, destination, called, self.now())
         case.heeds_retry_after = self.rng.random() < self.behaviour.heeds_retry_after
         self.counts["cases"] += 1
-        self._try(case)
+        self._attempt(case)
         return case
 
-    def _try(self, case: CallRequest) -> None:
+    def _attempt(self, case: CallRequest) -> None:
         case.timer = None
         self.waiting_to_retry.pop(case, None)
-        self._next_id += 1
-        case.call_id = self._next_id
+        self._next_call_id += 1
+        case.call_id = self._next_call_id
         case.attempts += 1
         use = case.traffic_class
         patience = self.behaviour.patience
@@ -204,7 +204,7 @@
         # The outer limit runs from the first try.
         left = min(int(use.deadline * patience), case.started_at + use.deadline - self.now())
         if left <= 0:
-            self._done(case, "out_of_time")
+            self._finish(case, "out_of_time")
             return
         port = self.channel.current
         call = frames.Call(
@@ -221,39 +221,39 @@
             "try", id=case.call_id, case=case.number, use_case=use.name, began=case.started_at
         )
         if port is None or port.connection.peer is None or not port.send(call):
-            self._unserved(case, 0)
+            self._retry_or_give_up(case, 0)
             return
         self.calls[case.call_id] = case
         waits = left / 1e6
         if self.behaviour.early_hang_up_share and self.rng.random() < self.behaviour.early_hang_up_share:
             waits *= self.rng.random()
-        case.timer = self.loop.call_later(waits, self._impatient, case)
+        case.timer = self.loop.call_later(waits, self._patience_over, case)
 
-    def _impatient(self, case: CallRequest) -> None:
+    def _patience_over(self, case: CallRequest) -> None:
         self.counts["gave_up"] += 1
-        self._leave(case)
-        self._unserved(case, 0)
+        self._send_hang_up(case)
+        self._retry_or_give_up(case, 0)
 
-    def _leave(self, case: CallRequest) -> None:
+    def _send_hang_up(self, case: CallRequest) -> None:
         if self.calls.pop(case.call_id, None) and self.channel.current:
             self.channel.current.send(frames.HangUp(case.call_id))
 
-    def _unserved(self, case: CallRequest, come_back: int) -> None:
+    def _retry_or_give_up(self, case: CallRequest, come_back: int) -> None:
         """Try again, or not."""
         if case.timer:
             case.timer.cancel()
         self.calls.pop(case.call_id, None)
         if case.no_more_attempts or case.attempts > self.behaviour.retries:
-            self._done(case, "unserved")
+            self._finish(case, "unserved")
             return
         pause = self.behaviour.pause_us * (2 ** (case.attempts - 1) if self.behaviour.doubles_pause else 1)
         pause = int(pause * (0.5 + self.rng.random()))
         if come_back and case.heeds_retry_after:
             pause = come_back
         self.waiting_to_retry[case] = None
-        case.timer = self.loop.call_later(pause / 1e6, self._try, case)
+        case.timer = self.loop.call_later(pause / 1e6, self._attempt, case)
 
-    def _done(self, case: CallRequest, how: str) -> None:
+    def _finish(self, case: CallRequest, how: str) -> None:
         self.counts[how] += 1
         self.calls.pop(case.call_id, None)
 
@@ -267,7 +267,7 @@
             if case.timer:
                 case.timer.cancel()
             self.waiting_to_retry.pop(case)
-            self._done(case, "unserved")
+            self._finish(case, "unserved")
 
     @property
     def open_calls(self) -> int:
@@ -290,9 +290,9 @@
             if case.established:
                 if case.timer:
                     case.timer.cancel()
-                self._done(case, "cut")
+                self._finish(case, "cut")
             else:
-                self._unserved(case, 0)
+                self._retry_or_give_up(case, 0)
 
     def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
         """The call server says something."""
@@ -304,7 +304,7 @@
         elif isinstance(frame, frames.Ended):
             if case.timer:
                 case.timer.cancel()
-            self._done(case, "cut")
+            self._finish(case, "cut")
         elif frame.answer == "stands":
             if case.timer:
                 case.timer.cancel()
@@ -314,8 +314,8 @@
             case.timer = self.loop.call_later(hold / 1e6, self._hang_up, case)
         else:
             self.counts[frame.answer] += 1
-            self._unserved(case, frame.retry_after)
+            self._retry_or_give_up(case, frame.retry_after)
 
     def _hang_up(self, case: CallRequest) -> None:
-        self._leave(case)
-        self._done(case, "talked")
+        self._send_hang_up(case)
+        self._finish(case, "talked")
--- a/wellhitch/stand_ins/office.py
+++ b/wellhitch/stand_ins/office.py
@@ -87,7 +87,14 @@
         self.loop, self.name, self.trunks, self.recorder, self.rng = loop, name, trunks, recorder, chance
         self.costs, self.cancel_drops, self.tells_wait, self.reports = work, cancel_drops, tells_wait, reports
         self.processor = Processor(
-            loop, setup_us, queue_us, cold, started, finish_first, self._fell, self._drawn(noise)
+            loop,
+            setup_us,
+            queue_us,
+            cold,
+            started,
+            finish_first,
+            self._processor_failed,
+            self._work_noise(noise),
         )
         self.hello = frames.Hello("office", trunks.number, boot)
         self.faults = OfficeFaults()
@@ -98,13 +105,13 @@
         self.listener: Listener | None = None
         self.address = address
         self.running = True
-        self._next_onward = 0
-        self._loads: deque[tuple[int, frames.Load]] = deque()
-        self._untold: set[int] = set()
-        self._telling = False
-        network.listen(address, self._port, self._ready)
+        self._next_onward_ref = 0
+        self._load_history: deque[tuple[int, frames.Load]] = deque()
+        self._unreported_groups: set[int] = set()
+        self._report_scheduled = False
+        network.listen(address, self._new_channel, self._ready)
 
-    def _drawn(self, noise: float) -> Callable[[], float] | None:
+    def _work_noise(self, noise: float) -> Callable[[], float] | None:
         """How many times its usual work a piece takes: log-normal around one, or always one."""
         if not noise:
             return None
@@ -116,7 +123,7 @@
         if not self.running:
             listener.close()
 
-    def _port(self) -> Channel:
+    def _new_channel(self) -> Channel:
         port: Channel
         port = Channel(
             self.loop,
@@ -124,12 +131,12 @@
             self.hello,
             ("call_server",),
             self.recorder.record_frame,
-            lambda why: self._forget_port(port),
+            lambda why: self._forget_channel(port),
         )
         self.channels[port] = {}
         return port
 
-    def _forget_port(self, port: Channel) -> None:
+    def _forget_channel(self, port: Channel) -> None:
         self.channels.pop(port, None)  # also one that was lost before it said who it is
 
     def now(self) -> int:
@@ -148,7 +155,7 @@
         for port in list(self.channels):
             port.fail("office stopped", notify_peer=False)
 
-    def _fell(self) -> None:
+    def _processor_failed(self) -> None:
         self.counts["fell_over"] += 1
         self.recorder.record_note("fell_over")
         self.loop.call_soon(self.stop, "fell over")
@@ -168,17 +175,17 @@
         for other in list(self.channels):
             if other is not port and other.connection.peer and other.peer.number == port.peer.number:
                 other.fail("a newer link of the same call server", notify_peer=False)
-                self._lost_port(other)
+                self._channel_lost(other)
         if port.peer.number == self.trunks.number:
-            self._untold.update(self.trunks.groups)
-            self._tell_soon()
+            self._unreported_groups.update(self.trunks.groups)
+            self._schedule_report()
 
     def channel_closed(self, port: Channel, why: str) -> None:
         """A call server's link is gone: what it held is freed."""
         self.recorder.record_connection_down(port)
-        self._lost_port(port)
+        self._channel_lost(port)
 
-    def _lost_port(self, port: Channel) -> None:
+    def _channel_lost(self, port: Channel) -> None:
         legs = self.channels.pop(port, None)
         if legs is None:
             return  # lost before, when a newer link of the same call server came
@@ -186,20 +193,21 @@
             del self.processing_steps[key]
         for leg in list(legs.values()):
             if leg.onward_ref:
-                self._onward(frames.Cancel(leg.onward_ref))
-            self._carried(leg, "cut")
-            self._end(leg)
+                self._send_to_call_server(frames.Cancel(leg.onward_ref))
+            self._report_carried(leg, "cut")
+            self._end_leg(leg)
         if port.connection.peer and port.peer.number == self.trunks.number:
             # What a call server held that is gone is held by nobody; its next one tells anew.
             for number, group in self.trunks.groups.items():
                 if group.remote_count:
                     group.remote_count = 0
-                    self._changed(number)
+                    self._group_changed(number)
             for leg in list(self.transits.values()):
-                self._say(
-                    leg, frames.Cut(leg.setup.dial_ref) if leg.answered else self._no(leg, "turned_back")
+                self._send_to_leg(
+                    leg,
+                    frames.Cut(leg.setup.dial_ref) if leg.answered else self._rejection(leg, "turned_back"),
                 )
-                self._end(leg)
+                self._end_leg(leg)
 
     def circuits_held(self, port: Channel) -> int:
         """Circuits held for this link's dials."""
@@ -211,9 +219,9 @@
             case frames.Setup():
                 self._setup(port, frame)
             case frames.Cancel(ref) | frames.Release(ref):
-                self._given_up(port, ref, isinstance(frame, frames.Release))
+                self._release_or_cancel(port, ref, isinstance(frame, frames.Release))
             case frames.ProcessStep():
-                self._pass(port, frame)
+                self._process_step(port, frame)
             case frames.DropStep(ref):
                 job = self.processing_steps.pop((port, ref), None)
                 if job and self.cancel_drops:
@@ -224,7 +232,7 @@
             case frames.Answer():
                 self._transit_answered(frame.dial_ref)
             case frames.Reject() | frames.Cut():
-                self._transit_over(frame)
+                self._transit_ended(frame)
             case frames.Probe():
                 self.processor.submit(
                     self.costs.lookup,
@@ -248,15 +256,17 @@
         """A circuit is lost, and the dialogue on it."""
         self.counts["cut"] += 1
         if leg.onward_ref:
-            self._onward(frames.Release(leg.onward_ref) if leg.answered else frames.Cancel(leg.onward_ref))
-        self._carried(leg, "cut")
-        self._end(leg)
-        self._say(leg, frames.Cut(leg.setup.dial_ref))
+            self._send_to_call_server(
+                frames.Release(leg.onward_ref) if leg.answered else frames.Cancel(leg.onward_ref)
+            )
+        self._report_carried(leg, "cut")
+        self._end_leg(leg)
+        self._send_to_leg(leg, frames.Cut(leg.setup.dial_ref))
 
     def resize(self, number: int, size: int) -> None:
         """A group has another number of circuits."""
         self.trunks.groups[number].size = size
-        self._changed(number)
+        self._group_changed(number)
 
     def set_reading(self, on: bool) -> None:
         """Stop reading all links, or go on. The capture tells: what is read then was sent at a time not known."""
@@ -270,12 +280,12 @@
         if self.reports == "none":
             return None
         now = self.now()
-        self._loads.append((now, self._load_now(now)))
-        while len(self._loads) > 1 and self._loads[1][0] <= now - self.faults.report_age_us:
-            self._loads.popleft()
-        return self._loads[0][1]
+        self._load_history.append((now, self._current_load(now)))
+        while len(self._load_history) > 1 and self._load_history[1][0] <= now - self.faults.report_age_us:
+            self._load_history.popleft()
+        return self._load_history[0][1]
 
-    def _load_now(self, now: int) -> frames.Load:
+    def _current_load(self, now: int) -> frames.Load:
         wait = self.processor.wait(now)
         unit = self.processor.unit_us(now)
         return frames.Load(
@@ -298,43 +308,45 @@
         group = self.trunks.groups.get(port.peer.number)
         if group is None or not group.seize(leg, setup.width):
             self.counts["no_circuit"] += 1
-            self._send(port, self._no(leg, "no_circuit"))
+            self._send(port, self._rejection(leg, "no_circuit"))
             return
         legs[setup.dial_ref] = leg
-        self._changed(port.peer.number)
+        self._group_changed(port.peer.number)
         if self.processor.is_full(now):
             self.counts["processor_full"] += 1
-            self._end(leg)
+            self._end_leg(leg)
             wait = self.processor.wait(now) if self.tells_wait else 0
             self.processor.submit(
-                self.costs.reject, lambda: self._send(port, self._no(leg, "processor_full", wait)), True
+                self.costs.reject,
+                lambda: self._send(port, self._rejection(leg, "processor_full", wait)),
+                True,
             )
             return
         if setup.destination == self.trunks.number:
-            leg.job = self.processor.submit(1.0, lambda: self._terminate(leg))
+            leg.job = self.processor.submit(1.0, lambda: self._complete_setup(leg))
         else:
-            leg.job = self.processor.submit(self.costs.lookup, lambda: self._hand_over(leg))
+            leg.job = self.processor.submit(self.costs.lookup, lambda: self._forward_transit(leg))
 
-    def _no(self, leg: Leg, reason: str, wait: int = 0) -> frames.Reject:
+    def _rejection(self, leg: Leg, reason: str, wait: int = 0) -> frames.Reject:
         return frames.Reject(leg.setup.dial_ref, reason, wait, self.load_report())
 
-    def _say(self, leg: Leg, frame: frames.AnyFrame) -> None:
+    def _send_to_leg(self, leg: Leg, frame: frames.AnyFrame) -> None:
         self._send(leg.channel, frame)
 
-    def _turn_back(self, leg: Leg, reason: str) -> None:
+    def _reject(self, leg: Leg, reason: str) -> None:
         self.counts[reason] += 1
-        self._end(leg)
-        self._say(leg, self._no(leg, reason))
+        self._end_leg(leg)
+        self._send_to_leg(leg, self._rejection(leg, reason))
 
-    def _terminate(self, leg: Leg) -> None:
+    def _complete_setup(self, leg: Leg) -> None:
         """The set-up is worked on: the called line is free, or it is not."""
         if leg.ended:
             return
         called = leg.setup.called
         if self.faults.error_rate and self.rng.random() < self.faults.error_rate:
-            self._turn_back(leg, "fault")
+            self._reject(leg, "fault")
         elif called is not None and self.trunks.busy_lines[called] >= self.trunks.lines_per_number:
-            self._turn_back(leg, "lines_busy")
+            self._reject(leg, "lines_busy")
         else:
             if called is not None:
                 self.trunks.busy_lines[called] += 1
@@ -351,18 +363,18 @@
             if leg.channel.transport:
                 leg.channel.transport.write(b"\x01\x00\x00\x05\xc1\xc1\xc1\xc1\xc1")
             return
-        if self._answer_is_lost(leg):
+        if self._drop_answer(leg):
             return
         said = frames.Answer(leg.setup.dial_ref, self.load_report())
         if self.faults.reordered_answers and self.rng.random() < self.faults.reordered_answers:
             self.counts["answers_reordered"] += 1
-            self.loop.call_later(REORDER_S, self._say, leg, said)
+            self.loop.call_later(REORDER_S, self._send_to_leg, leg, said)
             return
-        self._say(leg, said)
+        self._send_to_leg(leg, said)
         if self.faults.duplicated_answers and self.rng.random() < self.faults.duplicated_answers:
-            self._say(leg, said)
+            self._send_to_leg(leg, said)
 
-    def _answer_is_lost(self, leg: Leg) -> bool:
+    def _drop_answer(self, leg: Leg) -> bool:
         """Troubles of the way back: silence in place of the answer, or a reset."""
         lost, reset = self.faults.lost_answers, self.faults.reset_answers
         if not (lost or reset) or (drawn := self.rng.random()) >= lost + reset:
@@ -372,16 +384,16 @@
             self.cut_leg(leg)
         return True
 
-    def _hand_over(self, leg: Leg) -> None:
+    def _forward_transit(self, leg: Leg) -> None:
         """A dialogue in transit goes to the own call server, which decides."""
         home = self.own_call_server()
         if leg.ended:
             return
         if home is None:
-            self._turn_back(leg, "turned_back")
+            self._reject(leg, "turned_back")
             return
-        self._next_onward += 1
-        leg.onward_ref = self._next_onward
+        self._next_onward_ref += 1
+        leg.onward_ref = self._next_onward_ref
         self.transits[leg.onward_ref] = leg
         setup = leg.setup
         left = setup.left - (self.now() - leg.arrived_at)
@@ -404,49 +416,51 @@
         leg = self.transits.get(onward)
         if leg and not leg.ended and not leg.answered:
             leg.answered = True
-            if self._answer_is_lost(leg):
+            if self._drop_answer(leg):
                 return
-            self._say(leg, frames.Answer(leg.setup.dial_ref, self.load_report()))
+            self._send_to_leg(leg, frames.Answer(leg.setup.dial_ref, self.load_report()))
 
-    def _transit_over(self, frame: frames.Reject | frames.Cut) -> None:
+    def _transit_ended(self, frame: frames.Reject | frames.Cut) -> None:
         leg = self.transits.get(frame.dial_ref)
         if leg is None:
             return
         if isinstance(frame, frames.Cut):
-            self._end(leg)
-            self._say(leg, frames.Cut(leg.setup.dial_ref))
+            self._end_leg(leg)
+            self._send_to_leg(leg, frames.Cut(leg.setup.dial_ref))
         else:
-            self._turn_back(leg, frame.reason if frame.reason in frames.REJECT_REASONS else "turned_back")
+            self._reject(leg, frame.reason if frame.reason in frames.REJECT_REASONS else "turned_back")
 
-    def _given_up(self, port: Channel, ref: int, stood: bool) -> None:
+    def _release_or_cancel(self, port: Channel, ref: int, stood: bool) -> None:
         """The sender cancelled or released a set-up."""
         leg = self.channels.get(port, {}).get(ref)
         if leg is None:
             self._send(port, frames.Released(ref))
             return
         if leg.onward_ref:
-            self._onward(frames.Release(leg.onward_ref) if stood else frames.Cancel(leg.onward_ref))
+            self._send_to_call_server(
+                frames.Release(leg.onward_ref) if stood else frames.Cancel(leg.onward_ref)
+            )
         if leg.job and self.cancel_drops and not stood:
             self.processor.drop(leg.job)
         if stood:
-            self._carried(leg, "released")
-        self._end(leg)
+            self._report_carried(leg, "released")
+        self._end_leg(leg)
         if self.faults.answers_after_release:
-            self._say(leg, frames.Answer(ref))
+            self._send_to_leg(leg, frames.Answer(ref))
         self._send(port, frames.Released(ref))
         if stood:
             self.processor.submit(self.costs.follow_up, lambda: None, True)
 
-    def _onward(self, frame: frames.AnyFrame) -> None:
+    def _send_to_call_server(self, frame: frames.AnyFrame) -> None:
         home = self.own_call_server()
         if home:
             self._send(home, frame)
 
-    def _carried(self, leg: Leg, how: str) -> None:
+    def _report_carried(self, leg: Leg, how: str) -> None:
         """Tell the own call server, for its ledger, of a dialogue that stood here and is over."""
         if not leg.ended and leg.answered and not leg.onward_ref:
             setup, stood = leg.setup, self.now() - leg.established_at
-            self._onward(
+            self._send_to_call_server(
                 frames.CarriedDialogue(
                     setup.origin,
                     setup.dialogue,
@@ -459,7 +473,7 @@
                 )
             )
 
-    def _end(self, leg: Leg) -> None:
+    def _end_leg(self, leg: Leg) -> None:
         """Free all that a set-up holds here."""
         if leg.ended:
             return
@@ -473,11 +487,11 @@
                 del self.trunks.busy_lines[leg.setup.called]
         group = self.trunks.groups.get(leg.channel.peer.number)
         if group and group.release(leg):
-            self._changed(leg.channel.peer.number)
+            self._group_changed(leg.channel.peer.number)
 
     # -- the own call server's --
 
-    def _pass(self, port: Channel, step: frames.ProcessStep) -> None:
+    def _process_step(self, port: Channel, step: frames.ProcessStep) -> None:
         if port.peer.number != self.trunks.number:
             return
         now = self.now()
@@ -494,29 +508,29 @@
         ahead = what in ("answer", "release")
         if what in ("setup", "answer"):
             self.processing_steps[port, ref] = self.processor.submit(
-                cost, lambda: self._passed(port, ref, what), ahead
+                cost, lambda: self._step_processed(port, ref, what), ahead
             )
         else:
             self.processor.submit(cost, lambda: None, ahead)
 
-    def _passed(self, port: Channel, ref: int, what: str) -> None:
+    def _step_processed(self, port: Channel, ref: int, what: str) -> None:
         if self.processing_steps.pop((port, ref), None):
             self._send(port, frames.StepProcessed(ref, what))
 
-    def _changed(self, number: int) -> None:
-        self._untold.add(number)
-        self._tell_soon()
+    def _group_changed(self, number: int) -> None:
+        self._unreported_groups.add(number)
+        self._schedule_report()
 
-    def _tell_soon(self) -> None:
-        if not self._telling:
-            self._telling = True
-            self.loop.call_later(TELL_EVERY_S, self._tell)
+    def _schedule_report(self) -> None:
+        if not self._report_scheduled:
+            self._report_scheduled = True
+            self.loop.call_later(TELL_EVERY_S, self._report_groups)
 
-    def _tell(self) -> None:
-        self._telling = False
+    def _report_groups(self) -> None:
+        self._report_scheduled = False
         home = self.own_call_server()
         if home and self.running:
-            for number in sorted(self._untold):
+            for number in sorted(self._unreported_groups):
                 group = self.trunks.groups[number]
                 home.send(frames.GroupState(number, group.local_count, group.size))
-            self._untold.clear()
+            self._unreported_groups.clear()
--- a/wellhitch/stand_ins/platform.py
+++ b/wellhitch/stand_ins/platform.py
@@ -18,21 +18,21 @@
     def __init__(
         self, came: Callable[["_Connection", bytes], None], up: Callable[["_Connection"], None] | None = None
     ) -> None:
-        self.came, self.up = came, up
+        self.on_data, self.on_connected = came, up
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray(65536)
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.up:
-            self.up(self)
+        if self.on_connected:
+            self.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
         return self.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.came(self, bytes(self.buffer[:nbytes]))
+        self.on_data(self, bytes(self.buffer[:nbytes]))
 
     def eof_received(self) -> bool:
         return False
@@ -58,24 +58,26 @@
     reads: bool = True
     connect_error: str = ""
     connection: _Connection | None = None
-    _waiting: list[bytes] = field(default_factory=list)
+    _unsent: list[bytes] = field(default_factory=list)
     _decoder: sip.Decoder = field(default_factory=sip.Decoder)
 
     def __post_init__(self) -> None:
-        self.network.connect(self.address, lambda: _Connection(self._came, self._up), self._failed)
+        self.network.connect(
+            self.address, lambda: _Connection(self._data_received, self._connected), self._connect_failed
+        )
 
-    def _failed(self, failure: ConnectFailure) -> None:
+    def _connect_failed(self, failure: ConnectFailure) -> None:
         self.connect_error = failure.detail
 
-    def _up(self, end: _Connection) -> None:
+    def _connected(self, end: _Connection) -> None:
         self.connection = end
         if not self.reads and end.transport is not None:
             end.transport.pause_reading()
-        for data in self._waiting:
+        for data in self._unsent:
             end.write(data)
-        self._waiting.clear()
+        self._unsent.clear()
 
-    def _came(self, end: _Connection, data: bytes) -> None:
+    def _data_received(self, end: _Connection, data: bytes) -> None:
         for message in self._decoder.feed(data):
             self.received.append((now_us(self.loop), message))
             if isinstance(message, sip.Request) and message.method == "BYE" and self.answers_bye:
@@ -84,7 +86,7 @@
     def send(self, data: bytes) -> None:
         """Send bytes, once the connection is up."""
         if self.connection is None:
-            self._waiting.append(data)
+            self._unsent.append(data)
         else:
             self.connection.write(data)
 
@@ -140,7 +142,9 @@
 
     def listen(self) -> None:
         """Take links."""
-        self.network.listen(self.address, lambda: _Connection(self._came, self._up), self._ready)
+        self.network.listen(
+            self.address, lambda: _Connection(self._data_received, self._connected), self._ready
+        )
 
     def _ready(self, listener: Listener) -> None:
         self.listener = listener
@@ -150,7 +154,7 @@
         if self.listener is not None:
             self.listener.close()
 
-    def _up(self, end: _Connection) -> None:
+    def _connected(self, end: _Connection) -> None:
         self.connections_opened += 1
         if self.resets_connections and end.transport is not None:
             self.loop.call_later(0.005, end.transport.abort)
@@ -162,7 +166,7 @@
             % (self.spare, self.total)
         )
 
-    def _came(self, end: _Connection, data: bytes) -> None:
+    def _data_received(self, end: _Connection, data: bytes) -> None:
         for line in self._decoders[end].feed(data):
             self.received.append((now_us(self.loop), line))
             if line.type == "new":
@@ -210,18 +214,18 @@
     silent: bool = False
     listener: Listener | None = None
     connections: list[_Connection] = field(default_factory=list)
-    _asking: dict[_Connection, bytes] = field(default_factory=dict)
+    _partial_requests: dict[_Connection, bytes] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.network.listen(self.address, lambda: _Connection(self._came), self._ready)
-        self.loop.call_later(1, self._beat)
+        self.network.listen(self.address, lambda: _Connection(self._data_received), self._ready)
+        self.loop.call_later(1, self._send_heartbeat)
 
     def _ready(self, listener: Listener) -> None:
         self.listener = listener
 
-    def _came(self, end: _Connection, data: bytes) -> None:
-        asking = self._asking.get(end, b"") + data
-        self._asking[end] = asking
+    def _data_received(self, end: _Connection, data: bytes) -> None:
+        asking = self._partial_requests.get(end, b"") + data
+        self._partial_requests[end] = asking
         if len(asking) == 8:
             number = int.from_bytes(asking, "big")
             self.subscriptions.append((now_us(self.loop), number))
@@ -231,8 +235,8 @@
                     if event.revision > number:
                         end.write(board_codec.encode_update(event))
 
-    def _beat(self) -> None:
-        self.loop.call_later(1, self._beat)
+    def _send_heartbeat(self) -> None:
+        self.loop.call_later(1, self._send_heartbeat)
         last = max((event.revision for event in self.updates), default=1)
         self.send_raw(board_codec.encode_update(board_codec.Update(last, False, (), True)))
 
--- a/wellhitch/stand_ins/processor.py
+++ b/wellhitch/stand_ins/processor.py
@@ -1,6 +1,6 @@
-"""The one-line processor of an office: work in order of arrival, a bounded wait, a cold start, falling over.
+"""The single-server queue of an office: FIFO order, a bounded wait, a cold start, and failure by overload while cold.
 
-WorkCosts is counted in set-ups: 1.0 is the work of one set-up, which takes `setup_us` on a warm processor.
+Work is measured in set-ups: 1.0 is the work of one set-up, which takes `setup_us` on a warm processor.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkCosts:
-    """What a dialogue costs, in set-ups."""
+    """The cost of the steps of a dialogue, in set-ups."""
 
     lookup: float = 0.2
     reject: float = 0.2
@@ -23,8 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStart:
-    """How a fresh processor starts: its first share of capacity, when it is warm (us), and the multiple of
-    present capacity that over the window (us) makes it fall over for good."""
+    """The cold start of a new processor: its initial share of capacity, when it is warm, and the multiple of its
+    current capacity which, if exceeded over the window, makes it fail permanently."""
 
     initial_share: float
     warm_after_us: int
@@ -34,44 +34,44 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A piece of work in line."""
+    """A queued piece of work."""
 
     work: float
     done: Callable[[], None]
     dropped: bool = False
-    begun: bool = False
+    started: bool = False
 
 
 class Processor:
-    """One line of work."""
+    """A single server with a queue, and a second queue served first if `finish_first` is set."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         setup_us: float,
         queue_us: int,
-        cold: ColdStart,
+        cold_start: ColdStart,
         started: int | None,
         finish_first: bool,
-        fell: Callable[[], None],
-        drawn: Callable[[], float] | None = None,
+        on_overload: Callable[[], None],
+        work_factor: Callable[[], float] | None = None,
     ) -> None:
-        self.loop, self.setup_us, self.queue_us, self.cold_start = loop, setup_us, queue_us, cold
-        self.started, self.finish_first, self.on_overload = started, finish_first, fell
-        self.work_factor = drawn
-        self.slowdown = 1.0  # times slower, by all troubles together
+        self.loop, self.setup_us, self.queue_us, self.cold_start = loop, setup_us, queue_us, cold_start
+        self.started, self.finish_first, self.on_overload = started, finish_first, on_overload
+        self.work_factor = work_factor
+        self.slowdown = 1.0  # the product of all slowdown faults
         self.hung = False
         self.dead = False
-        self._line: deque[Job] = deque()
-        self._ahead: deque[Job] = deque()
-        self._work_waiting = 0.0
-        self._running_until = 0
-        self._running = False
-        self._sent: deque[tuple[int, float]] = deque()
-        self._sent_work = 0.0
+        self._queue: deque[Job] = deque()
+        self._priority_queue: deque[Job] = deque()
+        self._queued_work = 0.0
+        self._busy_until = 0
+        self._busy = False
+        self._recent_setups: deque[tuple[int, float]] = deque()
+        self._recent_work = 0.0
 
     def capacity_share(self, now: int) -> float:
-        """Share of its capacity that it has now."""
+        """The share of its full capacity available now."""
         if self.started is None or now - self.started >= self.cold_start.warm_after_us:
             return 1.0
         return (
@@ -80,82 +80,82 @@
         )
 
     def unit_us(self, now: int) -> float:
-        """How long one set-up takes now."""
+        """The processing time of one set-up now."""
         return self.setup_us * self.slowdown / self.capacity_share(now)
 
     def wait(self, now: int) -> int:
-        """How long new work would wait, in us."""
-        return int(max(0, self._running_until - now) + self._work_waiting * self.unit_us(now))
+        """The waiting time of new work, in us."""
+        return int(max(0, self._busy_until - now) + self._queued_work * self.unit_us(now))
 
     def is_full(self, now: int) -> bool:
-        """Whether it turns set-ups away."""
+        """Whether set-ups are rejected because the wait exceeds its bound."""
         return self.wait(now) > self.queue_us
 
     def submit(self, work: float, done: Callable[[], None], ahead: bool = False) -> Job:
-        """Put work in line; `ahead`: before all set-ups where this processor finishes first."""
+        """Queue work. `ahead`: before all set-ups, if this processor finishes dialogues first."""
         job = Job(work, done)
         if self.dead:
             return job
-        (self._ahead if ahead and self.finish_first else self._line).append(job)
-        self._work_waiting += work
-        self._next()
+        (self._priority_queue if ahead and self.finish_first else self._queue).append(job)
+        self._queued_work += work
+        self._start_next()
         return job
 
     def drop(self, job: Job) -> None:
-        """Forget a job that has not begun: it leaves the line when its turn comes, at no cost."""
-        if not job.dropped and not job.begun:
+        """Drop a job that has not started: it is removed without cost when its turn comes."""
+        if not job.dropped and not job.started:
             job.dropped = True
-            self._work_waiting -= job.work
+            self._queued_work -= job.work
 
-    def _next(self) -> None:
-        if self._running or self.hung or self.dead:
+    def _start_next(self) -> None:
+        if self._busy or self.hung or self.dead:
             return
         job = None
         while job is None or job.dropped:
-            line = self._ahead or self._line
-            if not line:
-                self._work_waiting = 0.0
+            queue = self._priority_queue or self._queue
+            if not queue:
+                self._queued_work = 0.0
                 return
-            job = line.popleft()
-        job.begun = True
-        self._work_waiting -= job.work
+            job = queue.popleft()
+        job.started = True
+        self._queued_work -= job.work
         now = now_us(self.loop)
-        took = job.work * self.unit_us(now) * (self.work_factor() if self.work_factor else 1.0)
-        self._running, self._running_until = True, int(now + took)
-        self.loop.call_later(took / 1e6, self._finish, job)
+        duration_us = job.work * self.unit_us(now) * (self.work_factor() if self.work_factor else 1.0)
+        self._busy, self._busy_until = True, int(now + duration_us)
+        self.loop.call_later(duration_us / 1e6, self._finish, job)
 
     def _finish(self, job: Job) -> None:
-        self._running = False
+        self._busy = False
         if self.dead:
             return
         if not self.hung:
             job.done()
-        self._next()
+        self._start_next()
 
     def resume(self) -> None:
-        """After a hang: what lay in line is lost, as its senders have given it up."""
+        """Continue after a hang. Queued work is lost, as its senders have abandoned it."""
         self.hung = False
-        self._line.clear()
-        self._ahead.clear()
-        self._work_waiting = 0.0
-        self._next()
+        self._queue.clear()
+        self._priority_queue.clear()
+        self._queued_work = 0.0
+        self._start_next()
 
     def count_setup(self, work: float, now: int) -> None:
-        """Set-up work has reached it; too much while it is cold, and it falls over for good."""
+        """Account for arriving set-up work; too much of it while cold makes the processor fail permanently."""
         if self.dead or self.capacity_share(now) >= 1.0:
             return
-        self._sent.append((now, work))
-        self._sent_work += work
-        while self._sent and self._sent[0][0] <= now - self.cold_start.window_us:
-            self._sent_work -= self._sent.popleft()[1]
-        if self._sent_work > allowed_work(self.cold_start, self.capacity_share(now), self.setup_us):
+        self._recent_setups.append((now, work))
+        self._recent_work += work
+        while self._recent_setups and self._recent_setups[0][0] <= now - self.cold_start.window_us:
+            self._recent_work -= self._recent_setups.popleft()[1]
+        if self._recent_work > allowed_work(self.cold_start, self.capacity_share(now), self.setup_us):
             self.dead = True
             self.on_overload()
 
 
-COLD_SLACK = 2.0  # set-ups beyond the budget that chance alone may bring together
+COLD_SLACK = 2.0  # set-ups beyond the budget that may coincide by chance
 
 
-def allowed_work(cold: ColdStart, share: float, setup_us: float) -> float:
-    """Set-up work that a cold processor bears over the window, at its share of capacity now."""
-    return cold.multiple * share * cold.window_us / setup_us + COLD_SLACK
+def allowed_work(cold_start: ColdStart, share: float, setup_us: float) -> float:
+    """The set-up work that a cold processor withstands over the window, at its current share of capacity."""
+    return cold_start.multiple * share * cold_start.window_us / setup_us + COLD_SLACK
--- a/wellhitch/stand_ins/recorder.py
+++ b/wellhitch/stand_ins/recorder.py
@@ -1,4 +1,4 @@
-"""Writes captures at the stand-ins' ends; `trunk.capture` tells their form."""
+"""Writes the captures of the stand-ins; `trunk.capture` describes the format."""
 
 from typing import Any, BinaryIO
 
@@ -9,66 +9,76 @@
 
 
 class Recorder:
-    """Writes one party's capture, to a file or to memory. Give `tap` to the party's ports."""
+    """Writes one party's capture to a file or to memory. Pass `record_frame` to the party's channels."""
 
     def __init__(self, now: Any, party: str, name: str, file: BinaryIO | None = None, **facts: Any) -> None:
         self._now = now
         self._file = file
         self._encoder = msgspec.json.Encoder()
         self.lines: list[bytes] = []
-        self._links: dict[int, int] = {}
-        self._next = 0
-        self._count = 0
+        self._connection_numbers: dict[int, int] = {}
+        self._last_connection_number = 0
+        self._line_count = 0
         self._closed = False
-        self._put({"capture": 1, "party": party, "name": name, **facts})
-        self._count = 0
+        self._write_json({"capture": 1, "party": party, "name": name, **facts})
+        self._line_count = 0
 
-    def _put(self, value: Any) -> None:
-        self._write(self._encoder.encode(value))
+    def _write_json(self, value: Any) -> None:
+        self._write_line(self._encoder.encode(value))
 
-    def _write(self, line: bytes) -> None:
+    def _write_line(self, line: bytes) -> None:
         if self._closed:
-            return  # links that go down after the day tell nothing
-        self._count += 1
+            return  # connections lost after the end of the day are not recorded
+        self._line_count += 1
         if self._file is not None:
             self._file.write(line + b"\n")
         else:
             self.lines.append(line)
 
-    def record_frame(self, way: str, port: Channel, frame: frames.AnyFrame) -> None:
-        """Note a frame. Heartbeats and loads tell nothing that is judged and are left out."""
+    def record_frame(self, way: str, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Record a frame. Heartbeats, marks, group states and advice are not judged and are left out."""
         if isinstance(
             frame, (frames.Heartbeat, frames.Mark, frames.Marked, frames.GroupState, frames.Advice)
         ):
             return
-        peer = port.connection.peer
-        shown = self._encoder.encode(frame)
-        head = [self._now(), way, self._link(port), peer.role if peer else "", peer.number if peer else -1]
-        self._write(self._encoder.encode(head)[:-1] + b"," + shown[1:])
+        peer = channel.connection.peer
+        encoded = self._encoder.encode(frame)
+        prefix = [
+            self._now(),
+            way,
+            self._connection_number(channel),
+            peer.role if peer else "",
+            peer.number if peer else -1,
+        ]
+        self._write_line(self._encoder.encode(prefix)[:-1] + b"," + encoded[1:])
 
-    def _link(self, port: Channel) -> int:
-        link = self._links.get(id(port))
-        if link is None:
-            self._next += 1
-            link = self._links[id(port)] = self._next
-        return link
+    def _connection_number(self, channel: Channel) -> int:
+        number = self._connection_numbers.get(id(channel))
+        if number is None:
+            self._last_connection_number += 1
+            number = self._connection_numbers[id(channel)] = self._last_connection_number
+        return number
 
-    def record_connection_down(self, port: Channel) -> None:
-        """Note that a link is gone; its number is not used again."""
-        peer = port.connection.peer
+    def record_connection_down(self, channel: Channel) -> None:
+        """Record that a connection was lost; its number is not used again."""
+        peer = channel.connection.peer
         number, role = (peer.number, peer.role) if peer else (-1, "")
         self.record_note(
-            "down", link=self._link(port), number=number, role=role, heard=port.connection.received_at
+            "down",
+            link=self._connection_number(channel),
+            number=number,
+            role=role,
+            heard=channel.connection.received_at,
         )
-        self._links.pop(id(port), None)
+        self._connection_numbers.pop(id(channel), None)
 
-    def record_note(self, what: str, **facts: Any) -> None:
-        """Note anything else."""
-        self._put({"t": self._now(), "note": what, **facts})
+    def record_note(self, event: str, **facts: Any) -> None:
+        """Record any other event."""
+        self._write_json({"t": self._now(), "note": event, **facts})
 
     def close(self) -> None:
-        """Write the last line."""
-        self._put({"end": self._count})
+        """Write the last line, which holds the number of lines."""
+        self._write_json({"end": self._line_count})
         self._closed = True
         if self._file is not None:
             self._file.close()
--- a/wellhitch/stand_ins/register.py
+++ b/wellhitch/stand_ins/register.py
@@ -1,5 +1,5 @@
-"""The stand-in register of offices, which tells every call server its list, late; and the stand-in centre,
-which advises tandems from an old look at the groups."""
+"""The simulated register, which sends the office list to every call server with a delay, and the simulated centre,
+which advises tandems from outdated group states."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 
 
 class Register:
-    """Knows the truth at once and tells it late: `late(standing)` us after a change, spread over `spread`."""
+    """Learns changes at once and sends them `update_delay(state)` us later, plus a random part of `delay_spread`."""
 
     def __init__(
         self,
@@ -33,94 +33,116 @@
         network: Network,
         address: str,
         recorder: Recorder,
-        chance: random.Random,
-        late: Callable[[str], int],
-        spread: int,
+        rng: random.Random,
+        update_delay: Callable[[str], int],
+        delay_spread: int,
         boot: int,
     ) -> None:
-        self.loop, self.network, self.recorder, self.rng = loop, network, recorder, chance
-        self.update_delay, self.delay_spread = late, spread
+        self.loop, self.network, self.recorder, self.rng = loop, network, recorder, rng
+        self.update_delay, self.delay_spread = update_delay, delay_spread
         self.hello = frames.Hello("register", -1, boot)
         self.offices: dict[str, RegisteredOffice] = {}
         self.revision = 0
         self.next_update_due: dict[Channel, int] = {}
-        self.resends_old_list = False  # trouble: an old revision is told after each new one
-        self._last: frames.OfficeList | None = None
+        self.resends_old_list = False  # fault: an old revision is sent after each new one
+        self._last_list: frames.OfficeList | None = None
         self.listener: Listener | None = None
         self.address = address
-        network.listen(address, self._port, self._ready)
+        network.listen(address, self._new_channel, self._ready)
 
     def _ready(self, listener: Listener) -> None:
         self.listener = listener
 
-    def _port(self) -> Channel:
+    def _new_channel(self) -> Channel:
         return Channel(self.loop, self, self.hello, ("call_server",), self.recorder.record_frame)
 
     def now(self) -> int:
         """Time in us."""
         return now_us(self.loop)
 
-    def _line(self, known: RegisteredOffice) -> frames.OfficeListEntry:
-        age = None if known.started is None else max(0, self.now() - known.started)
-        return frames.OfficeListEntry(known.office, known.number, known.state, age, known.address, known.peer)
+    def _entry(self, office_record: RegisteredOffice) -> frames.OfficeListEntry:
+        age = None if office_record.started is None else max(0, self.now() - office_record.started)
+        return frames.OfficeListEntry(
+            office_record.office,
+            office_record.number,
+            office_record.state,
+            age,
+            office_record.address,
+            office_record.peer,
+        )
 
     def update(
-        self, office: str, number: int, standing: str, started: int | None, address: str, peer: str = ""
+        self, office: str, number: int, state: str, started: int | None, address: str, peer: str = ""
     ) -> None:
-        """An office changed; every call server will be told."""
+        """Update an office; every call server is sent the change later."""
         self.revision += 1
-        known = self.offices[office] = RegisteredOffice(office, number, standing, started, address, peer)
-        wait = self.update_delay(standing)
+        office_record = self.offices[office] = RegisteredOffice(office, number, state, started, address, peer)
+        wait = self.update_delay(state)
         revision = self.revision
-        for port in list(self.next_update_due):
+        for channel in list(self.next_update_due):
             due = max(
-                self.now() + wait + int(self.rng.random() * self.delay_spread), self.next_update_due[port]
+                self.now() + wait + int(self.rng.random() * self.delay_spread), self.next_update_due[channel]
+            )
+            self.next_update_due[channel] = due + 1
+            # The state sent is that at the change, but the age is the present one.
+            self.loop.call_later(
+                (due - self.now()) / 1e6, self._send_update, channel, office_record, state, revision
             )
-            self.next_update_due[port] = due + 1
-            # What is told is as it was at the change; its age counts on.
-            self.loop.call_later((due - self.now()) / 1e6, self._tell, port, known, standing, revision)
 
-    def _tell(self, port: Channel, known: RegisteredOffice, standing: str, revision: int) -> None:
-        if port not in self.next_update_due:
+    def _send_update(
+        self, channel: Channel, office_record: RegisteredOffice, state: str, revision: int
+    ) -> None:
+        if channel not in self.next_update_due:
             return
-        line = self._line(
-            RegisteredOffice(known.office, known.number, standing, known.started, known.address, known.peer)
+        entry = self._entry(
+            RegisteredOffice(
+                office_record.office,
+                office_record.number,
+                state,
+                office_record.started,
+                office_record.address,
+                office_record.peer,
+            )
         )
-        frame = frames.OfficeList("changes", revision, [line])
-        port.send(frame)
-        if self.resends_old_list and self._last is not None:
-            port.send(self._last)
-        self._last = frame
+        frame = frames.OfficeList("changes", revision, [entry])
+        channel.send(frame)
+        if self.resends_old_list and self._last_list is not None:
+            channel.send(self._last_list)
+        self._last_list = frame
 
     def restart(self, older_by: int) -> None:
-        """The register restarts with a list `older_by` revisions old: all links drop and come back."""
+        """Restart with a list `older_by` revisions old: all connections are lost and reopened."""
         self.revision = max(0, self.revision - older_by)
-        for port in list(self.next_update_due):
-            port.fail("register restarted", notify_peer=False)
-
-    def channel_opened(self, port: Channel) -> None:
-        """A call server came: it is told the whole list at once."""
-        self.next_update_due[port] = self.now()
-        port.send(
-            frames.OfficeList("whole", self.revision, [self._line(known) for known in self.offices.values()])
+        for channel in list(self.next_update_due):
+            channel.fail("register restarted", notify_peer=False)
+
+    def channel_opened(self, channel: Channel) -> None:
+        """A call server connected: send it the whole list at once."""
+        self.next_update_due[channel] = self.now()
+        channel.send(
+            frames.OfficeList(
+                "whole",
+                self.revision,
+                [self._entry(office_record) for office_record in self.offices.values()],
+            )
         )
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """It left."""
-        self.next_update_due.pop(port, None)
-        self.recorder.record_connection_down(port)
+    def channel_closed(self, channel: Channel, why: str) -> None:
+        """A call server disconnected."""
+        self.next_update_due.pop(channel, None)
+        self.recorder.record_connection_down(channel)
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """Call servers say nothing here."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Call servers send no frames here."""
 
-    def circuits_held(self, port: Channel) -> int:
-        """No circuits."""
+    def circuits_held(self, channel: Channel) -> int:
+        """Always 0: no circuits are held on these connections."""
         return 0
 
 
 class Centre:
-    """Looks at all groups each `period` us and tells every call server, `late` us after, for each destination
-    the tandem whose two groups had most room."""
+    """Reads all groups every `period` us and sends every call server, `advice_delay` us later, the tandem for each
+    destination whose two groups had most free circuits."""
 
     def __init__(
         self,
@@ -131,60 +153,62 @@
         free: Callable[[int, int], int],
         numbers: list[int],
         period: int,
-        late: int,
+        advice_delay: int,
         boot: int,
     ) -> None:
         self.loop, self.free_circuits, self.numbers = loop, free, numbers
-        self.period, self.advice_delay, self.recorder = period, late, recorder
+        self.period, self.advice_delay, self.recorder = period, advice_delay, recorder
         self.hello = frames.Hello("centre", -1, boot)
         self.channels: dict[Channel, None] = {}
-        self.advice_lost = False  # trouble: what it says is lost
-        network.listen(address, self._port, self._ready)
+        self.advice_lost = False  # fault: its advice is lost
+        network.listen(address, self._new_channel, self._ready)
 
     def _ready(self, listener: Listener) -> None:
-        self.loop.call_later(self.period / 1e6, self._look)
+        self.loop.call_later(self.period / 1e6, self._scan_groups)
 
-    def _port(self) -> Channel:
+    def _new_channel(self) -> Channel:
         return Channel(self.loop, self, self.hello, ("call_server",), self.recorder.record_frame)
 
-    def _look(self) -> None:
-        self.loop.call_later(self.period / 1e6, self._look)
+    def _scan_groups(self) -> None:
+        self.loop.call_later(self.period / 1e6, self._scan_groups)
         free = {
             here: {there: self.free_circuits(here, there) for there in self.numbers if there != here}
             for here in self.numbers
         }
-        for port in list(self.channels):
-            here = port.peer.number
+        for channel in list(self.channels):
+            here = channel.peer.number
             if here in free:
-                self.loop.call_later(self.advice_delay / 1e6, self._tell, port, self._best(here, free))
+                self.loop.call_later(
+                    self.advice_delay / 1e6, self._send_advice, channel, self._best_tandems(here, free)
+                )
 
-    def _best(self, here: int, free: dict[int, dict[int, int]]) -> list[int]:
-        out = []
+    def _best_tandems(self, here: int, free: dict[int, dict[int, int]]) -> list[int]:
+        result = []
         for destination in range(max(self.numbers) + 1):
-            rooms = [
+            candidates = [
                 (min(free[here][tandem], free[tandem][destination]), tandem)
                 for tandem in self.numbers
                 if tandem not in (here, destination) and destination in free[tandem]
             ]
-            room, tandem = max(rooms, key=lambda pair: (pair[0], -pair[1]), default=(0, -1))
-            out.append(tandem if room > 0 and destination != here else -1)
-        return out
+            free_count, tandem = max(candidates, key=lambda pair: (pair[0], -pair[1]), default=(0, -1))
+            result.append(tandem if free_count > 0 and destination != here else -1)
+        return result
 
-    def _tell(self, port: Channel, tandems: list[int]) -> None:
-        if port in self.channels and not self.advice_lost:
-            port.send(frames.Advice(tandems))
+    def _send_advice(self, channel: Channel, tandems: list[int]) -> None:
+        if channel in self.channels and not self.advice_lost:
+            channel.send(frames.Advice(tandems))
 
-    def channel_opened(self, port: Channel) -> None:
-        """A call server came."""
-        self.channels[port] = None
+    def channel_opened(self, channel: Channel) -> None:
+        """A call server connected."""
+        self.channels[channel] = None
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """It left."""
-        self.channels.pop(port, None)
+    def channel_closed(self, channel: Channel, why: str) -> None:
+        """A call server disconnected."""
+        self.channels.pop(channel, None)
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """Call servers say nothing here."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Call servers send no frames here."""
 
-    def circuits_held(self, port: Channel) -> int:
-        """No circuits."""
+    def circuits_held(self, channel: Channel) -> int:
+        """Always 0: no circuits are held on these connections."""
         return 0
--- a/wellhitch/stand_ins/simulated_fleet.py
+++ b/wellhitch/stand_ins/simulated_fleet.py
@@ -116,9 +116,9 @@
             network=self.network("register"),
             address=self.addresses.of("register", "list"),
             recorder=self.new_recorder("register", "register"),
-            chance=self.random_for("register"),
-            late=lambda standing: waits[standing],
-            spread=duration_us(late.spread),
+            rng=self.random_for("register"),
+            update_delay=lambda state: waits[state],
+            delay_spread=duration_us(late.spread),
             boot=1,
         )
         for one in day.exchanges:
