--- a/wellhitch/stand_ins/callers.py
+++ b/wellhitch/stand_ins/callers.py
@@ -1,5 +1,5 @@
-"""Stand-in callers of one exchange: they call, wait for a share of the outer limit, hang up when they have
-talked, and try again when they were not served."""
+"""Simulated callers of one exchange: they call, wait for a share of the deadline, hang up after the call, and retry
+when they were not served."""
 
 import asyncio
 import math
@@ -17,8 +17,9 @@
 
 @dataclass(slots=True)
 class CallerBehaviour:
-    """How callers behave. `patience`: share of the outer limit that one try is waited for. `pause`: us before
-    the next try, doubling where `doubles`; `heeds`: share of callers that heed a named come-back time."""
+    """How callers behave. `patience`: the share of the deadline that a caller waits in one attempt. `pause_us`: the
+    pause before a retry, doubled each time if `doubles_pause`. `heeds_retry_after`: the share of callers that retry at
+    the time named in the answer."""
 
     retries: int = 2
     patience: float = 0.35
@@ -26,24 +27,22 @@
     doubles_pause: bool = False
     heeds_retry_after: float = 0.8
     marks_redials: bool = False
-    shortened_patience: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # troubles: so many callers wait for this
-    # share of their usual patience, and do not try again
-    tenants: tuple[str, ...] = ()  # a caller is of the one that its number falls to
-    early_hang_up_share: float = 0.0  # so many hang up at a chance time before their patience is over
+    # faults: (share of callers, the share of their usual patience that they wait); these callers do not retry
+    shortened_patience: list[tuple[float, float]] = field(default_factory=list)
+    tenants: tuple[str, ...] = ()  # the tenant follows from the number called
+    early_hang_up_share: float = 0.0  # share that hangs up at a random time before its patience is over
 
     def tenant_of(self, called: str) -> str | None:
-        """Whose caller it is, told by the number called alone: no draw, so that days with and without play alike."""
+        """The caller's tenant, from the number called: no random draw, so tenants do not change a day's course."""
         return self.tenants[sum(called.encode()) % len(self.tenants)] if self.tenants else None
 
 
 @dataclass(slots=True)
 class TrafficDemand:
-    """Who is called how often: dialogues a second to each destination, shares of use cases, and what troubles
-    multiply it with. `shape`: from each second on, times the usual. `drift`: (us, cv), how often and how far
-    the shares of destinations are drawn anew; `bursts` the same of the whole rate. `hot_number`, of exchange
-    `hot_at`, is called by `hot_share` of all."""
+    """The traffic: dialogues a second to each destination, shares of the traffic classes, and a multiplier set
+    by faults. `shape`: (second, multiplier from then on). `drift`: (us, cv), the period and variation with which the
+    shares of destinations are redrawn; `bursts`: the same for the total rate. `hot_number` of `hot_exchange` is
+    called by a share `hot_share` of all callers."""
 
     rates: dict[int, float]
     traffic_classes: list[tuple[TrafficClass, float]]
@@ -58,7 +57,7 @@
 
 @dataclass(slots=True, eq=False)
 class CallRequest:
-    """One caller's wish, over all its tries."""
+    """One caller's request for a call, over all its attempts."""
 
     number: int
     traffic_class: TrafficClass
@@ -74,7 +73,7 @@
 
 
 class Callers:
-    """All callers of one exchange, on one link to their call server."""
+    """All callers of one exchange, on one connection to their call server."""
 
     def __init__(
         self,
@@ -83,12 +82,12 @@
         number: int,
         address: str,
         recorder: Recorder,
-        chance: random.Random,
+        rng: random.Random,
         demand: TrafficDemand,
         habits: CallerBehaviour,
         boot: int,
     ) -> None:
-        self.loop, self.number, self.recorder, self.rng = loop, number, recorder, chance
+        self.loop, self.number, self.recorder, self.rng = loop, number, recorder, rng
         self.demand, self.behaviour = demand, habits
         self.counts: Counter[str] = Counter()
         self.calls: dict[int, CallRequest] = {}
@@ -101,7 +100,7 @@
         self._next_request = 0
         hello = frames.Hello("caller", number, boot)
         self.channel = PersistentChannel(
-            loop, network, address, self, hello, ("call_server",), chance, recorder.record_frame
+            loop, network, address, self, hello, ("call_server",), rng, recorder.record_frame
         )
 
     def now(self) -> int:
@@ -109,7 +108,7 @@
         return now_us(self.loop)
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start generating calls."""
         self.generating = True
         self._started_at = self.now()
         self._shares = dict(self.demand.rates)
@@ -120,43 +119,48 @@
         self._schedule()
 
     def stop_new_calls(self) -> None:
-        """No new dialogues; those that run go on."""
+        """Start no new calls; calls in progress continue."""
         self.generating = False
 
     def _redraw_burst(self) -> None:
-        """Draw the rate anew."""
+        """Redraw the burst multiplier of the rate."""
         if self.generating and self.demand.bursts:
-            every, cv = self.demand.bursts
+            period_us, cv = self.demand.bursts
             self._burst_multiplier = self.rng.gammavariate(1 / (cv * cv), cv * cv)
-            self.loop.call_later(every / 1e6, self._redraw_burst)
+            self.loop.call_later(period_us / 1e6, self._redraw_burst)
 
     def _redraw_shares(self) -> None:
-        """Draw the shares of destinations anew, the whole as it was."""
+        """Redraw the shares of the destinations, keeping the total rate."""
         if not self.generating or not self.demand.drift:
             return
-        every, cv = self.demand.drift
+        period_us, cv = self.demand.drift
         sigma = math.sqrt(math.log(1 + cv * cv))
-        drawn = {to: rate * self.rng.lognormvariate(0, sigma) for to, rate in self.demand.rates.items()}
-        whole = sum(drawn.values()) or 1.0
-        self._shares = {to: rate * sum(self.demand.rates.values()) / whole for to, rate in drawn.items()}
-        self.loop.call_later(every / 1e6, self._redraw_shares)
+        drawn = {
+            destination: rate * self.rng.lognormvariate(0, sigma)
+            for destination, rate in self.demand.rates.items()
+        }
+        total = sum(drawn.values()) or 1.0
+        self._shares = {
+            destination: rate * sum(self.demand.rates.values()) / total for destination, rate in drawn.items()
+        }
+        self.loop.call_later(period_us / 1e6, self._redraw_shares)
 
     def _rate_multiplier(self) -> float:
-        """How many times the usual traffic now."""
+        """The present multiplier of the usual call rate."""
         shape = self.demand.shape
         if not shape:
             return self.demand.multiplier * self._burst_multiplier
-        second = (self.now() - self._started_at) / 1e6
+        elapsed_s = (self.now() - self._started_at) / 1e6
         return (
             self.demand.multiplier
             * self._burst_multiplier
-            * shape[max(0, bisect_right(shape, (second, math.inf)) - 1)][1]
+            * shape[max(0, bisect_right(shape, (elapsed_s, math.inf)) - 1)][1]
         )
 
     def _schedule(self) -> None:
         rate = sum(self.demand.rates.values()) * self._rate_multiplier()
         wait = self.rng.expovariate(rate) if rate > 0 else 0.2
-        # Looked at again after a fifth of a second at most, so that a change of rate is followed.
+        # Checked again after 0.2 s at most, so that a change of the rate takes effect.
         if wait > 0.2 or rate <= 0:
             self.loop.call_later(0.2, self._check_rate)
         else:
@@ -169,153 +173,160 @@
     def _new_call(self) -> None:
         if not self.generating:
             return
-        demand, chance = self.demand, self.rng
-        destination = chance.choices(list(self._shares), list(self._shares.values()))[0]
-        use = chance.choices(
-            [u for u, _ in demand.traffic_classes], [share for _, share in demand.traffic_classes]
+        demand, rng = self.demand, self.rng
+        destination = rng.choices(list(self._shares), list(self._shares.values()))[0]
+        traffic_class = rng.choices(
+            [traffic_class for traffic_class, _ in demand.traffic_classes],
+            [share for _, share in demand.traffic_classes],
         )[0]
-        called = f"{chance.getrandbits(40):010x}"
-        if demand.hot_share and chance.random() < demand.hot_share and demand.hot_exchange != self.number:
+        called = f"{rng.getrandbits(40):010x}"
+        if demand.hot_share and rng.random() < demand.hot_share and demand.hot_exchange != self.number:
             destination, called = demand.hot_exchange, demand.hot_number
-        self.call(use, destination, called)
+        self.call(traffic_class, destination, called)
         self._schedule()
 
-    def call(self, use: TrafficClass, destination: int, called: str) -> CallRequest:
-        """One caller begins to try."""
+    def call(self, traffic_class: TrafficClass, destination: int, called: str) -> CallRequest:
+        """Start the first attempt of a new call request."""
         self._next_request += 1
-        case = CallRequest(self._next_request, use, destination, called, self.now())
-        case.heeds_retry_after = self.rng.random() < self.behaviour.heeds_retry_after
+        request = CallRequest(self._next_request, traffic_class, destination, called, self.now())
+        request.heeds_retry_after = self.rng.random() < self.behaviour.heeds_retry_after
         self.counts["cases"] += 1
-        self._attempt(case)
-        return case
+        self._attempt(request)
+        return request
 
-    def _attempt(self, case: CallRequest) -> None:
-        case.timer = None
-        self.waiting_to_retry.pop(case, None)
+    def _attempt(self, request: CallRequest) -> None:
+        request.timer = None
+        self.waiting_to_retry.pop(request, None)
         self._next_call_id += 1
-        case.call_id = self._next_call_id
-        case.attempts += 1
-        use = case.traffic_class
+        request.call_id = self._next_call_id
+        request.attempts += 1
+        traffic_class = request.traffic_class
         patience = self.behaviour.patience
-        for share, to in self.behaviour.shortened_patience:
+        for share, factor in self.behaviour.shortened_patience:
             if self.rng.random() < share:
-                patience *= to
-                case.no_more_attempts = True
-        # The outer limit runs from the first try.
-        left = min(int(use.deadline * patience), case.started_at + use.deadline - self.now())
-        if left <= 0:
-            self._finish(case, "out_of_time")
+                patience *= factor
+                request.no_more_attempts = True
+        # The deadline counts from the first attempt.
+        time_left = min(
+            int(traffic_class.deadline * patience), request.started_at + traffic_class.deadline - self.now()
+        )
+        if time_left <= 0:
+            self._finish(request, "out_of_time")
             return
-        port = self.channel.current
+        channel = self.channel.current
         call = frames.Call(
-            case.call_id,
-            use.name,
-            case.destination,
-            case.called,
-            left,
-            use.width,
-            self.behaviour.marks_redials and case.attempts > 1,
-            self.behaviour.tenant_of(case.called),
+            request.call_id,
+            traffic_class.name,
+            request.destination,
+            request.called,
+            time_left,
+            traffic_class.width,
+            self.behaviour.marks_redials and request.attempts > 1,
+            self.behaviour.tenant_of(request.called),
         )
         self.recorder.record_note(
-            "try", id=case.call_id, case=case.number, use_case=use.name, began=case.started_at
+            "try",
+            id=request.call_id,
+            case=request.number,
+            use_case=traffic_class.name,
+            began=request.started_at,
         )
-        if port is None or port.connection.peer is None or not port.send(call):
-            self._retry_or_give_up(case, 0)
+        if channel is None or channel.connection.peer is None or not channel.send(call):
+            self._retry_or_give_up(request, 0)
             return
-        self.calls[case.call_id] = case
-        waits = left / 1e6
+        self.calls[request.call_id] = request
+        wait_s = time_left / 1e6
         if self.behaviour.early_hang_up_share and self.rng.random() < self.behaviour.early_hang_up_share:
-            waits *= self.rng.random()
-        case.timer = self.loop.call_later(waits, self._patience_over, case)
+            wait_s *= self.rng.random()
+        request.timer = self.loop.call_later(wait_s, self._patience_over, request)
 
-    def _patience_over(self, case: CallRequest) -> None:
+    def _patience_over(self, request: CallRequest) -> None:
         self.counts["gave_up"] += 1
-        self._send_hang_up(case)
-        self._retry_or_give_up(case, 0)
-
-    def _send_hang_up(self, case: CallRequest) -> None:
-        if self.calls.pop(case.call_id, None) and self.channel.current:
-            self.channel.current.send(frames.HangUp(case.call_id))
-
-    def _retry_or_give_up(self, case: CallRequest, come_back: int) -> None:
-        """Try again, or not."""
-        if case.timer:
-            case.timer.cancel()
-        self.calls.pop(case.call_id, None)
-        if case.no_more_attempts or case.attempts > self.behaviour.retries:
-            self._finish(case, "unserved")
+        self._send_hang_up(request)
+        self._retry_or_give_up(request, 0)
+
+    def _send_hang_up(self, request: CallRequest) -> None:
+        if self.calls.pop(request.call_id, None) and self.channel.current:
+            self.channel.current.send(frames.HangUp(request.call_id))
+
+    def _retry_or_give_up(self, request: CallRequest, retry_after: int) -> None:
+        """Schedule a retry, or give up."""
+        if request.timer:
+            request.timer.cancel()
+        self.calls.pop(request.call_id, None)
+        if request.no_more_attempts or request.attempts > self.behaviour.retries:
+            self._finish(request, "unserved")
             return
-        pause = self.behaviour.pause_us * (2 ** (case.attempts - 1) if self.behaviour.doubles_pause else 1)
+        pause = self.behaviour.pause_us * (2 ** (request.attempts - 1) if self.behaviour.doubles_pause else 1)
         pause = int(pause * (0.5 + self.rng.random()))
-        if come_back and case.heeds_retry_after:
-            pause = come_back
-        self.waiting_to_retry[case] = None
-        case.timer = self.loop.call_later(pause / 1e6, self._attempt, case)
+        if retry_after and request.heeds_retry_after:
+            pause = retry_after
+        self.waiting_to_retry[request] = None
+        request.timer = self.loop.call_later(pause / 1e6, self._attempt, request)
 
-    def _finish(self, case: CallRequest, how: str) -> None:
-        self.counts[how] += 1
-        self.calls.pop(case.call_id, None)
+    def _finish(self, request: CallRequest, outcome: str) -> None:
+        self.counts[outcome] += 1
+        self.calls.pop(request.call_id, None)
 
     def hang_up_all(self) -> None:
-        """Whoever still talks hangs up; whoever waits to try again does not."""
-        for case in [case for case in self.calls.values() if case.established]:
-            if case.timer:
-                case.timer.cancel()
-            self._hang_up(case)
-        for case in list(self.waiting_to_retry):
-            if case.timer:
-                case.timer.cancel()
-            self.waiting_to_retry.pop(case)
-            self._finish(case, "unserved")
+        """Hang up all established calls and cancel all retries."""
+        for request in [request for request in self.calls.values() if request.established]:
+            if request.timer:
+                request.timer.cancel()
+            self._hang_up(request)
+        for request in list(self.waiting_to_retry):
+            if request.timer:
+                request.timer.cancel()
+            self.waiting_to_retry.pop(request)
+            self._finish(request, "unserved")
 
     @property
     def open_calls(self) -> int:
-        """Cases that are not over."""
+        """The number of call requests that are not finished."""
         return len(self.calls) + len(self.waiting_to_retry)
 
     # -- Owner --
 
-    def channel_opened(self, port: Channel) -> None:
-        """The call server answers."""
+    def channel_opened(self, channel: Channel) -> None:
+        """The call server has answered the handshake."""
 
-    def circuits_held(self, port: Channel) -> int:
+    def circuits_held(self, channel: Channel) -> int:
         """Callers hold no circuits."""
         return 0
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """The call server is gone: whoever waited tries again, whoever talked was cut."""
-        self.recorder.record_connection_down(port)
-        for case in list(self.calls.values()):
-            if case.established:
-                if case.timer:
-                    case.timer.cancel()
-                self._finish(case, "cut")
+    def channel_closed(self, channel: Channel, why: str) -> None:
+        """The connection is lost: waiting callers retry, established calls are cut."""
+        self.recorder.record_connection_down(channel)
+        for request in list(self.calls.values()):
+            if request.established:
+                if request.timer:
+                    request.timer.cancel()
+                self._finish(request, "cut")
             else:
-                self._retry_or_give_up(case, 0)
+                self._retry_or_give_up(request, 0)
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """The call server says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from the call server."""
         if not isinstance(frame, (frames.Final, frames.Ended)):
             return
-        case = self.calls.get(frame.id)
-        if case is None:
+        request = self.calls.get(frame.id)
+        if request is None:
             self.counts["strays"] += 1
         elif isinstance(frame, frames.Ended):
-            if case.timer:
-                case.timer.cancel()
-            self._finish(case, "cut")
+            if request.timer:
+                request.timer.cancel()
+            self._finish(request, "cut")
         elif frame.answer == "stands":
-            if case.timer:
-                case.timer.cancel()
-            case.established = True
+            if request.timer:
+                request.timer.cancel()
+            request.established = True
             self.counts["stood"] += 1
-            hold = self.rng.expovariate(1 / max(1, case.traffic_class.hold))
-            case.timer = self.loop.call_later(hold / 1e6, self._hang_up, case)
+            hold = self.rng.expovariate(1 / max(1, request.traffic_class.hold))
+            request.timer = self.loop.call_later(hold / 1e6, self._hang_up, request)
         else:
             self.counts[frame.answer] += 1
-            self._retry_or_give_up(case, frame.retry_after)
+            self._retry_or_give_up(request, frame.retry_after)
 
-    def _hang_up(self, case: CallRequest) -> None:
-        self._send_hang_up(case)
-        self._finish(case, "talked")
+    def _hang_up(self, request: CallRequest) -> None:
+        self._send_hang_up(request)
+        self._finish(request, "talked")
--- a/wellhitch/stand_ins/office.py
+++ b/wellhitch/stand_ins/office.py
@@ -1,6 +1,6 @@
-"""A stand-in office: it listens for trunk links, does the work of dialogues on a one-line processor, answers
-those for its own number and hands those in transit to its call server. The exchange's circuits outlive it:
-a new processor that takes its place counts on."""
+"""A simulated office: it listens for trunk connections, processes dialogues on a single-server queue, answers those for
+its own exchange and forwards those in transit to its call server. The state of the exchange's circuits outlives it: the
+office that replaces it continues with the same counts."""
 
 import asyncio
 import math
@@ -16,13 +16,13 @@
 from wellhitch.trunk.channel import Channel
 from wellhitch.trunk.circuits import TrunkGroup
 
-REORDER_S = 0.5  # an answer that comes out of order is so late: several others are said meanwhile
-TELL_EVERY_S = 0.05  # group counts to the call server at most so often
+REORDER_DELAY_S = 0.5  # the delay of a reordered answer: several others are sent meanwhile
+REPORT_INTERVAL_S = 0.05  # minimum interval between reports of group counts to the call server
 
 
 @dataclass(slots=True, eq=False)
 class Trunks:
-    """The exchange's end of its trunk groups, and the lines of the numbers called there."""
+    """The exchange's end of its trunk groups, and the busy lines of its numbers."""
 
     number: int
     groups: dict[int, TrunkGroup]
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class Leg:
-    """One set-up that came in."""
+    """One incoming set-up."""
 
     channel: Channel
     setup: frames.Setup
@@ -42,21 +42,21 @@
     established_at: int = 0
     holds_line: bool = False
     ended: bool = False
-    onward_ref: int = 0  # ref on the home link, where in transit
+    onward_ref: int = 0  # reference on the own call server's connection, if in transit
 
 
 @dataclass(slots=True)
 class OfficeFaults:
-    """What is wrong with an office now, as troubles set it."""
+    """The present faults of an office, set by fault injection."""
 
     lost_answers: float = 0.0
-    reset_answers: float = 0.0  # in place of the answer, the dial is cut
-    duplicated_answers: float = 0.0  # share of answers told twice
-    reordered_answers: float = 0.0  # share of answers that come after later ones
-    answers_after_release: bool = False  # answers again once released
+    reset_answers: float = 0.0  # share of answers replaced by a reset of the dial
+    duplicated_answers: float = 0.0  # share of answers sent twice
+    reordered_answers: float = 0.0  # share of answers sent after later ones
+    answers_after_release: bool = False  # sends an answer again after the release
     error_rate: float = 0.0
     report_age_us: int = 0
-    sends_garbage: bool = False  # garbage bytes in place of the next answer
+    sends_garbage: bool = False  # sends undecodable bytes in place of the next answer
 
 
 class Office:
@@ -69,12 +69,12 @@
         name: str,
         trunks: Trunks,
         recorder: Recorder,
-        chance: random.Random,
+        rng: random.Random,
         *,
         address: str,
         setup_us: float,
         queue_us: int,
-        work: WorkCosts,
+        costs: WorkCosts,
         cold: ColdStart,
         started: int | None,
         boot: int,
@@ -84,8 +84,13 @@
         reports: str = "none",
         noise: float = 0.0,
     ) -> None:
-        self.loop, self.name, self.trunks, self.recorder, self.rng = loop, name, trunks, recorder, chance
-        self.costs, self.cancel_drops, self.tells_wait, self.reports = work, cancel_drops, tells_wait, reports
+        self.loop, self.name, self.trunks, self.recorder, self.rng = loop, name, trunks, recorder, rng
+        self.costs, self.cancel_drops, self.tells_wait, self.reports = (
+            costs,
+            cancel_drops,
+            tells_wait,
+            reports,
+        )
         self.processor = Processor(
             loop,
             setup_us,
@@ -112,7 +117,7 @@
         network.listen(address, self._new_channel, self._ready)
 
     def _work_noise(self, noise: float) -> Callable[[], float] | None:
-        """How many times its usual work a piece takes: log-normal around one, or always one."""
+        """The factor of the processing time of a job: log-normal with mean one, or none."""
         if not noise:
             return None
         sigma = math.sqrt(math.log(1 + noise * noise))
@@ -124,36 +129,36 @@
             listener.close()
 
     def _new_channel(self) -> Channel:
-        port: Channel
-        port = Channel(
+        channel: Channel
+        channel = Channel(
             self.loop,
             self,
             self.hello,
             ("call_server",),
             self.recorder.record_frame,
-            lambda why: self._forget_channel(port),
+            lambda reason: self._forget_channel(channel),
         )
-        self.channels[port] = {}
-        return port
+        self.channels[channel] = {}
+        return channel
 
-    def _forget_channel(self, port: Channel) -> None:
-        self.channels.pop(port, None)  # also one that was lost before it said who it is
+    def _forget_channel(self, channel: Channel) -> None:
+        self.channels.pop(channel, None)  # also one lost before the handshake
 
     def now(self) -> int:
         """Time in us."""
         return now_us(self.loop)
 
-    def stop(self, why: str) -> None:
-        """The processor is gone: every link breaks, all dialogues that touch it are cut."""
+    def stop(self, reason: str) -> None:
+        """Stop the office: every connection breaks, and all dialogues on it are cut."""
         if not self.running:
             return
         self.running = False
-        self.recorder.record_note("stopped", why=why)
+        self.recorder.record_note("stopped", why=reason)
         self.processor.dead = True
         if self.listener:
             self.listener.close()
-        for port in list(self.channels):
-            port.fail("office stopped", notify_peer=False)
+        for channel in list(self.channels):
+            channel.fail("office stopped", notify_peer=False)
 
     def _processor_failed(self) -> None:
         self.counts["fell_over"] += 1
@@ -161,43 +166,43 @@
         self.loop.call_soon(self.stop, "fell over")
 
     def own_call_server(self) -> Channel | None:
-        """The link of the own call server."""
-        for port in self.channels:
-            own = port.connection.peer is not None and port.peer.number == self.trunks.number
-            if own and port.transport and not port.transport.is_closing():
-                return port
+        """The connection of the exchange's own call server."""
+        for channel in self.channels:
+            own = channel.connection.peer is not None and channel.peer.number == self.trunks.number
+            if own and channel.transport and not channel.transport.is_closing():
+                return channel
         return None
 
     # -- Owner --
 
-    def channel_opened(self, port: Channel) -> None:
-        """A call server came. An older link of the same one is half-open and goes."""
+    def channel_opened(self, channel: Channel) -> None:
+        """A call server connected. An older connection of the same server is half-open and is closed."""
         for other in list(self.channels):
-            if other is not port and other.connection.peer and other.peer.number == port.peer.number:
-                other.fail("a newer link of the same call server", notify_peer=False)
+            if other is not channel and other.connection.peer and other.peer.number == channel.peer.number:
+                other.fail("a newer connection of the same call server", notify_peer=False)
                 self._channel_lost(other)
-        if port.peer.number == self.trunks.number:
+        if channel.peer.number == self.trunks.number:
             self._unreported_groups.update(self.trunks.groups)
             self._schedule_report()
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        """A call server's link is gone: what it held is freed."""
-        self.recorder.record_connection_down(port)
-        self._channel_lost(port)
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        """A call server's connection is lost: release what it held."""
+        self.recorder.record_connection_down(channel)
+        self._channel_lost(channel)
 
-    def _channel_lost(self, port: Channel) -> None:
-        legs = self.channels.pop(port, None)
+    def _channel_lost(self, channel: Channel) -> None:
+        legs = self.channels.pop(channel, None)
         if legs is None:
-            return  # lost before, when a newer link of the same call server came
-        for key in [key for key in self.processing_steps if key[0] is port]:
+            return  # already closed in favour of a newer connection of the same call server
+        for key in [key for key in self.processing_steps if key[0] is channel]:
             del self.processing_steps[key]
         for leg in list(legs.values()):
             if leg.onward_ref:
                 self._send_to_call_server(frames.Cancel(leg.onward_ref))
             self._report_carried(leg, "cut")
             self._end_leg(leg)
-        if port.connection.peer and port.peer.number == self.trunks.number:
-            # What a call server held that is gone is held by nobody; its next one tells anew.
+        if channel.connection.peer and channel.peer.number == self.trunks.number:
+            # The lost call server's circuits are free; its next connection reports its counts anew.
             for number, group in self.trunks.groups.items():
                 if group.remote_count:
                     group.remote_count = 0
@@ -209,25 +214,25 @@
                 )
                 self._end_leg(leg)
 
-    def circuits_held(self, port: Channel) -> int:
-        """Circuits held for this link's dials."""
-        return sum(leg.setup.width for leg in self.channels.get(port, {}).values())
+    def circuits_held(self, channel: Channel) -> int:
+        """Circuits held for this connection's dials."""
+        return sum(leg.setup.width for leg in self.channels.get(channel, {}).values())
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
-        """A call server says something."""
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
+        """Handle a frame from a call server."""
         match frame:
             case frames.Setup():
-                self._setup(port, frame)
-            case frames.Cancel(ref) | frames.Release(ref):
-                self._release_or_cancel(port, ref, isinstance(frame, frames.Release))
+                self._setup(channel, frame)
+            case frames.Cancel(dial_ref) | frames.Release(dial_ref):
+                self._release_or_cancel(channel, dial_ref, isinstance(frame, frames.Release))
             case frames.ProcessStep():
-                self._process_step(port, frame)
-            case frames.DropStep(ref):
-                job = self.processing_steps.pop((port, ref), None)
+                self._process_step(channel, frame)
+            case frames.DropStep(dial_ref):
+                job = self.processing_steps.pop((channel, dial_ref), None)
                 if job and self.cancel_drops:
                     self.processor.drop(job)
             case frames.GroupState():
-                if port.peer.number == self.trunks.number and frame.number in self.trunks.groups:
+                if channel.peer.number == self.trunks.number and frame.number in self.trunks.groups:
                     self.trunks.groups[frame.number].remote_count = max(0, frame.held)
             case frames.Answer():
                 self._transit_answered(frame.dial_ref)
@@ -236,24 +241,24 @@
             case frames.Probe():
                 self.processor.submit(
                     self.costs.lookup,
-                    lambda: self._send(port, frames.LoadReport(self.load_report() or frames.Load())),
+                    lambda: self._send(channel, frames.LoadReport(self.load_report() or frames.Load())),
                 )
 
-    def _send(self, port: Channel, frame: frames.AnyFrame) -> None:
+    def _send(self, channel: Channel, frame: frames.AnyFrame) -> None:
         if self.running:
-            port.send(frame)
+            channel.send(frame)
 
     def legs_from_exchange(self, number: int) -> list[Leg]:
-        """Set-ups that hold circuits of the group from another exchange."""
+        """The set-ups that hold circuits of the group from another exchange."""
         found = [
             legs
-            for port, legs in self.channels.items()
-            if port.connection.peer and port.peer.number == number
+            for channel, legs in self.channels.items()
+            if channel.connection.peer and channel.peer.number == number
         ]
         return [leg for legs in found for leg in legs.values()]
 
     def cut_leg(self, leg: Leg) -> None:
-        """A circuit is lost, and the dialogue on it."""
+        """Cut a set-up or dialogue whose circuit is lost."""
         self.counts["cut"] += 1
         if leg.onward_ref:
             self._send_to_call_server(
@@ -264,19 +269,19 @@
         self._send_to_leg(leg, frames.Cut(leg.setup.dial_ref))
 
     def resize(self, number: int, size: int) -> None:
-        """A group has another number of circuits."""
+        """Change the number of circuits of a group."""
         self.trunks.groups[number].size = size
         self._group_changed(number)
 
-    def set_reading(self, on: bool) -> None:
-        """Stop reading all links, or go on. The capture tells: what is read then was sent at a time not known."""
-        self.recorder.record_note("reads_on" if on else "reads_nothing")
-        for port in self.channels:
-            if port.transport is not None and not port.transport.is_closing():
-                (port.transport.resume_reading if on else port.transport.pause_reading)()
+    def set_reading(self, enabled: bool) -> None:
+        """Stop or resume reading all connections. Noted in the capture: the send time of late frames is unknown."""
+        self.recorder.record_note("reads_on" if enabled else "reads_nothing")
+        for channel in self.channels:
+            if channel.transport is not None and not channel.transport.is_closing():
+                (channel.transport.resume_reading if enabled else channel.transport.pause_reading)()
 
     def load_report(self) -> frames.Load | None:
-        """The processor's figures, where it tells them; older where troubles say so."""
+        """The processor's load report, if it sends reports; an outdated one if a fault says so."""
         if self.reports == "none":
             return None
         now = self.now()
@@ -297,28 +302,28 @@
 
     # -- set-ups --
 
-    def _setup(self, port: Channel, setup: frames.Setup) -> None:
+    def _setup(self, channel: Channel, setup: frames.Setup) -> None:
         now = self.now()
         self.counts["setups"] += 1
         self.processor.count_setup(1.0, now)
-        legs = self.channels.get(port)
+        legs = self.channels.get(channel)
         if legs is None or setup.dial_ref in legs:
             return
-        leg = Leg(port, setup, now)
-        group = self.trunks.groups.get(port.peer.number)
+        leg = Leg(channel, setup, now)
+        group = self.trunks.groups.get(channel.peer.number)
         if group is None or not group.seize(leg, setup.width):
             self.counts["no_circuit"] += 1
-            self._send(port, self._rejection(leg, "no_circuit"))
+            self._send(channel, self._rejection(leg, "no_circuit"))
             return
         legs[setup.dial_ref] = leg
-        self._group_changed(port.peer.number)
+        self._group_changed(channel.peer.number)
         if self.processor.is_full(now):
             self.counts["processor_full"] += 1
             self._end_leg(leg)
             wait = self.processor.wait(now) if self.tells_wait else 0
             self.processor.submit(
                 self.costs.reject,
-                lambda: self._send(port, self._rejection(leg, "processor_full", wait)),
+                lambda: self._send(channel, self._rejection(leg, "processor_full", wait)),
                 True,
             )
             return
@@ -339,7 +344,7 @@
         self._send_to_leg(leg, self._rejection(leg, reason))
 
     def _complete_setup(self, leg: Leg) -> None:
-        """The set-up is worked on: the called line is free, or it is not."""
+        """The set-up has been processed: answer it, or reject it if all lines of the number are busy."""
         if leg.ended:
             return
         called = leg.setup.called
@@ -365,40 +370,40 @@
             return
         if self._drop_answer(leg):
             return
-        said = frames.Answer(leg.setup.dial_ref, self.load_report())
+        answer = frames.Answer(leg.setup.dial_ref, self.load_report())
         if self.faults.reordered_answers and self.rng.random() < self.faults.reordered_answers:
             self.counts["answers_reordered"] += 1
-            self.loop.call_later(REORDER_S, self._send_to_leg, leg, said)
+            self.loop.call_later(REORDER_DELAY_S, self._send_to_leg, leg, answer)
             return
-        self._send_to_leg(leg, said)
+        self._send_to_leg(leg, answer)
         if self.faults.duplicated_answers and self.rng.random() < self.faults.duplicated_answers:
-            self._send_to_leg(leg, said)
+            self._send_to_leg(leg, answer)
 
     def _drop_answer(self, leg: Leg) -> bool:
-        """Troubles of the way back: silence in place of the answer, or a reset."""
+        """Apply the faults of answers: whether this answer is lost or replaced by a reset."""
         lost, reset = self.faults.lost_answers, self.faults.reset_answers
-        if not (lost or reset) or (drawn := self.rng.random()) >= lost + reset:
+        if not (lost or reset) or (draw := self.rng.random()) >= lost + reset:
             return False
         self.counts["answers_lost"] += 1
-        if drawn >= lost:
+        if draw >= lost:
             self.cut_leg(leg)
         return True
 
     def _forward_transit(self, leg: Leg) -> None:
-        """A dialogue in transit goes to the own call server, which decides."""
-        home = self.own_call_server()
+        """Forward a set-up in transit to the own call server, which decides on it."""
+        call_server = self.own_call_server()
         if leg.ended:
             return
-        if home is None:
+        if call_server is None:
             self._reject(leg, "turned_back")
             return
         self._next_onward_ref += 1
         leg.onward_ref = self._next_onward_ref
         self.transits[leg.onward_ref] = leg
         setup = leg.setup
-        left = setup.left - (self.now() - leg.arrived_at)
+        time_left = setup.left - (self.now() - leg.arrived_at)
         self._send(
-            home,
+            call_server,
             frames.Setup(
                 leg.onward_ref,
                 setup.origin,
@@ -407,13 +412,13 @@
                 setup.use_case,
                 setup.destination,
                 setup.called,
-                max(1, left),
+                max(1, time_left),
                 setup.width,
             ),
         )
 
-    def _transit_answered(self, onward: int) -> None:
-        leg = self.transits.get(onward)
+    def _transit_answered(self, onward_ref: int) -> None:
+        leg = self.transits.get(onward_ref)
         if leg and not leg.ended and not leg.answered:
             leg.answered = True
             if self._drop_answer(leg):
@@ -430,36 +435,36 @@
         else:
             self._reject(leg, frame.reason if frame.reason in frames.REJECT_REASONS else "turned_back")
 
-    def _release_or_cancel(self, port: Channel, ref: int, stood: bool) -> None:
+    def _release_or_cancel(self, channel: Channel, dial_ref: int, established: bool) -> None:
         """The sender cancelled or released a set-up."""
-        leg = self.channels.get(port, {}).get(ref)
+        leg = self.channels.get(channel, {}).get(dial_ref)
         if leg is None:
-            self._send(port, frames.Released(ref))
+            self._send(channel, frames.Released(dial_ref))
             return
         if leg.onward_ref:
             self._send_to_call_server(
-                frames.Release(leg.onward_ref) if stood else frames.Cancel(leg.onward_ref)
+                frames.Release(leg.onward_ref) if established else frames.Cancel(leg.onward_ref)
             )
-        if leg.job and self.cancel_drops and not stood:
+        if leg.job and self.cancel_drops and not established:
             self.processor.drop(leg.job)
-        if stood:
+        if established:
             self._report_carried(leg, "released")
         self._end_leg(leg)
         if self.faults.answers_after_release:
-            self._send_to_leg(leg, frames.Answer(ref))
-        self._send(port, frames.Released(ref))
-        if stood:
+            self._send_to_leg(leg, frames.Answer(dial_ref))
+        self._send(channel, frames.Released(dial_ref))
+        if established:
             self.processor.submit(self.costs.follow_up, lambda: None, True)
 
     def _send_to_call_server(self, frame: frames.AnyFrame) -> None:
-        home = self.own_call_server()
-        if home:
-            self._send(home, frame)
+        call_server = self.own_call_server()
+        if call_server:
+            self._send(call_server, frame)
 
-    def _report_carried(self, leg: Leg, how: str) -> None:
-        """Tell the own call server, for its ledger, of a dialogue that stood here and is over."""
+    def _report_carried(self, leg: Leg, end_reason: str) -> None:
+        """Report a finished dialogue that was established here to the own call server, for its ledger."""
         if not leg.ended and leg.answered and not leg.onward_ref:
-            setup, stood = leg.setup, self.now() - leg.established_at
+            setup, duration_us = leg.setup, self.now() - leg.established_at
             self._send_to_call_server(
                 frames.CarriedDialogue(
                     setup.origin,
@@ -467,14 +472,14 @@
                     setup.use_case,
                     setup.called,
                     setup.width,
-                    how,
-                    stood,
+                    end_reason,
+                    duration_us,
                     setup.dial,
                 )
             )
 
     def _end_leg(self, leg: Leg) -> None:
-        """Free all that a set-up holds here."""
+        """Release everything that a set-up holds here."""
         if leg.ended:
             return
         leg.ended = True
@@ -489,33 +494,35 @@
         if group and group.release(leg):
             self._group_changed(leg.channel.peer.number)
 
-    # -- the own call server's --
+    # -- processing steps for the own call server --
 
-    def _process_step(self, port: Channel, step: frames.ProcessStep) -> None:
-        if port.peer.number != self.trunks.number:
+    def _process_step(self, channel: Channel, step: frames.ProcessStep) -> None:
+        if channel.peer.number != self.trunks.number:
             return
         now = self.now()
-        ref, what = step.dial_ref, step.step
-        if what == "setup" and self.processor.is_full(now):
+        dial_ref, step_name = step.dial_ref, step.step
+        if step_name == "setup" and self.processor.is_full(now):
             self.counts["own_full"] += 1
             self.processor.submit(
-                self.costs.reject, lambda: self._send(port, frames.StepProcessed(ref, what, False)), True
+                self.costs.reject,
+                lambda: self._send(channel, frames.StepProcessed(dial_ref, step_name, False)),
+                True,
             )
             return
         cost = {"setup": 1.0, "look": self.costs.lookup, "word": self.costs.peer_message}.get(
-            what, self.costs.follow_up
+            step_name, self.costs.follow_up
         )
-        ahead = what in ("answer", "release")
-        if what in ("setup", "answer"):
-            self.processing_steps[port, ref] = self.processor.submit(
-                cost, lambda: self._step_processed(port, ref, what), ahead
+        ahead = step_name in ("answer", "release")
+        if step_name in ("setup", "answer"):
+            self.processing_steps[channel, dial_ref] = self.processor.submit(
+                cost, lambda: self._step_processed(channel, dial_ref, step_name), ahead
             )
         else:
             self.processor.submit(cost, lambda: None, ahead)
 
-    def _step_processed(self, port: Channel, ref: int, what: str) -> None:
-        if self.processing_steps.pop((port, ref), None):
-            self._send(port, frames.StepProcessed(ref, what))
+    def _step_processed(self, channel: Channel, dial_ref: int, step_name: str) -> None:
+        if self.processing_steps.pop((channel, dial_ref), None):
+            self._send(channel, frames.StepProcessed(dial_ref, step_name))
 
     def _group_changed(self, number: int) -> None:
         self._unreported_groups.add(number)
@@ -524,13 +531,13 @@
     def _schedule_report(self) -> None:
         if not self._report_scheduled:
             self._report_scheduled = True
-            self.loop.call_later(TELL_EVERY_S, self._report_groups)
+            self.loop.call_later(REPORT_INTERVAL_S, self._report_groups)
 
     def _report_groups(self) -> None:
         self._report_scheduled = False
-        home = self.own_call_server()
-        if home and self.running:
+        call_server = self.own_call_server()
+        if call_server and self.running:
             for number in sorted(self._unreported_groups):
                 group = self.trunks.groups[number]
-                home.send(frames.GroupState(number, group.local_count, group.size))
+                call_server.send(frames.GroupState(number, group.local_count, group.size))
             self._unreported_groups.clear()
--- a/wellhitch/stand_ins/simulated_fleet.py
+++ b/wellhitch/stand_ins/simulated_fleet.py
@@ -1,5 +1,5 @@
-"""All stand-ins of one day on a loop: offices, callers, register, centre, with their captures. The call servers
-between them are somebody else's: `Servers` tells how to stop and start them."""
+"""All stand-ins of one day on one loop: offices, callers, register and centre, with their captures. The call servers
+are run elsewhere; `Servers` is the interface to stop and start them."""
 
 import asyncio
 import random
@@ -24,38 +24,38 @@
     """The call servers of a day, by exchange."""
 
     def start(self, number: int) -> None:
-        """Start one, or start it again."""
+        """Start a call server, or start it again."""
 
     def kill(self, number: int) -> None:
-        """End one outright."""
+        """Kill a call server."""
 
     def pause(self, number: int) -> None:
-        """Stop one where it is."""
+        """Pause a call server."""
 
     def resume(self, number: int) -> None:
-        """Let it go on."""
+        """Resume a paused call server."""
 
 
 class Addresses(Protocol):
-    """Where everybody is reached."""
+    """The addresses of all hosts."""
 
-    def of(self, host: str, door: str) -> str:
-        """host:port of a door of a host; the same each time."""
+    def of(self, host: str, listener: str) -> str:
+        """The host:port of a named listener of a host; the same on each call."""
 
 
 class LinkFaultInjector(Protocol):
-    """What can be done to the links of a day, where the network allows it."""
+    """Injects faults into the connections of a day, if the network supports it."""
 
     def reset_connections(self, here: str, there: str) -> int:
-        """Reset the links between two hosts."""
+        """Reset the connections between two hosts."""
 
-    def set_fault(self, here: str, there: str, what: str, how: bool | int) -> None:
-        """`silent`, `trickle` or `broken` between two hosts, on or off; `late`, by so many us."""
+    def set_fault(self, here: str, there: str, fault: str, value: bool | int) -> None:
+        """Set a field of `LinkFaults` between two hosts, in both directions."""
 
 
 @dataclass
 class SimulatedFleet:
-    """The stand-ins of a day. `network(host)` is each host's own view."""
+    """The stand-ins of a day. `network(host)` is the network interface of a host."""
 
     loop: asyncio.AbstractEventLoop
     day: Day
@@ -70,7 +70,7 @@
     callers: dict[int, Callers] = field(default_factory=dict)
     trunks: dict[int, Trunks] = field(default_factory=dict)
     generations: dict[int, int] = field(default_factory=dict)
-    unavailable_servers: set[int] = field(default_factory=set)  # call servers that are killed, or paused, now
+    unavailable_servers: set[int] = field(default_factory=set)  # call servers now killed or paused
 
     def __post_init__(self) -> None:
         day = self.day
@@ -87,29 +87,29 @@
             seed=day.seed,
             use_cases=[
                 {
-                    "name": u.name,
-                    "payoff": u.payoff,
-                    "agreed_time": duration_us(u.agreed_time),
-                    "late_share": u.late_share,
+                    "name": traffic_class.name,
+                    "payoff": traffic_class.payoff,
+                    "agreed_time": duration_us(traffic_class.agreed_time),
+                    "late_share": traffic_class.late_share,
                 }
-                for u in day.use_cases
+                for traffic_class in day.use_cases
             ],
         )
-        self.exchanges = {one.number: one for one in day.exchanges}
-        self.zones = {one.number: one.zone for one in day.exchanges}
-        for one in day.exchanges:
-            # A pair without a group has one of no circuits: both ends tell so, and nobody dials over it.
-            none = {other: TrunkGroup(0) for other in self.zones if other != one.number}
-            self.trunks[one.number] = Trunks(one.number, none, day.offices.lines)
+        self.exchanges = {exchange.number: exchange for exchange in day.exchanges}
+        self.zones = {exchange.number: exchange.zone for exchange in day.exchanges}
+        for exchange in day.exchanges:
+            # A pair without a group gets one with no circuits, so both ends report it and no call server dials over it.
+            empty_groups = {other: TrunkGroup(0) for other in self.zones if other != exchange.number}
+            self.trunks[exchange.number] = Trunks(exchange.number, empty_groups, day.offices.lines)
         for group in day.groups:
             a, b = group.ends
             self.trunks[a].groups[b] = TrunkGroup(group.size)
             self.trunks[b].groups[a] = TrunkGroup(group.size)
-        late = day.register
-        waits = {
-            "ready": duration_us(late.add),
-            "draining": duration_us(late.notice),
-            "gone": duration_us(late.silent_notice),
+        register_settings = day.register
+        delays = {
+            "ready": duration_us(register_settings.add),
+            "draining": duration_us(register_settings.notice),
+            "gone": duration_us(register_settings.silent_notice),
         }
         self.register = Register(
             loop=self.loop,
@@ -117,12 +117,12 @@
             address=self.addresses.of("register", "list"),
             recorder=self.new_recorder("register", "register"),
             rng=self.random_for("register"),
-            update_delay=lambda state: waits[state],
-            delay_spread=duration_us(late.spread),
+            update_delay=lambda state: delays[state],
+            delay_spread=duration_us(register_settings.spread),
             boot=1,
         )
-        for one in day.exchanges:
-            self.start_office(one.number, None)
+        for exchange in day.exchanges:
+            self.start_office(exchange.number, None)
         self.centre: Centre | None = None
         if day.centre is not None:
             self.centre = Centre(
@@ -138,41 +138,41 @@
             )
 
     def network_delays(self) -> tuple[int, int]:
-        """One way at the longest, and by how much two ways from one call server to offices differ, us. On
-        real sockets the figures of the day's net do not act, and a way is what a busy loop takes; the runner
-        states it there."""
+        """The longest one-way delay, and the largest difference between two delays from one call server to offices, in
+        us. On real sockets the delays of the day's network do not apply: a delay is then the time a busy loop takes,
+        and the runner states it."""
         net = self.day.net
-        zones = {one.zone for one in self.day.exchanges}
-        ways = [duration_us(net.same), *([duration_us(net.cross)] if len(zones) > 1 else [])]
-        longest = int(max(ways) * (1 + net.jitter)) + 1
-        return max(longest, duration_us(net.here)), longest - min(ways)
+        zones = {exchange.zone for exchange in self.day.exchanges}
+        delays = [duration_us(net.same), *([duration_us(net.cross)] if len(zones) > 1 else [])]
+        longest = int(max(delays) * (1 + net.jitter)) + 1
+        return max(longest, duration_us(net.here)), longest - min(delays)
 
     def now(self) -> int:
         """Time in us."""
         return now_us(self.loop)
 
-    def random_for(self, what: str) -> random.Random:
-        """A generator of its own for each part, all from the day's seed."""
-        return random.Random(f"{self.day.seed} {what}")
+    def random_for(self, part: str) -> random.Random:
+        """A separate random generator for each part, seeded from the day's seed."""
+        return random.Random(f"{self.day.seed} {part}")
 
     def new_recorder(self, party: str, name: str, **facts: Any) -> Recorder:
-        """A capture of one party."""
+        """Start the capture of one party."""
         file: BinaryIO | None = None
         if self.folder is not None:
             file = (self.folder / f"{name}.capture").open("wb", buffering=1 << 20)
-        made = self.recorders[name] = Recorder(self.now, party, name, file, **facts)
-        return made
+        recorder = self.recorders[name] = Recorder(self.now, party, name, file, **facts)
+        return recorder
 
     def host_of(self, number: int) -> str:
-        """The host of an exchange's present office."""
+        """The host of an exchange's current office."""
         return self.offices[number].name
 
     def start_office(self, number: int, started: int | None) -> Office:
-        """An office starts, the first or in place of another; the register hears of it at once."""
-        day, line = self.day, self.exchanges[number]
-        again = self.generations[number] = self.generations.get(number, -1) + 1
-        name = f"office-{number}" if not again else f"office-{number}.{again}"
-        cold = ColdStart(
+        """Start an exchange's first office or a replacement; the register is notified at once."""
+        day, exchange = self.day, self.exchanges[number]
+        generation = self.generations[number] = self.generations.get(number, -1) + 1
+        name = f"office-{number}" if not generation else f"office-{number}.{generation}"
+        cold_start = ColdStart(
             day.offices.cold_share,
             duration_us(day.offices.cold_for),
             day.rules.cold_multiple,
@@ -183,9 +183,9 @@
             name,
             number=number,
             started=started,
-            warm_after=cold.warm_after_us,
-            cold_share=cold.initial_share,
-            setup_us=duration_us(line.setup),
+            warm_after=cold_start.warm_after_us,
+            cold_share=cold_start.initial_share,
+            setup_us=duration_us(exchange.setup),
         )
         office = Office(
             self.loop,
@@ -195,12 +195,12 @@
             recorder,
             self.random_for(name),
             address=self.addresses.of(name, "trunk"),
-            setup_us=duration_us(line.setup),
+            setup_us=duration_us(exchange.setup),
             queue_us=duration_us(day.offices.queue),
-            work=WorkCosts(day.offices.look, day.offices.reject, day.offices.follow, day.offices.word),
-            cold=cold,
+            costs=WorkCosts(day.offices.look, day.offices.reject, day.offices.follow, day.offices.word),
+            cold=cold_start,
             started=started,
-            boot=again + 1,
+            boot=generation + 1,
             finish_first=day.offices.finish_first,
             cancel_drops=day.offices.cancel_drops,
             tells_wait=day.offices.tells_wait,
@@ -214,27 +214,27 @@
         self.update_register(office, "ready")
         return office
 
-    def update_register(self, office: Office, standing: str) -> None:
-        """The register hears of an office."""
+    def update_register(self, office: Office, state: str) -> None:
+        """Notify the register of an office's state."""
         number = office.trunks.number
         self.register.update(
             office.name,
             number,
-            standing,
+            state,
             office.processor.started,
             office.address,
             self.addresses.of(f"server-{number}", "peers"),
         )
 
     def start_callers(self) -> None:
-        """Callers begin."""
-        for line in self.day.exchanges:
-            callers = self.callers[line.number] = self._callers(line)
+        """Start the callers of all exchanges."""
+        for exchange in self.day.exchanges:
+            callers = self.callers[exchange.number] = self._new_callers(exchange)
             callers.start()
 
-    def _callers(self, line: ExchangeSettings) -> Callers:
-        day, name = self.day, f"callers-{line.number}"
-        habits = CallerBehaviour(
+    def _new_callers(self, exchange: ExchangeSettings) -> Callers:
+        day, name = self.day, f"callers-{exchange.number}"
+        behaviour = CallerBehaviour(
             day.callers.retries,
             day.callers.patience,
             duration_us(day.callers.pause),
@@ -247,58 +247,58 @@
         return Callers(
             self.loop,
             self.network(name),
-            line.number,
-            self.addresses.of(f"server-{line.number}", "callers"),
-            self.new_recorder("callers", name, number=line.number),
+            exchange.number,
+            self.addresses.of(f"server-{exchange.number}", "callers"),
+            self.new_recorder("callers", name, number=exchange.number),
             self.random_for(name),
             TrafficDemand(
-                {int(to): rate for to, rate in line.calls.items() if rate > 0},
+                {int(destination): rate for destination, rate in exchange.calls.items() if rate > 0},
                 self.traffic_classes(),
                 shape=sorted(day.shape),
                 drift=(duration_us(day.drift.every), day.drift.cv) if day.drift else None,
                 bursts=(duration_us(day.bursts.every), day.bursts.cv) if day.bursts else None,
             ),
-            habits,
+            behaviour,
             1,
         )
 
     def traffic_classes(self) -> list[tuple[TrafficClass, float]]:
-        """Use cases as the callers know them, with their shares."""
+        """The traffic classes as the callers know them, with their shares."""
         return [
             (
                 TrafficClass(
-                    u.name,
-                    u.payoff,
-                    u.late_share,
-                    duration_us(u.agreed_time),
-                    duration_us(u.outer_limit),
-                    u.width,
-                    duration_us(u.hold),
+                    traffic_class.name,
+                    traffic_class.payoff,
+                    traffic_class.late_share,
+                    duration_us(traffic_class.agreed_time),
+                    duration_us(traffic_class.outer_limit),
+                    traffic_class.width,
+                    duration_us(traffic_class.hold),
                     (),
-                    u.repeatable,
-                    duration_us(u.repeat_within),
+                    traffic_class.repeatable,
+                    duration_us(traffic_class.repeat_within),
                 ),
-                u.share,
+                traffic_class.share,
             )
-            for u in self.day.use_cases
+            for traffic_class in self.day.use_cases
         ]
 
     def free_circuits(self, here: int, there: int) -> int:
-        """Free circuits of a group, for the centre; -1 where there is none."""
+        """The number of free circuits of a group, for the centre; -1 if there is no group."""
         group = self.trunks[here].groups.get(there)
         return group.free if group else -1
 
     def stop_new_calls(self) -> None:
-        """No more new dialogues."""
+        """Start no new calls."""
         for callers in self.callers.values():
             callers.stop_new_calls()
 
     @property
     def open_calls(self) -> int:
-        """Cases that are not over."""
+        """The number of call requests that are not finished."""
         return sum(callers.open_calls for callers in self.callers.values())
 
     def close(self) -> None:
-        """End the captures."""
+        """Close the captures."""
         for recorder in self.recorders.values():
             recorder.close()
