--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -41,7 +41,9 @@
     world.offices[1].end_call(A, 16)
     world.run(0.1)
     assert [reason for _, reason in caller.byes(A)] == ["Q.850;cause=16"]
-    world.offices[1].end_call(A, 16, end=world.offices[1].connections[0])  # repeated on another connection
+    world.offices[1].end_call(
+        A, 16, connection=world.offices[1].connections[0]
+    )  # repeated on another connection
     world.run(1)
     assert len(caller.byes(A)) == 1 and not world.core.calls and not world.core.exchange.dialogues
 
@@ -364,7 +366,7 @@
     world.offices[1].connections[0].write(f'{{"t":"down","ref":"{A}","f":{{}},"c":16}}\n'.encode())
     world.run(0.1)
     caller = world.caller()
-    caller.send(invite(A, more=";at:s-00000001"))
+    caller.send(invite(A, extra_attributes=";at:s-00000001"))
     world.run(0.1)
     assert len(caller.byes(A)) == 1 and caller.statuses(A) == []
 
@@ -372,8 +374,8 @@
 def test_reported_call_gets_no_answer_but_its_release() -> None:
     world = World()
     caller = world.caller()
-    caller.send(invite(A, more=";at:s-00000001"))
-    caller.send(invite(A, more=";at:s-00000001"))  # reported twice
+    caller.send(invite(A, extra_attributes=";at:s-00000001"))
+    caller.send(invite(A, extra_attributes=";at:s-00000001"))  # reported twice
     world.run(0.1)
     assert caller.statuses(A) == [] and not world.offices[1].lines_of_type("new")
     world.offices[1].connections[0].write(f'{{"t":"down","ref":"{A}","f":{{}},"c":16}}\n'.encode())
@@ -384,7 +386,7 @@
 def test_call_reported_at_an_unknown_office_is_released() -> None:
     world = World()
     caller = world.caller()
-    caller.send(invite(A, more=";at:s-0000dead"))
+    caller.send(invite(A, extra_attributes=";at:s-0000dead"))
     world.run(1)
     assert len(caller.byes(A)) == 1
 
@@ -404,7 +406,7 @@
         office.answers = True
         world.run(0.3)
         assert world.counts["ending.reset"] == 1 and A in world.core.calls, noise
-        office.end_call(A, 16, end=office.connections[-1])  # on a connection opened since
+        office.end_call(A, 16, connection=office.connections[-1])  # on a connection opened since
         world.run(0.3)
         assert len(caller.byes(A)) == 1, noise
         assert caller.statuses(call_id(2)) == [200], noise  # dialled again after the release wait
@@ -545,8 +547,8 @@
     world.offices[1].connections[0].write(b'{"t":"gauge","ref":"0","f":{"load":"spare:0;total:50"}}\n')
     world.run(0.1)
     caller = world.caller()
-    caller.send(invite(A, 1, more=";transit:1"))
-    caller.send(invite(call_id(2), 2, more=";transit:1"))
+    caller.send(invite(A, 1, extra_attributes=";transit:1"))
+    caller.send(invite(call_id(2), 2, extra_attributes=";transit:1"))
     world.run(0.1)
     assert caller.statuses(A) == [503] and caller.statuses(call_id(2)) == [200]
     assert not [line for line in world.offices[2].lines_of_type("new") if line.call_id == A]
@@ -556,14 +558,14 @@
 
 
 def _cut_within_a_frame(world: World) -> None:
-    update = world.discovery.publish(row(1, DRAINING), loud=False)
+    update = world.discovery.publish(row(1, DRAINING), send=False)
     world.discovery.send_raw(board_codec.encode_update(update)[:20])
     world.run(0.05)
     world.discovery.reset_connections()
 
 
 def _silent_for_a_second(world: World) -> None:
-    world.discovery.publish(row(1, DRAINING), loud=False)
+    world.discovery.publish(row(1, DRAINING), send=False)
     world.discovery.silent = True
     world.loop.call_later(1, lambda: setattr(world.discovery, "silent", False))
 
@@ -574,12 +576,12 @@
 
 
 def _missing_update(world: World) -> None:
-    world.discovery.publish(row(1, DRAINING), loud=False)
+    world.discovery.publish(row(1, DRAINING), send=False)
     world.discovery.publish(row(2, READY))
 
 
 def _unreadable_frame(world: World) -> None:
-    world.discovery.publish(row(1, DRAINING), loud=False)
+    world.discovery.publish(row(1, DRAINING), send=False)
     world.discovery.send_raw(b"\xff" * 40)
 
 
@@ -630,7 +632,7 @@
     "short length": _sending(invite(A).replace(b"Content-Length: 14", b"Content-Length: 3")),
     "long length": _sending(invite(A).replace(b"Content-Length: 14", b"Content-Length: 999")),
     "headers without end": _sending(f"INVITE sip:{A}@net SIP/2.0\r\n".encode() + b"X-A: b\r\n" * 5000),
-    "unknown traffic class": _sending(invite(A, use_case="unheard-of")),
+    "unknown traffic class": _sending(invite(A, traffic_class="unheard-of")),
     "no number": _sending(invite(A).replace(b"X-Deadline: 1000", b"X-Deadline: soon")),
     "out of range": _sending(invite(A).replace(b"dest:1", b"dest:99999999")),
     "no id": _sending(invite(A).replace(f"Call-ID: {A}\r\n".encode(), b"")),
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -89,7 +89,7 @@
         conditions.silent = True
         conditions.times_out = fault == "swallowed"
     world.run(down_s)
-    world.discovery.publish(row(1, DRAINING), loud=False)  # existing connections do not receive it
+    world.discovery.publish(row(1, DRAINING), send=False)  # existing connections do not receive it
     conditions.refuses = conditions.times_out = conditions.silent = False
     assert world.run_until(UPDATE_LIMIT_S, lambda: drained(world))
 
--- a/tests/test_platform_eviction.py
+++ b/tests/test_platform_eviction.py
@@ -94,11 +94,11 @@
     world.run(0.05)
     naming = [world.caller(f"10.9.7.{n}") for n in range(30)]
     for n, caller in enumerate(naming):
-        caller.send(invite(call_id(5000 + n), more=";at:s-00000001"))
+        caller.send(invite(call_id(5000 + n), extra_attributes=";at:s-00000001"))
     world.run(0.1)
     assert set(world.core.calls) == {call_id(5000 + n) for n in range(30)}
     assert not any(caller.closed for caller in naming) and world.service.callers.open <= max_callers
-    world.offices[1].end_call(call_id(5007), 16, end=world.offices[1].connections[0])
+    world.offices[1].end_call(call_id(5007), 16, connection=world.offices[1].connections[0])
     world.run(0.1)
     assert naming[7].byes(call_id(5007))
 
--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -351,10 +351,10 @@
     service = world.start_server(opened=world.service.configuration.opened, known_updates=known, revision=2)
     world.run(0.1)
     office = world.offices[1]
-    office.end_call(A, 16, end=office.connections[-1])
+    office.end_call(A, 16, connection=office.connections[-1])
     world.run(0.1)
     caller = world.caller()
-    caller.send(invite(A, more=";at:s-00000001"))
+    caller.send(invite(A, extra_attributes=";at:s-00000001"))
     world.run(0.3)
     assert [reason for _, reason in caller.byes(A)] == ["Q.850;cause=16"] and not service.core.calls
 
@@ -378,7 +378,7 @@
     office.end_call(A, 16)
     world.run(0.05)
     assert len(office.connections) == before + 1
-    office.end_call(A, 16, end=office.connections[-1])  # offices resend it on the next connection
+    office.end_call(A, 16, connection=office.connections[-1])  # offices resend it on the next connection
     world.run(0.1)
     assert len(caller.byes(A)) == 1
 
--- a/wellhitch/stand_ins/platform.py
+++ b/wellhitch/stand_ins/platform.py
@@ -1,5 +1,5 @@
-"""Stand-ins for callers, offices and the notice board of the operators' platform, over the call server's own seam.
-They say what they are told to, sound or not, and keep all that they hear with the time."""
+"""Simulated callers, offices and discovery of the operators' platform, on the call server's network interface. They
+send any bytes they are given, valid or not, and keep all received messages with their times."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,12 +13,14 @@
 
 
 class _Connection(asyncio.BufferedProtocol):
-    """One end of a stream that hands on what comes."""
+    """One end of a stream that passes received bytes on."""
 
     def __init__(
-        self, came: Callable[["_Connection", bytes], None], up: Callable[["_Connection"], None] | None = None
+        self,
+        on_data: Callable[["_Connection", bytes], None],
+        on_connected: Callable[["_Connection"], None] | None = None,
     ) -> None:
-        self.on_data, self.on_connected = came, up
+        self.on_data, self.on_connected = on_data, on_connected
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray(65536)
         self.closed = False
@@ -41,14 +43,14 @@
         self.closed = True
 
     def write(self, data: bytes) -> None:
-        """Send bytes, whatever they are."""
+        """Send any bytes."""
         if self.transport is not None and not self.closed:
             self.transport.write(data)
 
 
 @dataclass(eq=False)
 class Caller:
-    """One connection from a caller. Answers BYE as usual callers do, unless told not to."""
+    """One connection from a caller. Answers BYE unless `answers_bye` is off."""
 
     loop: asyncio.AbstractEventLoop
     network: Network
@@ -69,22 +71,22 @@
     def _connect_failed(self, failure: ConnectFailure) -> None:
         self.connect_error = failure.detail
 
-    def _connected(self, end: _Connection) -> None:
-        self.connection = end
-        if not self.reads and end.transport is not None:
-            end.transport.pause_reading()
+    def _connected(self, connection: _Connection) -> None:
+        self.connection = connection
+        if not self.reads and connection.transport is not None:
+            connection.transport.pause_reading()
         for data in self._unsent:
-            end.write(data)
+            connection.write(data)
         self._unsent.clear()
 
-    def _data_received(self, end: _Connection, data: bytes) -> None:
+    def _data_received(self, connection: _Connection, data: bytes) -> None:
         for message in self._decoder.feed(data):
             self.received.append((now_us(self.loop), message))
             if isinstance(message, sip.Request) and message.method == "BYE" and self.answers_bye:
                 self.send(sip.response(200, sip.echo(message)))
 
     def send(self, data: bytes) -> None:
-        """Send bytes, once the connection is up."""
+        """Send bytes as soon as the connection is established."""
         if self.connection is None:
             self._unsent.append(data)
         else:
@@ -100,28 +102,30 @@
         """Whether the connection has ended."""
         return self.connection is not None and self.connection.closed
 
-    def statuses(self, ref: str, method: str = "INVITE") -> list[int]:
-        """The answers to one message of a dialogue, in order."""
+    def statuses(self, call_id: str, method: str = "INVITE") -> list[int]:
+        """The response statuses to one request of a dialogue, in order."""
         return [
-            one.status
-            for _, one in self.received
-            if isinstance(one, sip.Response)
-            and one.headers.get("call-id") == ref
-            and one.headers.get("cseq", "").endswith(method)
+            message.status
+            for _, message in self.received
+            if isinstance(message, sip.Response)
+            and message.headers.get("call-id") == call_id
+            and message.headers.get("cseq", "").endswith(method)
         ]
 
-    def byes(self, ref: str) -> list[tuple[int, str]]:
-        """When a dialogue was released towards this caller, and the reason told."""
+    def byes(self, call_id: str) -> list[tuple[int, str]]:
+        """The time and reason of each release of a dialogue towards this caller."""
         return [
-            (at, one.headers.get("reason", ""))
-            for at, one in self.received
-            if isinstance(one, sip.Request) and one.method == "BYE" and one.headers.get("call-id") == ref
+            (time_us, message.headers.get("reason", ""))
+            for time_us, message in self.received
+            if isinstance(message, sip.Request)
+            and message.method == "BYE"
+            and message.headers.get("call-id") == call_id
         ]
 
 
 @dataclass(eq=False)
 class PlatformOffice:
-    """One office at an address. `answers`: whether it answers each set-up at once."""
+    """One office at an address. `answers`: whether it answers each set-up immediately."""
 
     loop: asyncio.AbstractEventLoop
     network: Network
@@ -133,7 +137,7 @@
     connections: list[_Connection] = field(default_factory=list)
     connection_by_call_id: dict[str, _Connection] = field(default_factory=dict)
     connections_opened: int = 0
-    resets_connections: bool = False  # trouble: each link is reset when it has just come up
+    resets_connections: bool = False  # fault: each connection is reset just after it opened
     listener: Listener | None = None
     _decoders: dict[_Connection, lines.Decoder] = field(default_factory=dict)
 
@@ -141,7 +145,7 @@
         self.listen()
 
     def listen(self) -> None:
-        """Take links."""
+        """Accept connections."""
         self.network.listen(
             self.address, lambda: _Connection(self._data_received, self._connected), self._ready
         )
@@ -150,67 +154,69 @@
         self.listener = listener
 
     def stop_listening(self) -> None:
-        """Refuse links."""
+        """Refuse connections."""
         if self.listener is not None:
             self.listener.close()
 
-    def _connected(self, end: _Connection) -> None:
+    def _connected(self, connection: _Connection) -> None:
         self.connections_opened += 1
-        if self.resets_connections and end.transport is not None:
-            self.loop.call_later(0.005, end.transport.abort)
+        if self.resets_connections and connection.transport is not None:
+            self.loop.call_later(0.005, connection.transport.abort)
             return
-        self.connections.append(end)
-        self._decoders[end] = lines.Decoder()
-        end.write(
+        self.connections.append(connection)
+        self._decoders[connection] = lines.Decoder()
+        connection.write(
             b'{"t":"gauge","ref":"0000000000000000","f":{"load":"spare:%d;total:%d"}}\n'
             % (self.spare, self.total)
         )
 
-    def _data_received(self, end: _Connection, data: bytes) -> None:
-        for line in self._decoders[end].feed(data):
+    def _data_received(self, connection: _Connection, data: bytes) -> None:
+        for line in self._decoders[connection].feed(data):
             self.received.append((now_us(self.loop), line))
             if line.type == "new":
-                self.connection_by_call_id[line.call_id] = end
+                self.connection_by_call_id[line.call_id] = connection
                 if self.answers:
                     self.answer(line.call_id)
 
     def lines_of_type(self, kind: str) -> list[lines.Line]:
-        """The lines of one type that came."""
+        """The received lines of one type."""
         return [line for _, line in self.received if line.type == kind]
 
-    def send_raw(self, ref: str, data: bytes) -> None:
-        """Send bytes on the link of a set-up."""
-        self.connection_by_call_id[ref].write(data)
+    def send_raw(self, call_id: str, data: bytes) -> None:
+        """Send bytes on the connection of a set-up."""
+        self.connection_by_call_id[call_id].write(data)
 
-    def answer(self, ref: str, description: str = "office's own\r\n") -> None:
+    def answer(self, call_id: str, description: str = "office's own\r\n") -> None:
         """Answer a set-up."""
         text = description.replace("\r\n", "\\r\\n")
-        self.send_raw(ref, f'{{"t":"up","ref":"{ref}","f":{{}},"d":"{text}"}}\n'.encode())
+        self.send_raw(call_id, f'{{"t":"up","ref":"{call_id}","f":{{}},"d":"{text}"}}\n'.encode())
 
-    def end_call(self, ref: str, cause: int, note: str = "", end: _Connection | None = None) -> None:
-        """Refuse a set-up or release a call, on its link or on another."""
+    def end_call(
+        self, call_id: str, cause: int, note: str = "", connection: _Connection | None = None
+    ) -> None:
+        """Reject a set-up or release a call, on its connection or on another."""
         fields = f'"note":"{note}"' if note else ""
-        (end or self.connection_by_call_id[ref]).write(
-            f'{{"t":"down","ref":"{ref}","f":{{{fields}}},"c":{cause}}}\n'.encode()
+        (connection or self.connection_by_call_id[call_id]).write(
+            f'{{"t":"down","ref":"{call_id}","f":{{{fields}}},"c":{cause}}}\n'.encode()
         )
 
     def reset_connections(self) -> None:
-        """Reset every link."""
-        for end in self.connections:
-            if end.transport is not None and not end.closed:
-                end.transport.abort()
+        """Reset every connection."""
+        for connection in self.connections:
+            if connection.transport is not None and not connection.closed:
+                connection.transport.abort()
         self.connections.clear()
 
 
 @dataclass(eq=False)
 class DiscoveryServer:
-    """The notice board at an address: tells its events from the number that each connection asks after."""
+    """The discovery service at an address: sends each connection the updates after the revision it asks for."""
 
     loop: asyncio.AbstractEventLoop
     network: Network
     address: str
     updates: list[board_codec.Update] = field(default_factory=list)
-    subscriptions: list[tuple[int, int]] = field(default_factory=list)  # when, and after which number
+    subscriptions: list[tuple[int, int]] = field(default_factory=list)  # (time, revision asked for)
     silent: bool = False
     listener: Listener | None = None
     connections: list[_Connection] = field(default_factory=list)
@@ -223,68 +229,69 @@
     def _ready(self, listener: Listener) -> None:
         self.listener = listener
 
-    def _data_received(self, end: _Connection, data: bytes) -> None:
-        asking = self._partial_requests.get(end, b"") + data
-        self._partial_requests[end] = asking
-        if len(asking) == 8:
-            number = int.from_bytes(asking, "big")
-            self.subscriptions.append((now_us(self.loop), number))
-            self.connections.append(end)
+    def _data_received(self, connection: _Connection, data: bytes) -> None:
+        request = self._partial_requests.get(connection, b"") + data
+        self._partial_requests[connection] = request
+        if len(request) == 8:
+            revision = int.from_bytes(request, "big")
+            self.subscriptions.append((now_us(self.loop), revision))
+            self.connections.append(connection)
             if not self.silent:
-                for event in self.updates:
-                    if event.revision > number:
-                        end.write(board_codec.encode_update(event))
+                for update in self.updates:
+                    if update.revision > revision:
+                        connection.write(board_codec.encode_update(update))
 
     def _send_heartbeat(self) -> None:
         self.loop.call_later(1, self._send_heartbeat)
-        last = max((event.revision for event in self.updates), default=1)
-        self.send_raw(board_codec.encode_update(board_codec.Update(last, False, (), True)))
+        last_revision = max((update.revision for update in self.updates), default=1)
+        self.send_raw(board_codec.encode_update(board_codec.Update(last_revision, False, (), True)))
 
     def send_raw(self, data: bytes) -> None:
-        """Write bytes to all that follow."""
+        """Send bytes to all subscribers."""
         if not self.silent:
-            for end in self.connections:
-                end.write(data)
+            for connection in self.connections:
+                connection.write(data)
 
     def publish(
-        self, *rows: board_codec.DiscoveryEntry, whole: bool = False, loud: bool = True
+        self, *rows: board_codec.DiscoveryEntry, whole: bool = False, send: bool = True
     ) -> board_codec.Update:
-        """A new event; not written to anybody where it is not `loud`."""
-        last = max((event.revision for event in self.updates), default=1)
-        notice = board_codec.Update(last + 1, whole, rows)
-        self.updates.append(notice)
-        if loud:
-            self.send_raw(board_codec.encode_update(notice))
-        return notice
+        """Add an update, and send it to the subscribers if `send`."""
+        last_revision = max((update.revision for update in self.updates), default=1)
+        update = board_codec.Update(last_revision + 1, whole, rows)
+        self.updates.append(update)
+        if send:
+            self.send_raw(board_codec.encode_update(update))
+        return update
 
     def reset_connections(self) -> None:
         """Reset every connection."""
-        for end in self.connections:
-            if end.transport is not None and not end.closed:
-                end.transport.abort()
+        for connection in self.connections:
+            if connection.transport is not None and not connection.closed:
+                connection.transport.abort()
         self.connections.clear()
 
 
 def invite(
-    ref: str,
+    call_id: str,
     destination: int = 1,
-    use_case: str = "cheap",
+    traffic_class: str = "cheap",
     left_ms: int = 1000,
-    more: str = "",
+    extra_attributes: str = "",
     body: bytes = b"caller's own\r\n",
     key: str = "7f3a9c21e0b4d655",
 ) -> bytes:
-    """A set-up as callers write it; `more` goes on in X-Attrs."""
+    """A set-up as sent by callers; `extra_attributes` is appended to X-Attrs."""
     return (
-        f"INVITE sip:{key}@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {ref}\r\nCSeq: 1 INVITE\r\n"
-        f"X-Tier: {use_case}\r\nX-Deadline: {left_ms}\r\nX-Attrs: dest:{destination};width:1;via:-1{more}\r\n"
+        f"INVITE sip:{key}@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call_id}\r\nCSeq: 1 INVITE\r\n"
+        f"X-Tier: {traffic_class}\r\nX-Deadline: {left_ms}\r\n"
+        f"X-Attrs: dest:{destination};width:1;via:-1{extra_attributes}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     ).encode() + body
 
 
-def bodyless_request(method: str, ref: str) -> bytes:
-    """A message without a body: ACK, CANCEL, BYE, OPTIONS."""
+def bodyless_request(method: str, call_id: str) -> bytes:
+    """A request without a body: ACK, CANCEL, BYE or OPTIONS."""
     return (
-        f"{method} sip:exchange@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {ref}\r\nCSeq: 1 {method}\r\n"
+        f"{method} sip:exchange@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call_id}\r\nCSeq: 1 {method}\r\n"
         "Content-Length: 0\r\n\r\n"
     ).encode()
