--- a/tests/test_bad_day.py
+++ b/tests/test_bad_day.py
@@ -1,4 +1,4 @@
-"""The day of `make day` on sockets, in short: all its troubles at two fifths of their times."""
+"""The day of `make day` on sockets, shortened: all times are scaled to two fifths."""
 
 from pathlib import Path
 
@@ -10,23 +10,23 @@
 from wellhitch.settings.server import duration_us
 
 BAD_DAY = Path(__file__).parents[1] / "days" / "bad.jsonnet"
-SHARE = 0.4
+TIME_SCALE = 0.4
 
 
-def shorter(text: str) -> str:
-    return f"{round(duration_us(text) * SHARE)}us"
+def scaled(text: str) -> str:
+    return f"{round(duration_us(text) * TIME_SCALE)}us"
 
 
-def in_short(day: Day) -> Day:
-    troubles: list[FaultSettings] = [
-        msgspec.structs.replace(trouble, at=shorter(trouble.at), length=shorter(trouble.length))
-        for trouble in day.troubles
+def shortened(day: Day) -> Day:
+    faults: list[FaultSettings] = [
+        msgspec.structs.replace(fault, at=scaled(fault.at), length=scaled(fault.length))
+        for fault in day.troubles
     ]
-    return msgspec.structs.replace(day, length=shorter(day.length), troubles=troubles)
+    return msgspec.structs.replace(day, length=scaled(day.length), troubles=faults)
 
 
-def test_the_bad_day_in_short_keeps_every_rule(tmp_path: Path) -> None:
-    # Guards the README's main command: answers were held back on their connections, or decided too late (issue 29).
-    done = play_sockets(in_short(read_day(BAD_DAY)), tmp_path, processes=True)
-    assert done.verdict.violations == []
-    assert done.verdict.examined["dialogues"] > 1000 and not done.left_open
+def test_the_shortened_bad_day_has_no_violations(tmp_path: Path) -> None:
+    # Guards the README's main command: answers were delayed on their connections, or decided too late (issue 29).
+    played = play_sockets(shortened(read_day(BAD_DAY)), tmp_path, processes=True)
+    assert played.verdict.violations == []
+    assert played.verdict.examined["dialogues"] > 1000 and not played.left_open
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge is worth what it catches: servers broken on purpose, each found by the captures and named."""
+"""Tests that the judge finds and names each violation by call servers with deliberate faults."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -22,85 +22,86 @@
 
 
 class AnswersTwice(Switch):
-    def _send_answer(self, taken: PendingCall, answer: str, come_back: int, now: int) -> None:
-        super()._send_answer(taken, answer, come_back, now)
-        if taken.connection is not None:
-            self.io.send_to_caller(taken.connection, frames.Final(taken.caller_id, answer, 0))
+    def _send_answer(self, call: PendingCall, answer: str, retry_after: int, now: int) -> None:
+        super()._send_answer(call, answer, retry_after, now)
+        if call.connection is not None:
+            self.io.send_to_caller(call.connection, frames.Final(call.caller_id, answer, 0))
 
 
 class NeverAnswersSome(Switch):
-    def _send_answer(self, taken: PendingCall, answer: str, come_back: int, now: int) -> None:
-        if answer == "stands" or taken.id % 2:
-            super()._send_answer(taken, answer, come_back, now)
+    def _send_answer(self, call: PendingCall, answer: str, retry_after: int, now: int) -> None:
+        if answer == "stands" or call.id % 2:
+            super()._send_answer(call, answer, retry_after, now)
         else:
-            taken.answer_owed = False
-            self._forget(taken)
+            call.answer_owed = False
+            self._forget(call)
 
 
 class AnswersLate(Switch):
-    """Takes the callers' time for half a second longer than it is."""
+    """Assumes deadlines half a second later than they are."""
 
-    def _begin(self, taken: PendingCall, left: int, *rest: Any) -> None:
-        super()._begin(taken, left + 500_000, *rest)
+    def _begin(self, call: PendingCall, left: int, *rest: Any) -> None:
+        super()._begin(call, left + 500_000, *rest)
 
 
-class TurnsTransitsBackTwice(Switch):
-    def _send_answer(self, taken: PendingCall, answer: str, come_back: int, now: int) -> None:
-        super()._send_answer(taken, answer, come_back, now)
-        if taken.own_office is not None:
-            self.io.send_to_office(taken.own_office.id, frames.Reject(taken.own_office_ref, "turned_back"))
+class RejectsTransitsTwice(Switch):
+    def _send_answer(self, call: PendingCall, answer: str, retry_after: int, now: int) -> None:
+        super()._send_answer(call, answer, retry_after, now)
+        if call.own_office is not None:
+            self.io.send_to_office(call.own_office.id, frames.Reject(call.own_office_ref, "turned_back"))
 
 
 class DialsTwoAtOnce(Switch):
-    """Sends each set-up to another office as well."""
+    """Sends each set-up to a second office as well."""
 
     def _setup_processed(self, dial: PendingDial, accepted: bool, now: int) -> None:
         super()._setup_processed(dial, accepted, now)
         others = [
-            e
-            for e in self.offices.values()
-            if e.connected and e is not dial.office and e.number != self.number
+            office
+            for office in self.offices.values()
+            if office.connected and office is not dial.office and office.number != self.number
         ]
         if dial.state is DialState.SENT and others:
-            taken = dial.call
+            call = dial.call
             setup = frames.Setup(
-                others[0].new_dial_ref() + 1_000_000, taken.origin, taken.origin_dialogue, dial.number + 1,
-                taken.use_case, others[0].number, None, 1_000_000, 1,
+                others[0].new_dial_ref() + 1_000_000, call.origin, call.origin_dialogue, dial.number + 1,
+                call.use_case, others[0].number, None, 1_000_000, 1,
             )  # fmt: skip
             self.io.send_to_office(others[0].id, setup)
 
 
-class NeverCallsOff(Switch):
-    """Forgets what timed out without a word to the office, and dials again."""
+class NeverCancels(Switch):
+    """Dials again after a timeout without sending a Cancel to the first office."""
 
-    def _end_dial(self, dial: PendingDial, word: frames.Cancel | frames.Release, now: int) -> None:
-        if isinstance(word, frames.Cancel) and dial.state is DialState.SENT:
+    def _end_dial(self, dial: PendingDial, frame: frames.Cancel | frames.Release, now: int) -> None:
+        if isinstance(frame, frames.Cancel) and dial.state is DialState.SENT:
             dial.office.dials.pop(dial.dial_ref, None)
             dial.move_to(DialState.FREE)
             self._release_circuits(dial)
             self._cancel_timer(dial)
         else:
-            super()._end_dial(dial, word, now)
+            super()._end_dial(dial, frame, now)
 
 
-class HearsNoDrains(Switch):
+class IgnoresDrains(Switch):
     def office_list_received(self, frame: frames.OfficeList, now: int) -> None:
-        lines = [line for line in frame.entries if line.state != "draining" and line.age is None]
-        super().office_list_received(frames.OfficeList(frame.kind, frame.revision, lines), now)
+        entries = [entry for entry in frame.entries if entry.state != "draining" and entry.age is None]
+        super().office_list_received(frames.OfficeList(frame.kind, frame.revision, entries), now)
 
 
-class HearsDrainsLate(Switch):
+class AppliesDrainsLate(Switch):
     def office_list_received(self, frame: frames.OfficeList, now: int) -> None:
         if frame.kind == "whole":
             super().office_list_received(frame, now)
         else:
             self.io.start_timer(
-                1_500_000, lambda at: super(HearsDrainsLate, self).office_list_received(frame, at)
+                1_500_000,
+                lambda fired_at: super(AppliesDrainsLate, self).office_list_received(frame, fired_at),
             )
 
 
-class KnowsNoColdOffice(Switch):
-    """All of them at once send a fresh processor what they like."""
+class IgnoresColdStart(Switch):
+    """Does not limit the set-ups to a cold office."""
 
     def __init__(self, configuration: ev.ServerStarted, max_open: int, io: switch_module.ServerIO) -> None:
         super().__init__(
@@ -108,28 +109,29 @@
         )
 
 
-class FloodsTheCold(Switch):
-    """Tries whether a fresh office can bear ten set-ups at once from each."""
+class FloodsColdOffices(Switch):
+    """Sends 60 set-ups at once to a cold office."""
 
     def office_list_received(self, frame: frames.OfficeList, now: int) -> None:
         super().office_list_received(frame, now)
-        for line in frame.entries:
-            if line.age is not None and line.state == "ready" and line.number != self.number:
-                self.io.start_timer(2_000_000, lambda at, office=line.office: self._flood(office))
+        for entry in frame.entries:
+            if entry.age is not None and entry.state == "ready" and entry.number != self.number:
+                self.io.start_timer(2_000_000, lambda fired_at, office=entry.office: self._flood(office))
 
     def _flood(self, office: str) -> None:
-        for at in range(60):
+        for index in range(60):
             self.io.send_to_office(
-                office, frames.Setup(5_000_000 + at, self.number, 10**6 + at, 0, "cheap", 1, None, 10**6, 1)
+                office,
+                frames.Setup(5_000_000 + index, self.number, 10**6 + index, 0, "cheap", 1, None, 10**6, 1),
             )
 
 
 class ResendsEarly(Switch):
-    """A release wait that is one millisecond short."""
+    """Uses a release wait that is one millisecond too short."""
 
     def __init__(self, configuration: ev.ServerStarted, max_open: int, io: switch_module.ServerIO) -> None:
-        short = replace(configuration.release, release_wait=configuration.release.release_wait - 1000)
-        super().__init__(replace(configuration, release=short), max_open, io)
+        release = replace(configuration.release, release_wait=configuration.release.release_wait - 1000)
+        super().__init__(replace(configuration, release=release), max_open, io)
 
 
 class ResendsAtOnce(Switch):
@@ -140,13 +142,13 @@
 
 
 def sparse(**over: Any) -> Day:
-    """No group between 0 and 1: their dialogues go over 2."""
+    """A day without a group between exchanges 0 and 1: their dialogues go through 2."""
     groups = [{"ends": [0, 2], "size": 30}, {"ends": [1, 2], "size": 30}]
     return day(groups=groups, **over)
 
 
 def cold_day(rate: float) -> Day:
-    """Exchange 1 has a slow processor, which dies and comes back cold."""
+    """A day on which the slow processor of exchange 1 crashes and restarts cold."""
     exchanges = [
         {"number": n, "setup": "40ms" if n == 1 else "2ms", "calls": {} if n == 1 else {"1": rate}}
         for n in range(4)
@@ -154,82 +156,84 @@
     return day(n=4, group=60, exchanges=exchanges, troubles=[fault_line("crash", length="1s", on=[1])])
 
 
-BROKEN: list[tuple[type[Switch], int, Callable[[], Day], str]] = [
+FAULTY_SERVERS: list[tuple[type[Switch], int, Callable[[], Day], str]] = [
     (AnswersTwice, 1, lambda: day(), "a second answer"),
     (NeverAnswersSome, 1, lambda: day(group=2), "no answer within"),
     (AnswersLate, 1, lambda: day(troubles=[fault_line("hang", on=[1])]), "no answer within"),
-    (TurnsTransitsBackTwice, 1, lambda: sparse(), "a second answer, PushBack after Answer"),
+    (RejectsTransitsTwice, 1, lambda: sparse(), "a second answer, PushBack after Answer"),
     (DialsTwoAtOnce, 2, lambda: day(), "is out"),
-    (NeverCallsOff, 2, lambda: day(troubles=LOST), "is out"),
-    (HearsNoDrains, 3, lambda: day(troubles=DEPLOY), "told that it drains"),
-    (HearsDrainsLate, 3, lambda: day(troubles=DEPLOY), "told that it drains"),
-    (KnowsNoColdOffice, 4, lambda: cold_day(20), "set-ups in a window"),
-    (FloodsTheCold, 4, lambda: cold_day(4), "set-ups in a window"),
-    # A processor that takes no time, or its delay would hide the millisecond.
+    (NeverCancels, 2, lambda: day(troubles=LOST), "is out"),
+    (IgnoresDrains, 3, lambda: day(troubles=DEPLOY), "told that it drains"),
+    (AppliesDrainsLate, 3, lambda: day(troubles=DEPLOY), "told that it drains"),
+    (IgnoresColdStart, 4, lambda: cold_day(20), "set-ups in a window"),
+    (FloodsColdOffices, 4, lambda: cold_day(4), "set-ups in a window"),
+    # With a fast processor; a processing delay would hide the missing millisecond.
     (ResendsEarly, 5, lambda: day(setup="100us", troubles=LOST), "the wait is 200000"),
     (ResendsAtOnce, 5, lambda: day(troubles=LOST), "the wait is 200000"),
 ]
 
 
 @pytest.mark.parametrize(
-    ("broken", "rule", "made", "said"), BROKEN, ids=lambda x: getattr(x, "__name__", None)
+    ("faulty", "rule", "make_day", "message"), FAULTY_SERVERS, ids=lambda x: getattr(x, "__name__", None)
 )
-def test_a_broken_server_is_caught_and_named(
-    broken: type[Switch], rule: int, made: Callable[[], Day], said: str
+def test_a_faulty_server_is_found_and_named(
+    faulty: type[Switch], rule: int, make_day: Callable[[], Day], message: str
 ) -> None:
-    done = play_day(made(), broken)
-    found = [one for one in done.verdict.violations if one.rule == rule]
-    assert found, f"rule {rule} not caught; others: {broken_rules(done)}"
-    assert any(said in one.description for one in found), found[0].description
+    played = play_day(make_day(), faulty)
+    found = [violation for violation in played.verdict.violations if violation.rule == rule]
+    assert found, f"rule {rule} not found; others: {broken_rules(played)}"
+    assert any(message in violation.description for violation in found), found[0].description
 
 
-@pytest.mark.parametrize("made", {id(made): made for _, _, made, _ in BROKEN}.values())
-def test_the_same_days_break_nothing_with_the_real_server(made: Callable[[], Day]) -> None:
-    done = play_day(made())
-    assert done.verdict.violations == []
-    assert done.verdict.examined["dialogues"] > 50 and not done.left_open
+@pytest.mark.parametrize(
+    "make_day", {id(make_day): make_day for _, _, make_day, _ in FAULTY_SERVERS}.values()
+)
+def test_the_same_days_have_no_violations_with_the_real_server(make_day: Callable[[], Day]) -> None:
+    played = play_day(make_day())
+    assert played.verdict.violations == []
+    assert played.verdict.examined["dialogues"] > 50 and not played.left_open
 
 
-def lines(*text: str) -> list[bytes]:
-    return [line.encode() for line in text]
+def encoded(*lines: str) -> list[bytes]:
+    return [line.encode() for line in lines]
 
 
-HEAD = '{"capture":1,"party":"callers","name":"callers-0","number":0}'
+HEADER = '{"capture":1,"party":"callers","name":"callers-0","number":0}'
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("lines", "message"),
     [
         ((), "empty"),
-        ((HEAD,), "cut off"),
-        ((HEAD, '{"end":3}'), "0 lines, not 3"),
-        ((HEAD, '[1,"in",1,"office",2,"Setup",1'), "x:2"),
-        ((HEAD, '[1,"in",1,"office",2,"Nonsense",1]', '{"end":1}'), "x:2"),
+        ((HEADER,), "cut off"),
+        ((HEADER, '{"end":3}'), "0 lines, not 3"),
+        ((HEADER, '[1,"in",1,"office",2,"Setup",1'), "x:2"),
+        ((HEADER, '[1,"in",1,"office",2,"Nonsense",1]', '{"end":1}'), "x:2"),
         (('{"a":1}',), "not a capture"),
-        ((HEAD, '{"end":0}', HEAD), "after the end"),
+        ((HEADER, '{"end":0}', HEADER), "after the end"),
     ],
 )
-def test_a_damaged_capture_is_an_error_and_no_pass(text: tuple[str, ...], said: str) -> None:
-    with pytest.raises(BadCapture, match=said):
-        read_capture(lines(*text), "x")
+def test_a_damaged_capture_is_an_error(lines: tuple[str, ...], message: str) -> None:
+    with pytest.raises(BadCapture, match=message):
+        read_capture(encoded(*lines), "x")
 
 
-def test_captures_that_miss_a_party_or_hold_no_dialogue_are_no_pass(tmp_path: Path) -> None:
+def test_captures_without_a_party_or_a_dialogue_are_an_error(tmp_path: Path) -> None:
     with pytest.raises(BadCapture, match="no captures"):
         read_folder(tmp_path)
-    done = play_day(day(length="2s"))
+    played = play_day(day(length="2s"))
     with pytest.raises(BadCapture, match="'register'"):
-        judge([one for one in done.captures if one.party != "register"])
-    for one in done.captures:
-        one.records.clear()
+        judge([capture for capture in played.captures if capture.party != "register"])
+    for capture in played.captures:
+        capture.records.clear()
     with pytest.raises(BadCapture, match="nothing to judge"):
-        judge(done.captures)
+        judge(played.captures)
 
 
-def test_the_figures_come_from_the_capture() -> None:
-    done = play_day(day(length="2s"))
-    world = next(one for one in done.captures if one.party == "world")
+def test_rule_parameters_come_from_the_capture() -> None:
+    played = play_day(day(length="2s"))
+    world = next(capture for capture in played.captures if capture.party == "world")
     assert world.facts["release_wait"] == 200_000 and RULES["release_wait"] == "200ms"
     del world.facts["release_wait"]
     with pytest.raises(BadCapture, match="release_wait"):
-        judge(done.captures)
+        judge(played.captures)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -6,7 +6,7 @@
 from typing import Any, cast
 
 import pytest
-from test_judge import AnswersTwice, DialsTwoAtOnce, FloodsTheCold, HearsNoDrains, ResendsAtOnce
+from test_judge import AnswersTwice, DialsTwoAtOnce, FloodsColdOffices, IgnoresDrains, ResendsAtOnce
 from world import broken_rules, day, fault_line, play_day
 
 from wellhitch.deciding import runner as runner_module
@@ -350,8 +350,8 @@
     [
         (1, AnswersTwice, "stands", "closed"),
         (2, DialsTwoAtOnce, "dial out", "silent"),
-        (3, HearsNoDrains, "drain", "list old"),
-        (4, FloodsTheCold, "cold office", "reordered"),
+        (3, IgnoresDrains, "drain", "list old"),
+        (4, FloodsColdOffices, "cold office", "reordered"),
         (5, ResendsAtOnce, "dial out", "cut there"),
         (0, NeverReleasesCircuits, "release", "doubled"),
     ],
