--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -57,7 +57,7 @@
         addresses = ServerAddresses("s:1", "s:2", "s:3", "register:1", "")
         hooks = {"a": "on arrive { return none }"}
         self.daemon = Daemon(
-            self.loop, self.net.at("s"), configuration, addresses, 10, 1,
+            self.loop, self.net.for_host("s"), configuration, addresses, 10, 1,
             lambda event, **facts: self.logged.append(event),
             hooks=hooks, make_settlement=self.make_settlement if ledger else None,
         )  # fmt: skip
@@ -73,7 +73,7 @@
 
     def connect_operator(self) -> OperatorClient:
         client = OperatorClient()
-        self.net.at("o").connect("s:3", lambda: client, print)
+        self.net.for_host("o").connect("s:3", lambda: client, print)
         self.loop.advance(0.1)
         return client
 
@@ -87,7 +87,7 @@
     def listen_as(self, address: str, hello: frames.Hello) -> RecordingOwner:
         """Listen at an address, in the role that `hello` names."""
         owner = RecordingOwner()
-        self.net.at(address.partition(":")[0]).listen(
+        self.net.for_host(address.partition(":")[0]).listen(
             address, lambda: Channel(self.loop, owner, hello, ("call_server",)), lambda listener: None
         )
         return owner
@@ -243,7 +243,7 @@
         "caller": [RecordingOwner()],
     }
     caller = frames.Hello("caller", 0, 1)
-    server.net.at("c").connect(
+    server.net.for_host("c").connect(
         "s:1", lambda: Channel(server.loop, owners["caller"][0], caller, ("call_server",)), print
     )
     server.loop.advance(5.0)
@@ -281,6 +281,8 @@
 def test_a_stranger_who_says_he_is_a_call_server_is_let_go() -> None:
     server, stranger = DaemonFixture(limits={"may_tell_peers": True}), RecordingOwner()
     hello = frames.Hello("call_server", 9, 1)
-    server.net.at("x").connect("s:2", lambda: Channel(server.loop, stranger, hello, ("call_server",)), print)
+    server.net.for_host("x").connect(
+        "s:2", lambda: Channel(server.loop, stranger, hello, ("call_server",)), print
+    )
     server.loop.advance(1.0)
     assert stranger.close_reasons
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -51,7 +51,7 @@
 
 
 def test_bytes_one_by_one_make_the_same_frames(pair: ConnectedChannels) -> None:
-    pair.net.spoil("s", "o").trickle = True
+    pair.net.faults_between("s", "o").trickle = True
     pair.server_channel.send(frames.Cancel(7))
     pair.server_channel.send(frames.Release(8))
     pair.loop.advance(1)
@@ -59,7 +59,7 @@
 
 
 def test_a_half_open_connection_is_detected_by_both_ends(pair: ConnectedChannels) -> None:
-    pair.net.spoil("s", "o").silent = True
+    pair.net.faults_between("s", "o").silent = True
     pair.loop.advance(3)
     assert not pair.server_owner.close_reasons
     pair.loop.advance(2)
@@ -119,12 +119,12 @@
 
 
 def test_a_silence_shorter_than_the_timeout_loses_no_frame(pair: ConnectedChannels) -> None:
-    pair.net.spoil("s", "o").silent = True
+    pair.net.faults_between("s", "o").silent = True
     pair.server_channel.send(frames.Cancel(1))
     pair.loop.advance(1)
     assert pair.office_owner.received == []
-    pair.net.spoil("s", "o").silent = False
-    pair.net.heal("s", "o")
+    pair.net.faults_between("s", "o").silent = False
+    pair.net.end_silence("s", "o")
     pair.server_channel.send(frames.Cancel(2))
     pair.loop.advance(0.5)
     assert (
@@ -136,12 +136,12 @@
 def test_a_close_during_a_silence_is_seen_as_a_reset_afterwards(
     pair: ConnectedChannels,
 ) -> None:
-    pair.net.spoil("s", "o").silent = True
+    pair.net.faults_between("s", "o").silent = True
     pair.server_channel.fail("test", notify_peer=False)
     pair.loop.advance(0.5)
     assert pair.office_owner.close_reasons == []
-    pair.net.spoil("s", "o").silent = False
-    pair.net.heal("s", "o")
+    pair.net.faults_between("s", "o").silent = False
+    pair.net.end_silence("s", "o")
     pair.loop.advance(0.5)
     assert pair.office_owner.close_reasons == ["reset"]
 
@@ -167,7 +167,7 @@
     closed: list[str] = []
     hello = frames.Hello("call_server", 0, 1)
     channel = Channel(pair.loop, RecordingOwner(), hello, ("caller",), on_closed=closed.append)
-    pair.net.at("s").listen("s:9", lambda: channel, lambda listener: None)
+    pair.net.for_host("s").listen("s:9", lambda: channel, lambda listener: None)
 
     class SlowClient(asyncio.BufferedProtocol):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -181,7 +181,7 @@
 
     client = SlowClient()
     pair.loop.advance(0.1)
-    pair.net.at("d").connect("s:9", lambda: client, closed.append)
+    pair.net.for_host("d").connect("s:9", lambda: client, closed.append)
     for byte in encode(frames.Hello("caller", 1, 1))[:9]:
         pair.loop.advance(1.0)
         client.transport.write(bytes((byte,)))
@@ -194,7 +194,7 @@
     addresses = ServerAddresses("s:1", "", "", "r:1", "")
     daemon = Daemon(
         loop,
-        net.at("s"),
+        net.for_host("s"),
         start_event(sheet_of(day(), 0, HostAddresses())),
         addresses,
         10,
@@ -206,7 +206,7 @@
     owners = [RecordingOwner() for _ in range(MAX_CONNECTIONS + 20)]
     for number, owner in enumerate(owners):
         hello = frames.Hello("caller", number, 1)
-        net.at("c").connect(
+        net.for_host("c").connect(
             "s:1",
             lambda owner=owner, hello=hello: Channel(
                 loop, owner, hello, ("call_server",), on_closed=owner.close_reasons.append
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -138,7 +138,7 @@
 
 def test_an_emulated_listener_pauses_like_a_real_one() -> None:
     loop = VirtualLoop()
-    paused_listener(EmulatedNetwork(loop, 1).at("here"), "here:0", lambda: loop.advance(0.1))
+    paused_listener(EmulatedNetwork(loop, 1).for_host("here"), "here:0", lambda: loop.advance(0.1))
 
 
 def test_datagrams_are_sent_and_received_on_the_real_event_loop() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -214,7 +214,7 @@
 def test_a_bench_day_plays_and_keeps_the_rules() -> None:
     converted = checked.read(convert(bench_day(), "drawn", 3)[0], Day, "drawn")
     result = play_day(converted)
-    assert result.verdict.breaks == [] and result.service.whole > 0.5
+    assert result.verdict.violations == [] and result.service.overall > 0.5
 
 
 @pytest.mark.parametrize(
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 import pytest
-from test_judge import AnswersTwice, DialsTwoAtOnce, FloodsTheCold, HearsNoDrains, ResendsAtOnce
+from test_judge import AnswersTwice, DialsTwoAtOnce, FloodsColdOffices, IgnoresDrains, ResendsAtOnce
 from world import broken_rules, day, fault_line, play_day
 
 from wellhitch.deciding import runner as runner_module
@@ -156,7 +156,7 @@
 
     def send_bytes(self, data: bytes) -> None:
         """Send bytes from the other end."""
-        for pipe in self.net.links(self.peer_host, self.host):
+        for pipe in self.net.connections(self.peer_host, self.host):
             pipe.write(data)
 
     # -- the day --
@@ -231,7 +231,7 @@
 
 
 def truncate_stream(injection: FaultInjection) -> None:
-    for pipe in injection.net.links(injection.peer_host, injection.host):
+    for pipe in injection.net.connections(injection.peer_host, injection.host):
         pipe.write(b"\x01\x00\x00\x40half")
         pipe.close()
 
@@ -242,10 +242,10 @@
         if injection.office != injection.number:
             return
     # The callers' connection, or the own office's: no longer than an answer may take.
-    injection.net.spoil(injection.host, injection.peer_host).silent = True
+    injection.net.faults_between(injection.host, injection.peer_host).silent = True
     peer_host = injection.peer_host
-    injection.later(1.0, setattr, injection.net.spoil(injection.host, peer_host), "silent", False)
-    injection.later(1.0, injection.net.heal, injection.host, peer_host)
+    injection.later(1.0, setattr, injection.net.faults_between(injection.host, peer_host), "silent", False)
+    injection.later(1.0, injection.net.end_silence, injection.host, peer_host)
 
 
 def duplicate_events(injection: FaultInjection) -> None:
@@ -276,7 +276,7 @@
 
 def restart_other_end(injection: FaultInjection) -> None:
     if injection.office is None:
-        channel = injection.simulation.callers[injection.number].link.current
+        channel = injection.simulation.callers[injection.number].channel.current
         assert channel
         channel.fail("restarts", notify_peer=False)
     else:
@@ -285,7 +285,7 @@
 
 def damage_disk(injection: FaultInjection) -> None:
     for blob in injection.fleet.disks[injection.number].files.values():
-        blob.now[4200:9000] = bytes(len(blob.now[4200:9000]))
+        blob.content[4200:9000] = bytes(len(blob.content[4200:9000]))
 
 
 def fill_disk(injection: FaultInjection) -> None:
@@ -294,8 +294,8 @@
 
 
 def cut_register(injection: FaultInjection) -> None:
-    injection.net.spoil(injection.host, "register").broken = True
-    injection.net.cut(injection.host, "register")
+    injection.net.faults_between(injection.host, "register").refuses = True
+    injection.net.reset_connections(injection.host, "register")
 
 
 class FailingLedger:
@@ -315,7 +315,9 @@
         "hang", 2.0, 1 if injection.office is None else injection.office
     ),
     "half open": half_open_connection,
-    "closed": lambda injection: cast(None, injection.net.cut(injection.host, injection.peer_host)),
+    "closed": lambda injection: cast(
+        None, injection.net.reset_connections(injection.host, injection.peer_host)
+    ),
     "duplicated": duplicate_events,
     "reordered": lambda injection: injection.inject(
         "answer_reordered", 1.5, 1 if injection.office is None else injection.office
@@ -345,7 +347,7 @@
     injection = FaultInjection(stage, fault)
     played = injection.play()
     assert injection.injected, "the stage was never reached"
-    assert played.verdict.breaks == [] and played.verdict.seen["dialogues"] > 30
+    assert played.verdict.violations == [] and played.verdict.examined["dialogues"] > 30
     assert injection.leftovers == [] and not played.left_open and not played.lost_circuits
 
 
@@ -361,8 +363,8 @@
     [
         (1, AnswersTwice, "established", "closed"),
         (2, DialsTwoAtOnce, "dial sent", "silent"),
-        (3, HearsNoDrains, "drain", "outdated list"),
-        (4, FloodsTheCold, "cold office", "reordered"),
+        (3, IgnoresDrains, "drain", "outdated list"),
+        (4, FloodsColdOffices, "cold office", "reordered"),
         (5, ResendsAtOnce, "dial sent", "cut by the other end"),
         (0, NeverReleasesCircuits, "release", "duplicated"),
     ],
--- a/tests/world.py
+++ b/tests/world.py
@@ -91,7 +91,7 @@
         fleet = InProcess(
             loop, day, addresses, net, play.quiet_log, make_switch=make_switch, clocks=clocks or {}
         )
-        simulation = SimulatedFleet(loop, day, net.at, addresses, fleet, play.VirtualWire(net))
+        simulation = SimulatedFleet(loop, day, net.for_host, addresses, fleet, play.VirtualWire(net))
         if prepare:
             prepare(simulation, fleet)
         return play._run(loop, day, simulation, fleet, None, None, 0.0, loop.advance)
@@ -101,7 +101,7 @@
 
 def broken_rules(played: play.Played) -> list[int]:
     """The numbers of the rules that were broken."""
-    return sorted({violation.rule for violation in played.verdict.breaks})
+    return sorted({violation.rule for violation in played.verdict.violations})
 
 
 class RecordingOwner:
@@ -133,9 +133,9 @@
         self.loop = VirtualLoop()
         self.net = EmulatedNetwork(self.loop, 1)
         self.server_owner, self.office_owner = RecordingOwner(), RecordingOwner()
-        self.net.at("o").listen("o:1", self._office_channel, lambda listener: None)
+        self.net.for_host("o").listen("o:1", self._office_channel, lambda listener: None)
         self.loop.advance(0.1)
-        self.net.at("s").connect("o:1", self._server_channel, self.server_owner.close_reasons.append)
+        self.net.for_host("s").connect("o:1", self._server_channel, self.server_owner.close_reasons.append)
         self.loop.advance(0.1)
         self.server_channel, self.office_channel = self.server_owner.opened[0], self.office_owner.opened[0]
 
--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -237,7 +237,7 @@
     click.echo("\nwithout hooks: " + service_page(without_hooks.service))
     click.echo("\nwith hooks: " + service_page(with_hooks.service))
     click.echo(verdict_page(with_hooks.verdict))
-    sys.exit(1 if with_hooks.verdict.breaks else 0)
+    sys.exit(1 if with_hooks.verdict.violations else 0)
 
 
 @hooks.command()
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -355,14 +355,14 @@
                 continue
             instance = int(number[1])
             accounting_system.keys[instance] = shared_key
-            for receipt in accounting_system.hand_over(instance, data):
+            for receipt in accounting_system.receive_file(instance, data):
                 receipts += 1
                 write_atomically(folder / "back" / f"{instance}-{time.time_ns()}-{receipts:04}.wr", receipt)
             path.unlink()
         if once:
             break
         time.sleep(0.5)
-    booked = accounting_system.booked()
+    booked = accounting_system.booked_totals()
     total = sum(dialogue.billed for dialogue in booked.values())
     click.echo(
         f"{accounting_system.counts['booked']} files booked; {len(booked)} dialogues, {total / 1e6:.3f} s in all"
