--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Whole days in virtual time: every trouble bites, and in the hard cases the rules are kept by the captures."""
+"""Whole days in virtual time: every fault has its effect, and no rule is violated, also in the hard cases."""
 
 import hashlib
 from collections.abc import Callable
@@ -16,206 +16,216 @@
 from wellhitch.trunk.capture import Note
 
 
-def frames_of(done: Played, kind: type, party: str, way: str) -> list[Any]:
-    """Frames of one kind that a party saw."""
+def frames_of(played: Played, kind: type, party: str, direction: str) -> list[Any]:
+    """The frames of one type that a party sent or received."""
     return [
-        line
-        for one in done.captures
-        if one.party == party
-        for line in one.records
-        if not isinstance(line, Note) and line.direction == way and isinstance(line.frame, kind)
+        record
+        for capture in played.captures
+        if capture.party == party
+        for record in capture.records
+        if not isinstance(record, Note) and record.direction == direction and isinstance(record.frame, kind)
     ]
 
 
-def notes_of(done: Played, what: str, party: str) -> list[Note]:
-    """Notes of one kind."""
+def notes_of(played: Played, kind: str, party: str) -> list[Note]:
+    """The notes of one kind in a party's captures."""
     found = [
-        line for one in done.captures if one.party == party for line in one.records if isinstance(line, Note)
+        record
+        for capture in played.captures
+        if capture.party == party
+        for record in capture.records
+        if isinstance(record, Note)
     ]
-    return [note for note in found if note.kind == what]
+    return [note for note in found if note.kind == kind]
 
 
-def served(done: Played) -> float:
-    return done.service.overall
+def service_level(played: Played) -> float:
+    return played.service.overall
 
 
-def slowest(done: Played) -> int:
-    times = sorted(done.service.setup_times_us)
+def high_setup_time(played: Played) -> int:
+    times = sorted(played.service.setup_times_us)
     return times[int(len(times) * 0.9)]
 
 
-def cut(done: Played) -> int:
-    return sum(one.cut for one in done.service.by_traffic_class.values())
+def cut_calls(played: Played) -> int:
+    return sum(outcomes.cut for outcomes in played.service.by_traffic_class.values())
 
 
-def count(name: str) -> Callable[[Played], int]:
-    """A count of the offices."""
-    return lambda done: sum(office.get(name, 0) for office in done.offices.values())
+def office_counter(name: str) -> Callable[[Played], int]:
+    """A counter, summed over the offices."""
+    return lambda played: sum(office.get(name, 0) for office in played.offices.values())
 
 
-def tell(name: str) -> Callable[[Played], int]:
-    """A count that the call servers tell of themselves."""
-    return lambda done: sum(status.get("counts", {}).get(name, 0) for status in done.servers.values())
+def server_counter(name: str) -> Callable[[Played], int]:
+    """A counter reported by the call servers, summed."""
+    return lambda played: sum(status.get("counts", {}).get(name, 0) for status in played.servers.values())
 
 
-def asked(done: Played) -> int:
-    return sum(one.asked for one in done.service.by_traffic_class.values())
+def requested_calls(played: Played) -> int:
+    return sum(outcomes.asked for outcomes in played.service.by_traffic_class.values())
 
 
-def most_of_one(done: Played) -> int:
-    return max(status.get("counts", {}).get("taken", 0) for status in done.servers.values())
+def max_calls_of_a_server(played: Played) -> int:
+    return max(status.get("counts", {}).get("taken", 0) for status in played.servers.values())
 
 
-def short_tries(done: Played) -> int:
-    return sum(line.frame.left < 2_000_000 for line in frames_of(done, frames.Call, "callers", "out"))
+def short_attempts(played: Played) -> int:
+    return sum(record.frame.left < 2_000_000 for record in frames_of(played, frames.Call, "callers", "out"))
 
 
-def fresh_offices(done: Played) -> int:
-    return sum("." in name for name in done.offices)
+def replacement_offices(played: Played) -> int:
+    return sum("." in name for name in played.offices)
 
 
-def told_twice(done: Played) -> int:
-    return len(frames_of(done, frames.Answer, "office", "out")) - count("answered")(done)
+def surplus_answers(played: Played) -> int:
+    return len(frames_of(played, frames.Answer, "office", "out")) - office_counter("answered")(played)
 
 
-def old_lists(done: Played) -> int:
-    return tell("lists_skipped")(done)
+def skipped_lists(played: Played) -> int:
+    return server_counter("lists_skipped")(played)
 
 
-def oldest_load(done: Played) -> int:
-    """How often a load of no wait is told though the processor is pressed: the report is old."""
+def outdated_reports(played: Played) -> int:
+    """How many reports state no wait although the processor is busy, because they are outdated."""
     loads = [
-        line.frame.load.wait for line in frames_of(done, frames.Answer, "office", "out") if line.frame.load
+        record.frame.load.wait
+        for record in frames_of(played, frames.Answer, "office", "out")
+        if record.frame.load
     ]
     return sum(wait == 0 for wait in loads)
 
 
-TOLD = {"limits": {"may_tell_peers": True}}
+PEERS_ALLOWED = {"limits": {"may_tell_peers": True}}
 
 
-def words_missed(done: Played) -> int:
-    return -tell("event.PeerSaid")(done)
+def missing_peer_messages(played: Played) -> int:
+    return -server_counter("event.PeerSaid")(played)
 
 
-def downs(done: Played) -> int:
-    return len(notes_of(done, "down", "office"))
+def lost_connections(played: Played) -> int:
+    return len(notes_of(played, "down", "office"))
 
 
-def longest_pause(done: Played) -> int:
+def longest_answer_gap(played: Played) -> int:
     """The longest time between two answers to one exchange's callers."""
-    out = 0
-    for one in done.captures:
-        if one.party == "callers":
+    result = 0
+    for capture in played.captures:
+        if capture.party == "callers":
             times = [
-                line.time_us for line in one.records if not isinstance(line, Note) and line.direction == "in"
+                record.time_us
+                for record in capture.records
+                if not isinstance(record, Note) and record.direction == "in"
             ]
-            out = max([out, *(b - a for a, b in zip(times, times[1:], strict=False))])
-    return out
+            result = max([result, *(b - a for a, b in zip(times, times[1:], strict=False))])
+    return result
 
 
-def latest_answer(done: Played) -> int:
-    """How much of its time the answer that came last within it had left, less than nothing."""
-    asked, out = dict[tuple[str, int], tuple[int, int]](), -(1 << 40)
-    for one in done.captures:
-        if one.party == "callers":
-            for line in one.records:
-                if isinstance(line, Note):
+def max_lateness(played: Played) -> int:
+    """The lateness of the latest answer relative to its deadline; negative when all are in time."""
+    open_calls, result = dict[tuple[str, int], tuple[int, int]](), -(1 << 40)
+    for capture in played.captures:
+        if capture.party == "callers":
+            for record in capture.records:
+                if isinstance(record, Note):
                     continue
-                if isinstance(line.frame, frames.Call):
-                    asked[one.name, line.frame.id] = line.time_us, line.frame.left
-                elif isinstance(line.frame, frames.Final):
-                    since, left = asked[one.name, line.frame.id]
-                    out = max(out, line.time_us - since - left)
-    return out
-
-
-MORE: dict[str, tuple[dict[str, Any], Callable[[Played], float], dict[str, Any]]] = {
-    "slow": ({"size": 8, "on": [1]}, slowest, {}),
-    "hang": ({"on": [1]}, lambda done: -served(done), {}),
-    "answer_lost": ({"size": 0.4}, count("answers_lost"), {}),
-    "burst": ({"size": 3}, asked, {}),
-    "hot_caller": ({"size": 1.0, "on": [2]}, most_of_one, {}),
-    "hot_number": ({"size": 0.8, "on": [1]}, count("lines_busy"), {}),
-    "give_up": ({"size": 0.9, "extra": 0.2}, short_tries, {}),
-    "deploy": ({"on": [0, 1], "size": 0.34, "extra": 1}, fresh_offices, {}),
-    "neighbour": ({"size": 0.9, "extra": 1}, slowest, {}),
-    "shared_slow": ({"size": 6}, slowest, {}),
-    "origin_slow": ({"size": 60, "on": [0]}, cut, {"zoned": True}),
-    "report_late": ({"size": 3}, oldest_load, {"offices": {"reports": "wait"}, "rate": 25.0}),
-    "balancer_crash": ({"on": [1], "length": "1s"}, cut, {}),
-    "ageing": ({"size": 10, "extra": 1, "on": [1]}, fresh_offices, {}),
-    "mass_restart": ({"on": [0, 1, 2], "length": "1s"}, fresh_offices, {}),
-    "errors": ({"size": 0.5}, count("fault"), {}),
-    "crash": ({"on": [1], "length": "1s"}, cut, {}),
-    "link_cut": ({"on": [1]}, downs, {}),
-    "half_open": ({"on": [1], "length": "5s"}, downs, {}),
-    "reads_nothing": ({"on": [1]}, slowest, {}),
-    "trickle": ({}, slowest, {"setup": "100us"}),
-    "mid_frame_reset": ({"on": [1]}, downs, {}),
-    "garbage": ({"on": [1]}, downs, {}),
-    "answer_twice": ({"size": 0.5}, told_twice, {}),
-    "answer_reordered": ({"size": 0.5}, count("answers_reordered"), {}),
-    "words_lost": ({"length": "6s"}, words_missed, TOLD),
-    "words_late": ({"size": 30, "length": "8s"}, words_missed, TOLD),
-    "answer_after_release": ({}, told_twice, {}),
+                if isinstance(record.frame, frames.Call):
+                    open_calls[capture.name, record.frame.id] = record.time_us, record.frame.left
+                elif isinstance(record.frame, frames.Final):
+                    since, left = open_calls[capture.name, record.frame.id]
+                    result = max(result, record.time_us - since - left)
+    return result
+
+
+FAULT_CASES: dict[str, tuple[dict[str, Any], Callable[[Played], float], dict[str, Any]]] = {
+    "slow": ({"size": 8, "on": [1]}, high_setup_time, {}),
+    "hang": ({"on": [1]}, lambda played: -service_level(played), {}),
+    "answer_lost": ({"size": 0.4}, office_counter("answers_lost"), {}),
+    "burst": ({"size": 3}, requested_calls, {}),
+    "hot_caller": ({"size": 1.0, "on": [2]}, max_calls_of_a_server, {}),
+    "hot_number": ({"size": 0.8, "on": [1]}, office_counter("lines_busy"), {}),
+    "give_up": ({"size": 0.9, "extra": 0.2}, short_attempts, {}),
+    "deploy": ({"on": [0, 1], "size": 0.34, "extra": 1}, replacement_offices, {}),
+    "neighbour": ({"size": 0.9, "extra": 1}, high_setup_time, {}),
+    "shared_slow": ({"size": 6}, high_setup_time, {}),
+    "origin_slow": ({"size": 60, "on": [0]}, cut_calls, {"zoned": True}),
+    "report_late": ({"size": 3}, outdated_reports, {"offices": {"reports": "wait"}, "rate": 25.0}),
+    "balancer_crash": ({"on": [1], "length": "1s"}, cut_calls, {}),
+    "ageing": ({"size": 10, "extra": 1, "on": [1]}, replacement_offices, {}),
+    "mass_restart": ({"on": [0, 1, 2], "length": "1s"}, replacement_offices, {}),
+    "errors": ({"size": 0.5}, office_counter("fault"), {}),
+    "crash": ({"on": [1], "length": "1s"}, cut_calls, {}),
+    "link_cut": ({"on": [1]}, lost_connections, {}),
+    "half_open": ({"on": [1], "length": "5s"}, lost_connections, {}),
+    "reads_nothing": ({"on": [1]}, high_setup_time, {}),
+    "trickle": ({}, high_setup_time, {"setup": "100us"}),
+    "mid_frame_reset": ({"on": [1]}, lost_connections, {}),
+    "garbage": ({"on": [1]}, lost_connections, {}),
+    "answer_twice": ({"size": 0.5}, surplus_answers, {}),
+    "answer_reordered": ({"size": 0.5}, office_counter("answers_reordered"), {}),
+    "words_lost": ({"length": "6s"}, missing_peer_messages, PEERS_ALLOWED),
+    "words_late": ({"size": 30, "length": "8s"}, missing_peer_messages, PEERS_ALLOWED),
+    "answer_after_release": ({}, surplus_answers, {}),
     "list_goes_back": (
         {},
-        old_lists,
+        skipped_lists,
         {"with": [fault_line("deploy", at="3s", on=[0, 1], size=0.34, extra=1)]},
     ),
-    "register_restart": ({"size": 2}, lambda done: len(notes_of(done, "down", "register")), {}),
-    "server_paused": ({"on": [1], "length": "2s"}, longest_pause, {}),
-    "server_killed": ({"on": [1], "length": "1s"}, cut, {}),
+    "register_restart": ({"size": 2}, lambda played: len(notes_of(played, "down", "register")), {}),
+    "server_paused": ({"on": [1], "length": "2s"}, longest_answer_gap, {}),
+    "server_killed": ({"on": [1], "length": "1s"}, cut_calls, {}),
     "server_stalls": (
         {"size": 40, "extra": 0.05, "length": "8s"},
-        latest_answer,
+        max_lateness,
         {"with": [fault_line("hang", on=[1])], "rate": 20.0},
     ),
 }
 
 
-def test_every_kind_of_trouble_has_its_play_and_its_proof() -> None:
-    assert set(FAULT_INJECTORS) == set(FAULT_KINDS) == set(MORE)
+def test_every_fault_kind_has_an_injector_and_a_measure() -> None:
+    assert set(FAULT_INJECTORS) == set(FAULT_KINDS) == set(FAULT_CASES)
 
 
 @pytest.mark.parametrize("kind", FAULT_KINDS)
-def test_a_trouble_bites_and_the_rules_hold(kind: str) -> None:
-    line, bite, over = MORE[kind]
-    over = dict(over)
-    always = over.pop("with", [])
-    if over.pop("zoned", False):
-        over["exchanges"] = [
+def test_a_fault_has_its_effect_and_the_rules_hold(kind: str) -> None:
+    line, measure, overrides = FAULT_CASES[kind]
+    overrides = dict(overrides)
+    other_faults = overrides.pop("with", [])
+    if overrides.pop("zoned", False):
+        overrides["exchanges"] = [
             {"number": n, "zone": "ab"[n % 2], "setup": "10ms", "calls": {str((n + 1) % 3): 8}}
             for n in range(3)
         ]
-    quiet = play_day(day(**over, troubles=always))
-    ill = play_day(day(**over, troubles=[*always, fault_line(kind, **line)]))
-    assert quiet.verdict.violations == [] and ill.verdict.violations == []
-    assert bite(ill) > bite(quiet), f"{bite(ill)} with {kind}, {bite(quiet)} without"
-    assert not ill.left_open and not ill.lost_circuits
+    baseline = play_day(day(**overrides, troubles=other_faults))
+    faulty = play_day(day(**overrides, troubles=[*other_faults, fault_line(kind, **line)]))
+    assert baseline.verdict.violations == [] and faulty.verdict.violations == []
+    assert measure(faulty) > measure(baseline), f"{measure(faulty)} with {kind}, {measure(baseline)} without"
+    assert not faulty.left_open and not faulty.lost_circuits
 
 
-# ---- one seed, one history ----
+# ---- determinism ----
 
 
-def digest(done: Played) -> str:
-    return hashlib.sha256(repr([(one.name, one.records) for one in done.captures]).encode()).hexdigest()
+def digest(played: Played) -> str:
+    return hashlib.sha256(
+        repr([(capture.name, capture.records) for capture in played.captures]).encode()
+    ).hexdigest()
 
 
-def mixed() -> Day:
-    kinds = [
+def mixed_day() -> Day:
+    faults = [
         fault_line("answer_lost", at="1s", size=0.3),
         fault_line("deploy", at="2s", on=[0, 1], size=0.34, extra=1),
         fault_line("server_paused", at="4s", length="1s", on=[2]),
         fault_line("link_cut", at="5s", on=[1]),
         fault_line("server_killed", at="6s", length="1s", on=[0]),
     ]
-    return day(net={"same": "2ms", "cross": "2ms", "jitter": 0.3}, troubles=kinds)
+    return day(net={"same": "2ms", "cross": "2ms", "jitter": 0.3}, troubles=faults)
 
 
 def test_the_same_seed_gives_the_same_captures_and_another_does_not() -> None:
-    one, two = play_day(mixed()), play_day(mixed())
-    assert digest(one) == digest(two) and one.verdict.violations == []
+    first, second = play_day(mixed_day()), play_day(mixed_day())
+    assert digest(first) == digest(second) and first.verdict.violations == []
     other = play_day(day(seed=8))
     assert digest(other) != digest(play_day(day()))
 
@@ -224,79 +234,79 @@
 
 
 def test_an_office_drains_while_it_reads_nothing() -> None:
-    """Set-ups lie unread in buffers that are not ours; none is worked on after the grace."""
-    made = day(
+    """Set-ups are unread in the office's socket buffers; none is processed after the drain grace."""
+    settings = day(
         rate=20,
         troubles=[
             fault_line("reads_nothing", at="3s", length="4s", on=[1]),
             fault_line("deploy", at="3500ms", on=[1], size=0.34, extra=6),
         ],
     )
-    done = play_day(made)
-    assert done.verdict.violations == []
-    assert tell("resets_of_drained")(done) > 0
+    played = play_day(settings)
+    assert played.verdict.violations == []
+    assert server_counter("resets_of_drained")(played) > 0
 
 
 def test_a_tandems_process_is_killed_with_dialogues_in_transit() -> None:
     groups = [{"ends": [0, 2], "size": 100}, {"ends": [1, 2], "size": 100}]
-    told = {"may_tell_peers": True}
-    killed = [fault_line("server_killed", length="2s", on=[2])]
-    done = play_day(day(groups=groups, limits=told, rate=12, troubles=killed))
-    assert done.verdict.violations == [] and done.verdict.examined["transits"] > 50
-    assert cut(done) > 5 and not done.lost_circuits and not done.left_open
-
-
-def test_a_restarted_call_server_names_no_dialogue_as_the_one_before_did() -> None:
-    done = play_day(day(rate=15, troubles=[fault_line("server_killed", length="1s", on=[0])]))
-    lives = {
-        line.frame.dialogue >> 32
-        for line in frames_of(done, frames.Setup, "office", "in")
-        if line.number == 0
+    limits = {"may_tell_peers": True}
+    kills = [fault_line("server_killed", length="2s", on=[2])]
+    played = play_day(day(groups=groups, limits=limits, rate=12, troubles=kills))
+    assert played.verdict.violations == [] and played.verdict.examined["transits"] > 50
+    assert cut_calls(played) > 5 and not played.lost_circuits and not played.left_open
+
+
+def test_a_restarted_call_server_reuses_no_dialogue_id() -> None:
+    played = play_day(day(rate=15, troubles=[fault_line("server_killed", length="1s", on=[0])]))
+    boot_numbers = {
+        record.frame.dialogue >> 32
+        for record in frames_of(played, frames.Setup, "office", "in")
+        if record.number == 0
     }
-    assert lives == {1, 2} and done.verdict.violations == []
+    assert boot_numbers == {1, 2} and played.verdict.violations == []
 
 
 def test_a_link_flaps_faster_than_the_release_wait() -> None:
-    done = play_day(day(rate=15, troubles=[fault_line("link_cut", size=30, extra=0.12, on=[1])]))
-    assert done.verdict.violations == [] and not done.lost_circuits
-    assert downs(done) >= 40
+    played = play_day(day(rate=15, troubles=[fault_line("link_cut", size=30, extra=0.12, on=[1])]))
+    assert played.verdict.violations == [] and not played.lost_circuits
+    assert lost_connections(played) >= 40
 
 
-def test_the_register_restarts_with_an_older_list_than_ours() -> None:
-    """What drained stays drained: the older list is skipped until the register has caught up."""
-    made = day(
+def test_the_register_restarts_with_an_outdated_list() -> None:
+    """A draining office stays draining: the outdated list is ignored until the register has caught up."""
+    settings = day(
         rate=12,
         troubles=[
             fault_line("deploy", at="2s", on=[1], size=0.34, extra=6),
             fault_line("register_restart", at="4s", size=3),
         ],
     )
-    done = play_day(made)
-    assert done.verdict.violations == [] and tell("lists_skipped")(done) >= 3
+    played = play_day(settings)
+    assert played.verdict.violations == [] and server_counter("lists_skipped")(played) >= 3
 
 
-def test_all_offices_come_up_at_once_and_cold() -> None:
-    done = play_day(day(n=4, rate=20, setup="20ms", troubles=[fault_line("mass_restart", length="500ms")]))
-    assert done.verdict.violations == [] and done.verdict.examined["cold_setups"] > 20
-    assert not count("fell_over")(done)
+def test_all_offices_restart_cold_at_once() -> None:
+    played = play_day(day(n=4, rate=20, setup="20ms", troubles=[fault_line("mass_restart", length="500ms")]))
+    assert played.verdict.violations == [] and played.verdict.examined["cold_setups"] > 20
+    assert not office_counter("fell_over")(played)
 
 
 def test_call_servers_with_clocks_an_hour_apart() -> None:
-    made = mixed()
-    apart = play_day(made, clocks={0: 3600.0, 1: 0.0, 2: -0.5 + 7200.0})
-    assert apart.verdict.violations == []
-    assert abs(served(apart) - served(play_day(made))) < 0.05
+    settings = mixed_day()
+    skewed = play_day(settings, clocks={0: 3600.0, 1: 0.0, 2: -0.5 + 7200.0})
+    assert skewed.verdict.violations == []
+    assert abs(service_level(skewed) - service_level(play_day(settings))) < 0.05
 
 
-def test_a_call_server_that_stands_still_answers_what_it_owes_once_it_goes_on() -> None:
-    made = day(rate=20, setup="4ms", troubles=[fault_line("server_paused", length="2s", on=[0, 1])])
-    done = play_day(made)
-    assert done.verdict.violations == [] and not done.left_open
-    assert longest_pause(done) >= 2_000_000
+def test_a_paused_call_server_answers_outstanding_calls_after_it_resumes() -> None:
+    settings = day(rate=20, setup="4ms", troubles=[fault_line("server_paused", length="2s", on=[0, 1])])
+    played = play_day(settings)
+    assert played.verdict.violations == [] and not played.left_open
+    assert longest_answer_gap(played) >= 2_000_000
 
 
 @pytest.mark.parametrize(
-    "over",
+    "overrides",
     [
         {"n": 1},
         {"n": 2},
@@ -314,53 +324,59 @@
     ],
     ids=str,
 )
-def test_settings_that_are_legal_but_extreme(over: dict[str, Any]) -> None:
-    lost = [fault_line("answer_lost", size=0.5)] if over.get("n", 3) > 1 else []
-    done = play_day(day(**{"troubles": lost, "length": "6s", **over}) if over.get("n") != 1 else alone())
-    assert done.verdict.violations == [] and not done.left_open and not done.lost_circuits
-    assert all(not status["counts"].get("decision_faults") for status in done.servers.values())
+def test_settings_that_are_legal_but_extreme(overrides: dict[str, Any]) -> None:
+    lost_answers = [fault_line("answer_lost", size=0.5)] if overrides.get("n", 3) > 1 else []
+    played = play_day(
+        day(**{"troubles": lost_answers, "length": "6s", **overrides})
+        if overrides.get("n") != 1
+        else single_exchange_day()
+    )
+    assert played.verdict.violations == [] and not played.left_open and not played.lost_circuits
+    assert all(not status["counts"].get("decision_faults") for status in played.servers.values())
 
 
-def alone() -> Day:
-    """One exchange, whose callers call itself: there is no way, and they are told at once."""
+def single_exchange_day() -> Day:
+    """One exchange whose callers call their own exchange: there is no route, and they are answered at once."""
     return day(n=1, length="4s", exchanges=[{"number": 0, "setup": "10ms", "calls": {"0": 5}}])
 
 
-def test_a_decision_that_raises_now_and_then_breaks_no_rule(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_decision_that_raises_occasionally_violates_no_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     from wellhitch.deciding import runner as runner_module
 
-    real, seen = runner_module.decide, [0]
+    real_decide, calls = runner_module.decide, [0]
 
     def faulty(x: Any, event: Any, now: int) -> Any:
-        seen[0] += 1
-        if seen[0] % 97 == 0:
+        calls[0] += 1
+        if calls[0] % 97 == 0:
             raise KeyError("broken on purpose")
-        return real(x, event, now)
+        return real_decide(x, event, now)
 
     monkeypatch.setattr(runner_module, "decide", faulty)
-    done = play_day(day(rate=12))
-    assert broken_rules(done) == [] and tell("decision_faults")(done) > 20 and not done.left_open
+    played = play_day(day(rate=12))
+    assert (
+        broken_rules(played) == [] and server_counter("decision_faults")(played) > 20 and not played.left_open
+    )
 
 
-def test_what_the_operators_see_is_there() -> None:
-    seen: dict[str, Any] = {}
+def test_the_status_for_operators_is_complete() -> None:
+    status: dict[str, Any] = {}
 
-    def look(simulation: SimulatedFleet, fleet: InProcess) -> None:
-        simulation.loop.call_later(6, lambda: seen.update(fleet.daemons[0].status()))
+    def read_status(simulation: SimulatedFleet, fleet: InProcess) -> None:
+        simulation.loop.call_later(6, lambda: status.update(fleet.daemons[0].status()))
 
-    play_day(day(), prepare=look)
-    assert seen["number"] == 0 and {one["id"] for one in seen["offices"]} == {
+    play_day(day(), prepare=read_status)
+    assert status["number"] == 0 and {office["id"] for office in status["offices"]} == {
         "office-0",
         "office-1",
         "office-2",
     }
-    assert seen["groups"]["1"]["size"] == 20 and seen["counts"]["taken"] > 10
+    assert status["groups"]["1"]["size"] == 20 and status["counts"]["taken"] > 10
 
 
 @pytest.mark.parametrize(
-    "troubles",
+    "faults",
     [
-        # Found by drawing days at random: each broke a rule by the judge's eyes, lost a circuit, or fell over itself.
+        # Found by random days: each violated a rule, lost a circuit, or crashed.
         [
             fault_line("reads_nothing", at="2s", length="4s", on=[1]),
             fault_line("answer_lost", at="1s", length="8s", size=0.5),
@@ -382,10 +398,10 @@
             fault_line("server_killed", at="3s", length="60s", on=[0]),
         ],
     ],
-    ids=lambda troubles: "+".join(one["kind"] for one in troubles),
+    ids=lambda faults: "+".join(fault["kind"] for fault in faults),
 )
-def test_troubles_that_meet(troubles: list[dict[str, Any]]) -> None:
+def test_overlapping_faults(faults: list[dict[str, Any]]) -> None:
     groups = [{"ends": [0, 2], "size": 40}, {"ends": [1, 2], "size": 40}]
-    for over in ({}, {"groups": groups, "limits": {"may_tell_peers": True}}):
-        done = play_day(day(rate=15, setup="1ms", troubles=troubles, **over))
-        assert done.verdict.violations == [] and not done.left_open and not done.lost_circuits
+    for overrides in ({}, {"groups": groups, "limits": {"may_tell_peers": True}}):
+        played = play_day(day(rate=15, setup="1ms", troubles=faults, **overrides))
+        assert played.verdict.violations == [] and not played.left_open and not played.lost_circuits
