--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -86,8 +86,8 @@
                 if isinstance(event, ev.DialogueArrived):
                     injection.stage_reached(self, "decision")
 
-            def _send(self, *args: Any) -> None:
-                super()._send(*args)
+            def _dial(self, *args: Any) -> None:
+                super()._dial(*args)
                 injection.stage_reached(self, "own processor")
 
             def _setup_processed(self, dial: PendingDial, accepted: bool, now: int) -> None:
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -55,7 +55,7 @@
         if isinstance(event, ev.DialogueArrived):
             for end in self.offices.values():
                 if end.number == event.destination:
-                    self._send(event.dialogue, end.id, event.time_left, now)
+                    self._dial(event.dialogue, end.id, event.time_left, now)
 
 
 # ---- the far ends, each a process ----
--- a/wellhitch/server/__init__.py
+++ b/wellhitch/server/__init__.py
@@ -1,1 +1,1 @@
-"""The call server: feeds events to the decision function and executes the actions that it returns."""
+"""The call server: feeds events to the decision module and executes the actions that it returns."""
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -94,8 +94,8 @@
         self.previous_versions: list[Version] = []
         if hooks:
             self.parser = Parser()
-            use_cases = frozenset(use.name for use in configuration.traffic_classes)
-            hook_service = Hooks(load_version(hooks, self.parser), use_cases, log, self.switch.counts)
+            traffic_classes = frozenset(traffic_class.name for traffic_class in configuration.traffic_classes)
+            hook_service = Hooks(load_version(hooks, self.parser), traffic_classes, log, self.switch.counts)
             self.switch.hook_runner = HookRunner(
                 hook_service, self.switch.exchange, self.switch.number, clock
             )
@@ -107,7 +107,7 @@
         self.switch.ledger = self.settlement
 
     def start(self) -> None:
-        """Open the listeners, connect to register and centre, start the decision function."""
+        """Open the listeners, connect to register and centre, start the decision module."""
         self.write_log(
             "started", number=self.switch.number, boot=self.hello.boot, seed=self.switch.configuration.seed
         )
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -1,6 +1,6 @@
 """Records of the call server: accepted dialogues, and each dial from the send until its last circuit is free.
 
-Pure. The decision function keeps records of its own; these hold what is needed to execute its actions, and no decision
+Pure. The decision module keeps records of its own; these hold what is needed to execute its actions, and no decision
 depends on them."""
 
 from __future__ import annotations
@@ -143,7 +143,7 @@
     number: int
     office: OfficeRecord
     own_office: OfficeRecord
-    sent_at: int
+    started_at: int
     deadline: int
     state: DialState = DialState.PROCESSING_SETUP
     dial_ref: int = 0
@@ -166,7 +166,7 @@
     "fault": (DialResult.FAULT, ReleaseCause.NONE),
     "unreachable": (DialResult.UNREACHABLE, ReleaseCause.NONE),
 }
-"""Result and cause of a dial, as the decision function sees them, for each reason of a Reject frame."""
+"""Result and cause of a dial, as the decision module sees them, for each reason of a Reject frame."""
 
 OFFICE_STATES = {"ready": OfficeState.READY, "draining": OfficeState.DRAINING, "gone": OfficeState.GONE}
 
--- a/wellhitch/server/hook_runner.py
+++ b/wellhitch/server/hook_runner.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WallClock:
-    """Local wall-clock time, which hooks see and the decision function does not. `local_time` turns a time of the event
+    """Local wall-clock time, which hooks see and the decision module does not. `local_time` turns a time of the event
     loop in us into the second of the day, the weekday (from 1) and the date."""
 
     local_time: Callable[[int], tuple[int, int, str]]
@@ -75,7 +75,7 @@
     def call_arrived(
         self, call: frames.Call, held: int, groups: Mapping[int, TrunkGroup], now: int
     ) -> tuple[HookResult, str]:
-        """Run `on arrive` for a call before the decision function sees it; returns result and version of the hooks."""
+        """Run `on arrive` for a call before the decision module sees it; returns result and version of the hooks."""
         if not self.hooks.has_hooks("arrive"):
             return HookResult(), self.hooks.deciding_for(call.called).version.digest
         destination = self.exchange.by_number.get(call.destination)
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -1,9 +1,9 @@
 """The call server as a pure state machine: takes frames and timer events, sends frames and starts timers by `ServerIO`.
 
-It feeds events to the decision function (`wellhitch.rules.decide`) one at a time and carries out the actions that the
-function returns. It adds guards against conditions that the decision function cannot see, each described where it is
+It feeds events to the decision module (`wellhitch.rules`) one at a time and carries out the actions that the
+module returns. It adds guards against conditions that the decision module cannot see, each described where it is
 implemented: a set-up that is still queued here when its office starts draining is withdrawn; a second final answer is
-never sent; an exception in the decision function fails one dialogue, which still gets its answer.
+never sent; an exception in the decision module fails one dialogue, which still gets its answer.
 """
 
 from collections import Counter
@@ -36,7 +36,7 @@
 # Subtracted from each deadline, so that the answer arrives in time although an iteration of the event loop is late by
 # most of it: garbage collection or a process that is not scheduled delays an iteration by tens of milliseconds.
 ANSWER_MARGIN_US = 50_000
-# Minimum time between reports of group counts to the own office and the decision function: a dialogue changes the
+# Minimum time between reports of group counts to the own office and the decision module: a dialogue changes the
 # counts four times, and counts newer than the transmission time of a set-up are of no use.
 GROUP_REPORT_INTERVAL_US = 50_000
 # Two reported ages of the same start differ by the transmission times of their frames; those of a restart by more.
@@ -120,12 +120,14 @@
         self._next_id = 0
         self._unreported_groups: set[int] = set()
         self._group_report_timer: Timer | None = None
-        self._deadlines = {use.name: use.deadline for use in configuration.traffic_classes}
+        self._deadlines = {
+            traffic_class.name: traffic_class.deadline for traffic_class in configuration.traffic_classes
+        }
 
-    # ---- decision function ----
+    # ---- decision module ----
 
     def start(self, now: int) -> None:
-        """Start the decision function with the configuration, and the timer of the tick hooks."""
+        """Start the decision module with the configuration, and the timer of the tick hooks."""
         self.feed(self.configuration, now)
         if self.hook_runner:
             self.hook_runner.started_at = now
@@ -137,21 +139,21 @@
             self.io.start_timer(TICK_INTERVAL_US, self._tick)
 
     def feed(self, event: ev.Event, now: int) -> None:
-        """Feed one event to the decision function and carry out its actions before returning. Events that arise
+        """Feed one event to the decision module and carry out its actions before returning. Events that arise
         meanwhile are queued."""
         self.runner.feed(event, now)
 
     def decision_failed(self, dialogue: int, now: int) -> None:
-        """The decision function raised an exception for this dialogue: answer it, unless it is established."""
+        """The decision module raised an exception for this dialogue: answer it, unless it is established."""
         call = self.calls.get(dialogue)
         if call and not call.established:
             self._send_answer(call, "forfeited", 0, now)
 
     def execute(self, action: act.Action, now: int) -> None:
-        """Carry out one action of the decision function."""
+        """Carry out one action of the decision module."""
         match action:
             case act.Send(dialogue, office_id, timeout):
-                self._send(dialogue, office_id, timeout, now)
+                self._dial(dialogue, office_id, timeout, now)
             case act.Cancel(dialogue, number):
                 call = self.calls.get(dialogue)
                 dial = call.dials[number] if call and number < len(call.dials) else None
@@ -253,28 +255,28 @@
     def _begin(
         self,
         call: PendingCall,
-        left: int,
-        redialled: bool,
+        time_left: int,
+        is_redial: bool,
         advised_tandem: int,
         now: int,
-        favour: float = 1.0,
+        value_factor: float = 1.0,
     ) -> None:
         # Guards against a remaining time without bound, in which a dialogue would hold its place and circuits forever.
         # An answer after the deadline has no value.
-        left = min(left, self._deadlines[call.use_case])
-        call.arrived_at, call.deadline = now, now + left
+        time_left = min(time_left, self._deadlines[call.use_case])
+        call.arrived_at, call.deadline = now, now + time_left
         self.feed(
             ev.DialogueArrived(
                 dialogue=call.id,
                 traffic_class=call.use_case,
                 destination=call.destination,
                 called_number=call.called,
-                time_left=max(0, left - ANSWER_MARGIN_US),
+                time_left=max(0, time_left - ANSWER_MARGIN_US),
                 width=call.width,
                 advised_tandem=None if advised_tandem < 0 or call.own_office else advised_tandem,
-                is_redial=redialled,
+                is_redial=is_redial,
                 transit=call.own_office is not None,
-                value_factor=favour,
+                value_factor=value_factor,
             ),
             now,
         )
@@ -339,7 +341,7 @@
         self._report_answer(call, answer)
         if answer != "stands":
             dial = call.active_dial
-            if dial:  # answered while a dial is pending: only after an exception in the decision function
+            if dial:  # answered while a dial is pending: only after an exception in the decision module
                 self._end_dial(dial, frames.Cancel(dial.dial_ref), now)
             self._forget(call)
 
@@ -356,7 +358,7 @@
         if self.ledger:
             dial = call.active_dial if answer == "stands" else None
             dial_number = dial.number if dial else -1
-            via = dial.office.number if dial and dial.office.number != call.destination else -1
+            tandem = dial.office.number if dial and dial.office.number != call.destination else -1
             facts = DialogueFacts(
                 _role(call),
                 call.origin,
@@ -370,7 +372,7 @@
                 call.hooks_version,
                 call.origin_dial,
                 dial_number,
-                via,
+                tandem,
             )
             self._notify_ledger(self.ledger.answered, facts, answer)
 
@@ -413,7 +415,7 @@
         ready = [office for office in candidates if office.state is ev.OfficeState.READY]
         return max(ready or candidates, key=lambda office: office.started_at or 0, default=None)
 
-    def _send(self, dialogue: int, office_id: str, timeout: int, now: int) -> None:
+    def _dial(self, dialogue: int, office_id: str, timeout: int, now: int) -> None:
         """Start a dial: seize the circuits, then have the own processor process the set-up before it is sent. A dial
         that cannot be sent ends at once as not sent or unreachable."""
         call, office = self.calls.get(dialogue), self.offices.get(office_id)
@@ -451,8 +453,8 @@
         dial: PendingDial,
         result: ev.DialResult,
         cause: ev.ReleaseCause,
-        wait: int,
-        over: bool,
+        retry_after: int,
+        dialogue_over: bool,
         load: frames.Load | None,
         now: int,
     ) -> None:
@@ -461,7 +463,12 @@
         self.counts[f"ending.{result.name.lower()}"] += 1
         self.counts[f"blame.{cause.name.lower()}"] += 1
         report = self._group_report(dial.office.number, load)
-        self.feed(ev.DialEnded(call.id, dial.number, dial.office.id, result, cause, wait, over, report), now)
+        self.feed(
+            ev.DialEnded(
+                call.id, dial.number, dial.office.id, result, cause, retry_after, dialogue_over, report
+            ),
+            now,
+        )
 
     def step_processed(self, office_id: str, frame: frames.StepProcessed, now: int) -> None:
         """The own processor has processed one step of a dial."""
@@ -485,7 +492,7 @@
             return
         if office.state is not ev.OfficeState.READY or not office.connected:
             # Guards rule 3: the office started draining, or its connection was lost, while the set-up was queued in
-            # the own processor. Nothing was sent, so the decision function may dial elsewhere at once.
+            # the own processor. Nothing was sent, so the decision module may dial elsewhere at once.
             self.counts["kept_back.drained" if office.connected else "kept_back.unreachable"] += 1
             self._cancel_timer(dial)
             result = ev.DialResult.NOT_SENT if office.connected else ev.DialResult.UNREACHABLE
@@ -494,7 +501,7 @@
         dial.move_to(DialState.SENT)
         dial.dial_ref = office.new_dial_ref()
         office.dials[dial.dial_ref] = dial
-        left = dial.deadline - now
+        time_left = dial.deadline - now
         self.io.send_to_office(
             office.id,
             frames.Setup(
@@ -505,7 +512,7 @@
                 call.use_case,
                 call.destination,
                 call.called,
-                left,
+                time_left,
                 call.width,
             ),
         )
@@ -514,7 +521,7 @@
         dial.move_to(DialState.ESTABLISHED)
         self._cancel_timer(dial)
         self._send_answer(dial.call, "stands", 0, now)
-        self.feed(ev.DialogueEstablished(dial.call.id, dial.number, now - dial.sent_at), now)
+        self.feed(ev.DialogueEstablished(dial.call.id, dial.number, now - dial.started_at), now)
 
     def _dial_timed_out(self, dial: PendingDial, now: int) -> None:
         if dial.state in (DialState.PROCESSING_SETUP, DialState.SENT, DialState.PROCESSING_ANSWER):
@@ -758,9 +765,9 @@
         """Compare our count with the one in an office's heartbeat: they may differ only while frames are in
         flight."""
         office = self.offices[office_id]
-        allowed_us = 2 * self.configuration.release.release_wait + 2_000_000  # two heartbeats
+        allowed = 2 * self.configuration.release.release_wait + 2_000_000  # two heartbeats
         office.counts_differ_since, report = track_disagreement(
-            self.circuits_held(office_id), remote, office.counts_differ_since, now, allowed_us
+            self.circuits_held(office_id), remote, office.counts_differ_since, now, allowed
         )
         if report:
             self.counts["circuits_disagree"] += 1
--- a/wellhitch/trunk/frames.py
+++ b/wellhitch/trunk/frames.py
@@ -212,7 +212,7 @@
 
 
 class PeerMessage(Frame, frozen=True, tag="Word"):
-    """Between call servers: a short message of the decision function."""
+    """Between call servers: a short message of the decision module."""
 
     payload: bytes
 
