--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -37,7 +37,7 @@
 
 def configuration(**over: Any) -> Configuration:
     """The configuration of the call server, with fields replaced by `over`."""
-    opened = ev.ServerStarted(
+    server_started = ev.ServerStarted(
         seed=7,
         traffic_classes=TRAFFIC_CLASSES,
         topology=ServerTopology(0, 2, False, 0, True),
@@ -54,7 +54,7 @@
             ("10.3.0.1:7946", "10.3.0.2:7946"),
             "10.3.255.1:7946",
         ),
-        opened=opened,
+        server_started=server_started,
         revision=1,
         known_updates=(Update(1, True, (row(0), row(1), row(2))),),
         max_descriptors=256,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -116,9 +116,11 @@
 def test_rejection_has_a_retry_after_time_where_the_settings_allow_it(
     max_retry_after: int, cooldown: str | None
 ) -> None:
-    opened = configuration().opened
+    server_started = configuration().server_started
     world = World(
-        opened=replace(opened, permissions=replace(opened.permissions, max_retry_after=max_retry_after))
+        server_started=replace(
+            server_started, permissions=replace(server_started.permissions, max_retry_after=max_retry_after)
+        )
     )
     caller = world.caller()
     caller.send(invite(A, 0))
@@ -815,7 +817,7 @@
 def test_peer_messages_are_accepted_only_from_peers_and_up_to_the_maximum_length() -> None:
     world = World()
     received: list[tuple[int, bytes]] = []
-    world.core.peer_message = lambda peer, text, now: received.append((peer, text))  # type: ignore[method-assign]
+    world.core.peer_message_received = lambda peer, text, now: received.append((peer, text))  # type: ignore[method-assign]
     for host, port in (("10.3.0.2", 7946), ("10.3.0.9", 7946)):
         world.net.for_host(host).open_datagrams(
             f"{host}:{port}", lambda data, address: None, lambda sender: None
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -129,7 +129,7 @@
         set_up.call_id,
         set_up.called_number,
         set_up.traffic_class,
-        set_up.time_left_us,
+        set_up.time_left,
         set_up.destination,
     ) == (
         CALL_ID,
@@ -138,7 +138,7 @@
         671_000,
         2,
     )
-    assert set_up.transit and set_up.advised is None and set_up.description == "caller's own\r\n"
+    assert set_up.transit and set_up.advised_tandem is None and set_up.description == "caller's own\r\n"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_liveness.py
+++ b/tests/test_platform_liveness.py
@@ -201,9 +201,11 @@
 
 
 def make_world(may_probe: bool = True) -> World:
-    opened = configuration().opened
-    permissions = type(opened.permissions)(5, True, may_probe, True, 0, False)
-    return World(opened=type(opened)(**{**_fields(opened), "permissions": permissions}))
+    server_started = configuration().server_started
+    permissions = type(server_started.permissions)(5, True, may_probe, True, 0, False)
+    return World(
+        server_started=type(server_started)(**{**_fields(server_started), "permissions": permissions})
+    )
 
 
 def _fields(record: Any) -> dict[str, Any]:
@@ -348,7 +350,9 @@
     world.net.reset_host(SERVER)
     world.net.listeners.pop(f"{SERVER}:2905")
     world.net.senders.clear()
-    service = world.start_server(opened=world.service.configuration.opened, known_updates=known, revision=2)
+    service = world.start_server(
+        server_started=world.service.configuration.server_started, known_updates=known, revision=2
+    )
     world.run(0.1)
     office = world.offices[1]
     office.end_call(A, 16, connection=office.connections[-1])
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -93,9 +93,12 @@
 
 def test_configuration_is_read_and_numbers_may_be_text(tmp_path: Path) -> None:
     configuration = read_configuration(write_configuration(tmp_path, configuration_file()))
-    assert configuration.opened.seed == 0x8C1F30D27A5BE964 and configuration.opened.topology.peer_count == 2
     assert (
-        configuration.opened.traffic_classes[0].target_latency == 380_000
+        configuration.server_started.seed == 0x8C1F30D27A5BE964
+        and configuration.server_started.topology.peer_count == 2
+    )
+    assert (
+        configuration.server_started.traffic_classes[0].target_latency == 380_000
         and configuration.connect_timeout_us == 500_000
     )
     assert configuration.revision == 1 and configuration.known_updates[0].entries[0].id == "s-00000000"
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -16,7 +16,7 @@
 def world_with_deadline(longest_s: float = 3.0) -> World:
     """A call server whose longest deadline is `longest_s`."""
     uses = tuple(replace(use, deadline=int(longest_s * SECOND)) for use in TRAFFIC_CLASSES)
-    return World(opened=replace(configuration().opened, traffic_classes=uses))
+    return World(server_started=replace(configuration().server_started, traffic_classes=uses))
 
 
 @pytest.mark.parametrize("longest", [0, 100_000, 300_000, SECOND, 3 * SECOND, 9 * SECOND])
@@ -57,7 +57,7 @@
         assert kill > 0.05
     world.run(0.1)
     answered = sum(len(caller.statuses(f"{n:016x}")) for caller in callers for n in range(sent))
-    assert world.core.owed == 0
+    assert world.core.unanswered == 0
     # A set-up that crosses the close of its connection gets no answer: at most one for each connection.
     assert sent - len(callers) * 3 <= answered <= sent
 
@@ -183,7 +183,9 @@
     world.run(0.05)
     caller.send(b"\x00 noise\r\n\r\n")
     world.run(0.02)
-    assert not world.core.owed and [line.call_id for line in world.offices[1].lines_of_type("down")] == [A]
+    assert not world.core.unanswered and [
+        line.call_id for line in world.offices[1].lines_of_type("down")
+    ] == [A]
     assert not world.core.exchange.dialogues
     world.run(0.1)
     assert caller.statuses(A) == [500] and caller.closed
--- a/wellhitch/platform/configuration.py
+++ b/wellhitch/platform/configuration.py
@@ -108,11 +108,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that a call server needs to start. `opened` is the first event of the decision module; `known_updates` are
-    the discovery updates up to `revision`."""
+    """All that a call server needs to start. `server_started` is the first event of the decision module;
+    `known_updates` are the discovery updates up to `revision`."""
 
     addresses: Addresses
-    opened: ServerStarted
+    server_started: ServerStarted
     revision: int
     known_updates: tuple[board.Update, ...]
     max_descriptors: int
@@ -152,8 +152,8 @@
             path, [f"limits.sockets = {decoded.limits.sockets}: less than {MIN_DESCRIPTORS}"]
         )
     settings = read_lenient({"settings": decoded.settings}, _SettingsWrapper, path).settings
-    opened = read_server_started(seed, msgspec.to_builtins(settings))
-    if not opened.traffic_classes:
+    server_started = read_server_started(seed, msgspec.to_builtins(settings))
+    if not server_started.traffic_classes:
         raise InvalidSettings(path, ["settings.classes = []: at least one traffic class is required"])
     revision, known_updates = board.read_known_updates(decoded.known, path)
     for update in known_updates:
@@ -170,7 +170,7 @@
             tuple(decoded.peers),
             decoded.peers_all,
         ),
-        opened,
+        server_started,
         revision,
         tuple(known_updates),
         decoded.limits.sockets,
--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -31,7 +31,7 @@
 # again.
 CALLS_REPORTED_WITHIN_US = 15_000_000
 
-ENDINGS = {
+RESULT_BY_CAUSE = {
     34: ev.DialResult.FULL,
     17: ev.DialResult.FAULT,
     47: ev.DialResult.FAULT,
@@ -39,7 +39,7 @@
 }
 """Meaning of the cause of a release before the answer; any other cause is a reset."""
 # Meaning of the note of a release before the answer.
-BLAMES = {
+RELEASE_CAUSE_BY_NOTE = {
     "no_circuit": ev.ReleaseCause.NO_CIRCUIT,
     "turned_back": ev.ReleaseCause.TURNED_BACK,
     "far_overload": ev.ReleaseCause.FAR_PROCESSOR_FULL,
@@ -53,10 +53,19 @@
 class Core:
     """One exchange's call server on the platform."""
 
-    def __init__(self, opened: ev.ServerStarted, max_open: int, loop_epoch_us: int, io: ServerIO) -> None:
+    def __init__(
+        self, configuration: ev.ServerStarted, max_open: int, loop_epoch_us: int, io: ServerIO
+    ) -> None:
         """`loop_epoch_us`: Unix time in us at which the loop's clock was 0; converts the start times of discovery."""
-        self.opened, self.max_open, self.loop_epoch_us, self.io = opened, max_open, loop_epoch_us, io
-        self.number = opened.topology.own_number if opened.topology.own_number is not None else -1
+        self.configuration, self.max_open, self.loop_epoch_us, self.io = (
+            configuration,
+            max_open,
+            loop_epoch_us,
+            io,
+        )
+        self.number = (
+            configuration.topology.own_number if configuration.topology.own_number is not None else -1
+        )
         self.counts: Counter[str] = Counter()
         self.runner = Runner(self, io.start_timer, io.log, self.counts)
         self.exchange = self.runner.exchange
@@ -75,20 +84,20 @@
         self._callers_reported_calls = False
         self._last_dialogue = 0
         self._traffic_classes = {
-            traffic_class.name: traffic_class for traffic_class in opened.traffic_classes
+            traffic_class.name: traffic_class for traffic_class in configuration.traffic_classes
         }
 
     def start(self, known_updates: Iterable[Update], now: int) -> None:
         """Begin with the settings and the discovery updates known so far. Connections are opened after all updates are
         applied. Draining offices are connected too: they may hold calls from before a restart, and send the releases of
         these on the first connection."""
-        self.feed(self.opened, now)
+        self.feed(self.configuration, now)
         for update in known_updates:
             self._apply_update(update, ev.ListKind.CACHED, now)
         for office in list(self.offices.values()):
             self._apply_state(office, now)
             if office.state is ev.OfficeState.DRAINING and office.number != self.number:
-                self.io.keep_connected(office)
+                self.io.keep_connection(office)
         self.io.start_timer(CALLS_REPORTED_WITHIN_US, self._calls_reported)
 
     def _calls_reported(self, now: int) -> None:
@@ -111,15 +120,15 @@
     def execute(self, action: act.Action, now: int) -> None:
         """Carry out one action of the decision module."""
         match action:
-            case act.Send(dialogue, office, timeout_us):
-                self._dial(dialogue, office, timeout_us, now)
+            case act.Send(dialogue, office, timeout):
+                self._dial(dialogue, office, timeout, now)
             case act.Cancel(dialogue, number):
                 pending = self.pending_calls.get(dialogue)
                 if pending and pending.dial and pending.dial.number == number:
                     self._abandon_dial(pending.dial, ev.DialResult.CANCELLED, now)
-            case act.Reject(dialogue, retry_after_us):
+            case act.Reject(dialogue, retry_after):
                 if dialogue in self.pending_calls:
-                    headers = f"X-Cooldown: {-(-retry_after_us // 1000)}\r\n" if retry_after_us else ""
+                    headers = f"X-Cooldown: {-(-retry_after // 1000)}\r\n" if retry_after else ""
                     self._send_failure(self.pending_calls[dialogue], 503, "pushed_back", headers, now)
             case act.Fail(dialogue):
                 if dialogue in self.pending_calls:
@@ -215,9 +224,9 @@
         self.pending_by_connection.setdefault(connection, {})[pending.call_id] = pending
         self.counts["taken"] += 1
         # Bounds the time left: an answer after the traffic class's deadline has no value.
-        time_left_us = min(
-            set_up.time_left_us,
-            self._traffic_classes[set_up.traffic_class].deadline or set_up.time_left_us,
+        time_left = min(
+            set_up.time_left,
+            self._traffic_classes[set_up.traffic_class].deadline or set_up.time_left,
         )
         self.feed(
             ev.DialogueArrived(
@@ -225,10 +234,10 @@
                 traffic_class=set_up.traffic_class,
                 destination=set_up.destination,
                 called_number=set_up.called_number,
-                time_left=max(0, time_left_us - ANSWER_MARGIN_US),
+                time_left=max(0, time_left - ANSWER_MARGIN_US),
                 width=set_up.width,
-                advised_tandem=set_up.advised,
-                is_redial=set_up.redialled,
+                advised_tandem=set_up.advised_tandem,
+                is_redial=set_up.is_redial,
                 transit=set_up.transit,
             ),
             now,
@@ -326,7 +335,7 @@
 
     # ---- dials ----
 
-    def _dial(self, dialogue: int, office_id: str, timeout_us: int, now: int) -> None:
+    def _dial(self, dialogue: int, office_id: str, timeout: int, now: int) -> None:
         """Dial an office. A dial that must not be sent is reported as not sent at once."""
         pending, office = self.pending_calls.get(dialogue), self.offices.get(office_id)
         if pending is None or pending.dial is not None:
@@ -359,13 +368,13 @@
         dial = pending.dial = PendingDial(pending, number, office, now)
         office.dials[pending.call_id] = dial
         dial.timer = self.io.start_timer(
-            max(0, timeout_us), lambda fired_at: self._dial_timed_out(dial, fired_at)
+            max(0, timeout), lambda fired_at: self._dial_timed_out(dial, fired_at)
         )
         line = lines.set_up(
             pending.call_id,
             pending.traffic_class,
             pending.called_number,
-            max(1, timeout_us // 1000),
+            max(1, timeout // 1000),
             pending.description,
         )
         self.io.send_dial(dial, line)
@@ -376,9 +385,9 @@
         if dial.state is DialState.PENDING:
             self._abandon_dial(dial, ev.DialResult.TIMED_OUT, now)
 
-    def _abandon_dial(self, dial: PendingDial, ending: ev.DialResult, now: int) -> None:
+    def _abandon_dial(self, dial: PendingDial, result: ev.DialResult, now: int) -> None:
         self._end_dial(dial, now)
-        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
+        self._dial_ended(dial, result, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
 
     def _end_dial(self, dial: PendingDial, now: int) -> None:
         """End a dial from this side, and release it at its office if its set-up was sent."""
@@ -409,18 +418,18 @@
         if sent and dial.office.state is not ev.OfficeState.GONE:
             dial.office.remember_ended(dial.call.call_id, now)
             self.io.send_to_office(dial.office, lines.release(dial.call.call_id, CAUSE_NORMAL), None)
-        ending = ev.DialResult.RESET if sent else ev.DialResult.UNREACHABLE
-        self._dial_ended(dial, ending, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
+        result = ev.DialResult.RESET if sent else ev.DialResult.UNREACHABLE
+        self._dial_ended(dial, result, ev.ReleaseCause.NONE, ev.OfficeReport(), now)
 
     def _dial_ended(
         self,
         dial: PendingDial,
-        ending: ev.DialResult,
-        blame: ev.ReleaseCause,
+        result: ev.DialResult,
+        cause: ev.ReleaseCause,
         report: ev.OfficeReport,
         now: int,
     ) -> None:
-        self._report_dial_end(dial.call.id, dial.number, dial.office.id, ending, blame, report, now)
+        self._report_dial_end(dial.call.id, dial.number, dial.office.id, result, cause, report, now)
         self._release_if_unused(dial.office)
 
     def _report_dial_end(
@@ -428,26 +437,26 @@
         dialogue: int,
         number: int,
         office_id: str,
-        ending: ev.DialResult,
-        blame: ev.ReleaseCause,
+        result: ev.DialResult,
+        cause: ev.ReleaseCause,
         report: ev.OfficeReport,
         now: int,
-        over: bool = False,
+        dialogue_over: bool = False,
     ) -> None:
-        """Report the end of a dial to the decision module; `over` where its call was established before."""
-        self.counts[f"ending.{ending.name.lower()}"] += 1
-        if not over:
+        """Report the end of a dial to the decision module; `dialogue_over` where its call was established before."""
+        self.counts[f"ending.{result.name.lower()}"] += 1
+        if not dialogue_over:
             self.io.log(
                 "attempt_ended",
                 call=self.pending_calls[dialogue].call_id if dialogue in self.pending_calls else None,
                 attempt=number,
                 endpoint=office_id,
-                ending=ending.name.lower(),
-                blame=blame.name.lower(),
+                ending=result.name.lower(),
+                blame=cause.name.lower(),
             )
-        if blame is not ev.ReleaseCause.NONE:
-            self.counts[f"blame.{blame.name.lower()}"] += 1
-        self.feed(ev.DialEnded(dialogue, number, office_id, ending, blame, 0, over, report), now)
+        if cause is not ev.ReleaseCause.NONE:
+            self.counts[f"blame.{cause.name.lower()}"] += 1
+        self.feed(ev.DialEnded(dialogue, number, office_id, result, cause, 0, dialogue_over, report), now)
 
     # ---- offices ----
 
@@ -516,8 +525,8 @@
         self, office: OfficeRecord, connection: Hashable, line: lines.Line, now: int
     ) -> None:
         dial, call = office.dials.get(line.call_id), office.calls.get(line.call_id)
-        cause = CAUSE_CUT if line.cause is None else line.cause
-        if dial is not None and dial.connection is not None and cause == CAUSE_NORMAL:
+        q850_cause = CAUSE_CUT if line.cause is None else line.cause
+        if dial is not None and dial.connection is not None and q850_cause == CAUSE_NORMAL:
             # The call was established and has ended normally, but its answer was lost, so the dialogue is over.
             # Dialling again would establish a second call with the same Call-ID while the caller is owed a release of
             # the first.
@@ -537,13 +546,13 @@
             self._send_failure(pending, 500, "forfeited", "", now)
         elif dial is not None and dial.connection is not None:
             self._forget_dial(dial)
-            ending = ENDINGS.get(cause, ev.DialResult.RESET)
-            blame = BLAMES.get(str(line.fields.get("note", "")), ev.ReleaseCause.NONE)
-            self._dial_ended(dial, ending, blame, _report(line), now)
+            result = RESULT_BY_CAUSE.get(q850_cause, ev.DialResult.RESET)
+            cause = RELEASE_CAUSE_BY_NOTE.get(str(line.fields.get("note", "")), ev.ReleaseCause.NONE)
+            self._dial_ended(dial, result, cause, _report(line), now)
         elif call is not None:
-            self.established.released_by_office(call, connection, cause, _report(line), now)
+            self.established.released_by_office(call, connection, q850_cause, _report(line), now)
         elif line.call_id not in office.ended_here:
-            self.established.unknown_released(line.call_id, cause, now)
+            self.established.unknown_released(line.call_id, q850_cause, now)
 
     def office_refused_connection(self, office: OfficeRecord) -> None:
         """An office without a connection refused a new one."""
@@ -558,7 +567,7 @@
         office.liveness.connection_closed(connection)
 
     def _call_ended(
-        self, call: EstablishedCall, ending: ev.DialResult, report: ev.OfficeReport, now: int
+        self, call: EstablishedCall, result: ev.DialResult, report: ev.OfficeReport, now: int
     ) -> None:
         """Report the end of an established call to the decision module, unless it is from before a restart."""
         if call.dialogue is not None:
@@ -566,7 +575,7 @@
                 call.dialogue,
                 call.dial_number,
                 call.office.id,
-                ending,
+                result,
                 ev.ReleaseCause.NONE,
                 report,
                 now,
@@ -584,57 +593,61 @@
         for office in list(self.offices.values()):
             self._apply_state(office, now)
 
-    def _apply_update(self, update: Update, whole: ev.ListKind, now: int) -> None:
-        """Update the office records and tell the decision module. `whole` is what the module is told about the source
-        of a complete list."""
-        for row in update.entries:
-            self._apply_row(row, now)
+    def _apply_update(self, update: Update, kind_if_full: ev.ListKind, now: int) -> None:
+        """Update the office records and feed the office list to the decision module, a full list as of kind
+        `kind_if_full`."""
+        for entry in update.entries:
+            self._apply_entry(entry, now)
         if update.full:
-            listed = {row.id for row in update.entries}
+            listed_ids = {entry.id for entry in update.entries}
             for office in self.offices.values():
-                if office.id not in listed:
+                if office.id not in listed_ids:
                     office.state = ev.OfficeState.GONE
-        offices = [self.offices[row.id] for row in update.entries]
+        offices = [self.offices[entry.id] for entry in update.entries]
         entries = tuple(
-            ev.OfficeEntry(office.id, office.number, office.state, office.started) for office in offices
+            ev.OfficeEntry(office.id, office.number, office.state, office.started_at) for office in offices
         )
-        self.feed(ev.OfficeListReceived(whole if update.full else ev.ListKind.CHANGES, entries), now)
+        self.feed(ev.OfficeListReceived(kind_if_full if update.full else ev.ListKind.CHANGES, entries), now)
 
-    def _apply_row(self, row: DiscoveryEntry, now: int) -> None:
-        state = OFFICE_STATES[row.state]
+    def _apply_entry(self, entry: DiscoveryEntry, now: int) -> None:
+        state = OFFICE_STATES[entry.state]
         # The offset is fixed at the start, so that the same start time always gives the same loop time.
-        started = max(1, row.started_ms * 1000 - self.loop_epoch_us) if row.started_ms else None
-        office = self.offices.get(row.id)
+        started_at = max(1, entry.started_ms * 1000 - self.loop_epoch_us) if entry.started_ms else None
+        office = self.offices.get(entry.id)
         if office is None:
-            tests_allowed = self.opened.permissions.may_probe
-            self.offices[row.id] = OfficeRecord(
-                row.id,
-                row.exchange,
-                row.address,
+            tests_allowed = self.configuration.permissions.may_probe
+            self.offices[entry.id] = OfficeRecord(
+                entry.id,
+                entry.exchange,
+                entry.address,
                 state,
-                started,
+                started_at,
                 liveness=OfficeLiveness(tests_allowed, now),
             )
-            self.io.log("office", office=row.id, number=row.exchange, standing=state.name, started=started)
+            self.io.log(
+                "office", office=entry.id, number=entry.exchange, standing=state.name, started=started_at
+            )
             return
         if state is not office.state:
-            self.io.log("office", office=row.id, number=row.exchange, standing=state.name, started=started)
-        restarted = started is not None and started != office.started
-        office.state, office.started, office.number = state, started, row.exchange
+            self.io.log(
+                "office", office=entry.id, number=entry.exchange, standing=state.name, started=started_at
+            )
+        restarted = started_at is not None and started_at != office.started_at
+        office.state, office.started_at, office.number = state, started_at, entry.exchange
         if restarted:
             self.established.office_restarted(office, now)
-        if office.address != row.address:
+        if office.address != entry.address:
             self.io.drop_connections(office, True)
-            office.address = row.address
+            office.address = entry.address
             if office.calls:
-                self.io.keep_connected(office)
+                self.io.keep_connection(office)
 
     def _apply_state(self, office: OfficeRecord, now: int) -> None:
         """Connect to an office that is ready; withdraw what was not sent to one that is draining or gone."""
         if office.number == self.number:
             return
         if office.state is ev.OfficeState.READY:
-            self.io.keep_connected(office)
+            self.io.keep_connection(office)
             return
         self.io.discard_unsent(office)  # enforces rule 3 for an office that does not read
         for dial in list(office.dials.values()):
@@ -664,12 +677,12 @@
 
     # ---- peers and shutdown ----
 
-    def peer_message(self, peer: int, text: bytes, now: int) -> None:
+    def peer_message_received(self, peer: int, text: bytes, now: int) -> None:
         """Pass a message from another call server to the decision module."""
         self.feed(ev.PeerMessageReceived(peer, text), now)
 
     @property
-    def owed(self) -> int:
+    def unanswered(self) -> int:
         """How many accepted set-ups have not been answered."""
         return len(self.pending_calls)
 
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -90,7 +90,7 @@
         if office.state is OfficeState.GONE:
             self.office_gone(office)
         else:
-            self._io.keep_connected(office)
+            self._io.keep_connection(office)
 
     # ---- ends ----
 
@@ -106,8 +106,8 @@
         call.office.liveness.call_mentioned(call, connection, now)
         normal = cause == CAUSE_NORMAL
         self.release_to_caller(call.call_id, CAUSE_NORMAL if normal else CAUSE_CUT, call.connection, now)
-        ending = DialResult.ENDED_WELL if normal else DialResult.RESET
-        self._end(call, ending, report, now, f"released by its endpoint, cause {cause}")
+        result = DialResult.ENDED_WELL if normal else DialResult.RESET
+        self._end(call, result, report, now, f"released by its endpoint, cause {cause}")
 
     def unknown_released(self, call_id: str, cause: int, now: int) -> None:
         """Remember the release of an unknown call: after a restart it may come before the caller reports the call."""
@@ -139,7 +139,7 @@
 
     def office_restarted(self, office: OfficeRecord, now: int) -> None:
         """Discovery reports a new start of an office: calls from before it have ended."""
-        earlier = [call for call in office.calls.values() if call.established_at < (office.started or 0)]
+        earlier = [call for call in office.calls.values() if call.established_at < (office.started_at or 0)]
         self._cut(office, earlier, "its endpoint started again", now)
 
     def connection_opened(self, office: OfficeRecord, connection: Hashable, now: int) -> None:
@@ -171,7 +171,7 @@
         self._schedule_liveness_check()
 
     def _end(
-        self, call: EstablishedCall, ending: DialResult, report: OfficeReport, now: int, why: str
+        self, call: EstablishedCall, result: DialResult, report: OfficeReport, now: int, why: str
     ) -> None:
         if self.calls.pop(call.call_id, None) is None:
             return  # ended already; each end is reported once
@@ -181,16 +181,16 @@
         if self._by_connection[call.connection] <= 0:
             del self._by_connection[call.connection]
         self._io.log("call_over", call=call.call_id, endpoint=call.office.id, why=why)
-        self._on_ended(call, ending, report, now)
+        self._on_ended(call, result, report, now)
 
     def _release_at_office(self, call: EstablishedCall, cause: int, now: int) -> None:
         self._io.send_to_office(call.office, lines.release(call.call_id, cause), None)
         call.office.remember_ended(call.call_id, now)
         call.office.remember_released(call.call_id, cause, now)
 
-    def _cut_later(self, office: OfficeRecord, delay_us: int) -> None:
+    def _cut_later(self, office: OfficeRecord, delay: int) -> None:
         if office.cut_timer is None:
-            office.cut_timer = self._io.start_timer(delay_us, lambda now: self._cut_all(office, now))
+            office.cut_timer = self._io.start_timer(delay, lambda now: self._cut_all(office, now))
 
     def _cut_all(self, office: OfficeRecord, now: int) -> None:
         office.cut_timer = None
--- a/wellhitch/platform/offices.py
+++ b/wellhitch/platform/offices.py
@@ -216,7 +216,7 @@
 
     # -- connections --
 
-    def keep_connected(self) -> None:
+    def keep_connection(self) -> None:
         """Keep at least one connection up."""
         self.kept_connected = True
         if not self.connected and not self.connecting and self._retry_timer is None:
--- a/wellhitch/platform/records.py
+++ b/wellhitch/platform/records.py
@@ -32,7 +32,7 @@
     number: int
     address: str
     state: OfficeState
-    started: int | None
+    started_at: int | None
     dials: dict[str, PendingDial] = field(default_factory=dict)
     calls: dict[str, EstablishedCall] = field(default_factory=dict)
     # Call IDs whose dial or call this server ended, and when.
--- a/wellhitch/platform/server_io.py
+++ b/wellhitch/platform/server_io.py
@@ -26,7 +26,7 @@
     def send_to_office(self, office: OfficeRecord, line: bytes, preferred: object | None) -> None:
         """Send on the connection `preferred` if it is up, else on any other, else on the next that comes up."""
 
-    def keep_connected(self, office: OfficeRecord) -> None:
+    def keep_connection(self, office: OfficeRecord) -> None:
         """Keep at least one connection to an office up."""
 
     def discard_unsent(self, office: OfficeRecord) -> None:
@@ -47,8 +47,8 @@
     def send_to_peers(self, text: bytes) -> None:
         """Send a datagram to every other call server."""
 
-    def start_timer(self, delay_us: int, callback: Callable[[int], None]) -> Timer:
-        """Call `callback` with the loop's time in us after `delay_us`."""
+    def start_timer(self, delay: int, callback: Callable[[int], None]) -> Timer:
+        """Call `callback` with the loop's time in us after `delay`."""
 
     def log(self, event: str, **facts: Any) -> None:
         """Write one line of the log."""
--- a/wellhitch/platform/service.py
+++ b/wellhitch/platform/service.py
@@ -89,7 +89,9 @@
             on_stopped,
         )
         for_callers, for_offices, _ = descriptor_shares(configuration.max_descriptors)
-        self.core = Core(configuration.opened, configuration.max_open, unix_now() - now_us(loop), self)
+        self.core = Core(
+            configuration.server_started, configuration.max_open, unix_now() - now_us(loop), self
+        )
         self.counts: Counter[str] = self.core.counts
         self.callers = CallerConnections(
             loop,
@@ -125,7 +127,7 @@
             "started",
             name=self.configuration.addresses.name,
             number=self.core.number,
-            seed=self.configuration.opened.seed,
+            seed=self.configuration.server_started.seed,
         )
         self.core.start(self.configuration.known_updates, self.now())
         self.discovery.start()
@@ -151,11 +153,16 @@
         if self.stopping:
             return
         self.stopping = self.core.stopping = True
-        longest = max(traffic_class.deadline for traffic_class in self.configuration.opened.traffic_classes)
+        longest = max(
+            traffic_class.deadline for traffic_class in self.configuration.server_started.traffic_classes
+        )
         self._schedule = shutdown_schedule(longest)
         self._stop_at = self.now()
         self.write_log(
-            "stopping", owed=self.core.owed, standing=len(self.core.calls), ends_by_us=self._schedule.end_at
+            "stopping",
+            owed=self.core.unanswered,
+            standing=len(self.core.calls),
+            ends_by_us=self._schedule.end_at,
         )
         self.loop.call_later(self._schedule.drain_at / 1e6, self._drain)
 
@@ -163,18 +170,21 @@
         if not self.core.draining:
             self.core.draining = True
             self.write_log(
-                "draining", owed=self.core.owed, standing=len(self.core.calls), callers=self.callers.open
+                "draining",
+                owed=self.core.unanswered,
+                standing=len(self.core.calls),
+                callers=self.callers.open,
             )
         closing = self._schedule.phase(self.now() - self._stop_at) is Phase.CLOSING
-        if closing or nothing_left(self.core.owed, len(self.core.calls), self.callers.open):
+        if closing or nothing_left(self.core.unanswered, len(self.core.calls), self.callers.open):
             self._close()
             return
         self.callers.close_unused()
         self.loop.call_later(SHUTDOWN_POLL_S, self._drain)
 
     def _close(self) -> None:
-        if self.core.owed:
-            self.counts["stop.forfeited"] += self.core.owed
+        if self.core.unanswered:
+            self.counts["stop.forfeited"] += self.core.unanswered
         self.core.fail_all(self.now())
         # A release read from here on could not be sent to its caller, and would be lost to the next process.
         self.office_connections.stop_reading()
@@ -222,7 +232,7 @@
             if (office := core.exchange.offices.get(record.id)) is not None
         }
         return {
-            "owed": core.owed,
+            "owed": core.unanswered,
             "held": len(core.exchange.dialogues),
             "standing": len(core.calls),
             "callers": self.callers.open,
@@ -259,9 +269,9 @@
         """See `ServerIO`."""
         self.office_connections.pool(office).send(line, preferred)
 
-    def keep_connected(self, office: OfficeRecord) -> None:
+    def keep_connection(self, office: OfficeRecord) -> None:
         """See `ServerIO`."""
-        self.office_connections.pool(office).keep_connected()
+        self.office_connections.pool(office).keep_connection()
 
     def discard_unsent(self, office: OfficeRecord) -> None:
         """See `ServerIO`."""
@@ -298,9 +308,9 @@
             self.sender.send(text, self.configuration.addresses.peers_all)
             self.counts["words_sent"] += 1
 
-    def start_timer(self, delay_us: int, callback: Callable[[int], None]) -> Timer:
+    def start_timer(self, delay: int, callback: Callable[[int], None]) -> Timer:
         """See `ServerIO`."""
-        return self.loop.call_later(delay_us / 1e6, self._timer_fired, callback)
+        return self.loop.call_later(delay / 1e6, self._timer_fired, callback)
 
     def _timer_fired(self, callback: Callable[[int], None]) -> None:
         callback(self.now())
@@ -366,4 +376,4 @@
         if peer is None or len(data) > MAX_PEER_MESSAGE_BYTES:
             self.counts["strays.datagram"] += 1
             return
-        self.core.peer_message(peer, data, self.now())
+        self.core.peer_message_received(peer, data, self.now())
--- a/wellhitch/platform/set_up_request.py
+++ b/wellhitch/platform/set_up_request.py
@@ -31,12 +31,12 @@
     call_id: str
     called_number: str
     traffic_class: str
-    time_left_us: int
+    time_left: int
     destination: int
     width: int
-    advised: int | None
+    advised_tandem: int | None
     transit: bool
-    redialled: bool
+    is_redial: bool
     established_at: str | None
     description: str
 
@@ -80,12 +80,12 @@
     if established_at is not None and not _OFFICE_ID.fullmatch(established_at):
         return "at"
     destination, width = _integer(attributes, "dest", None), _integer(attributes, "width", 1)
-    advised, transit = _integer(attributes, "via", -1), _integer(attributes, "transit", 0)
+    advised_tandem, transit = _integer(attributes, "via", -1), _integer(attributes, "transit", 0)
     if destination is None or not 0 <= destination < MAX_EXCHANGES:
         return "destination"
     if width is None or not 1 <= width <= MAX_WIDTH:
         return "width"
-    if advised is None or not -1 <= advised < MAX_EXCHANGES:
+    if advised_tandem is None or not -1 <= advised_tandem < MAX_EXCHANGES:
         return "advised"
     if transit not in (0, 1):
         return "transit"
@@ -95,8 +95,8 @@
         description = request.body.decode("utf-8")
     except UnicodeDecodeError:
         return "description_no_text"
-    redialled = headers.get("x-resent", "0") not in ("", "0", "false")
-    valid_advised = advised if advised >= 0 and not transit else None
+    is_redial = headers.get("x-resent", "0") not in ("", "0", "false")
+    valid_advised_tandem = advised_tandem if advised_tandem >= 0 and not transit else None
     return SetUp(
         call_id,
         address[1],
@@ -104,9 +104,9 @@
         int(deadline_ms) * 1000,
         destination,
         width,
-        valid_advised,
+        valid_advised_tandem,
         bool(transit),
-        redialled,
+        is_redial,
         established_at,
         description,
     )
