--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -89,7 +89,7 @@
 def outdated_reports(played: Played) -> int:
     """How many reports state no wait although the processor is busy, because they are outdated."""
     loads = [
-        record.frame.load.wait
+        record.frame.load.queue_wait
         for record in frames_of(played, frames.Answer, "office", "out")
         if record.frame.load
     ]
--- a/tests/test_trunk.py
+++ b/tests/test_trunk.py
@@ -16,7 +16,7 @@
     HELLO,
     frames.Heartbeat(4),
     frames.Setup(1, 0, 9, 0, "cheap", 3, "0a", 2_000_000, 1),
-    frames.Answer(1, frames.Load(wait=20)),
+    frames.Answer(1, frames.Load(queue_wait=20)),
     frames.Reject(2, "processor_full", 300),
     frames.PeerMessage(b"\x01\x00"),
     frames.OfficeList("whole", 3, [frames.OfficeListEntry("office-1", 1, "ready", None, "127.0.0.1:1")]),
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -183,9 +183,9 @@
     values: NaN compares as neither above nor below a bound, and made the price of a full office zero."""
     if load is None:
         return None, None, None, None
-    values = (load.utilisation, load.takes_per_s, load.hold_back)
-    utilisation, takes_per_s, hold_back = (
+    values = (load.utilisation, load.accept_rate_per_s, load.load_reduction)
+    utilisation, accept_rate_per_s, load_reduction = (
         value if value is None or 0 <= value < inf else None for value in values
     )
-    wait = load.wait if load.wait is not None and 0 <= load.wait < 1 << 53 else None
-    return utilisation, wait, takes_per_s, hold_back
+    queue_wait = load.queue_wait if load.queue_wait is not None and 0 <= load.queue_wait < 1 << 53 else None
+    return utilisation, queue_wait, accept_rate_per_s, load_reduction
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -87,7 +87,7 @@
     def answered(self, facts: DialogueFacts, answer: str) -> None:
         """A dialogue got its final answer."""
 
-    def ended(self, role: str, origin: int, dialogue: int, ending: str, dial: int = -1) -> None:
+    def ended(self, side: str, origin: int, dialogue: int, ending: str, dial: int = -1) -> None:
         """An established dialogue ended, `released` or `cut`; `dial` is the origin's number of the dial in transit."""
 
     def local_dialogue_ended(self, facts: DialogueFacts, ending: str, duration: int) -> None:
@@ -360,7 +360,7 @@
             dial_number = dial.number if dial else -1
             tandem = dial.office.number if dial and dial.office.number != call.destination else -1
             facts = DialogueFacts(
-                _role(call),
+                _side(call),
                 call.origin,
                 call.origin_dialogue,
                 call.use_case,
@@ -378,8 +378,8 @@
 
     def _report_end(self, call: PendingCall, ending: str) -> None:
         if self.ledger:
-            role, dial = _role(call), call.origin_dial
-            self._notify_ledger(self.ledger.ended, role, call.origin, call.origin_dialogue, ending, dial)
+            side, dial = _side(call), call.origin_dial
+            self._notify_ledger(self.ledger.ended, side, call.origin, call.origin_dialogue, ending, dial)
 
     def carried_dialogue_ended(self, office_id: str, frame: frames.CarriedDialogue) -> None:
         """The own office reports the end of an established dialogue whose destination is this exchange."""
@@ -599,7 +599,7 @@
         dial.move_to(DialState.FREE)
         self._release_circuits(dial)
         result, cause = REJECT_OUTCOMES.get(frame.reason, (ev.DialResult.FAULT, ev.ReleaseCause.NONE))
-        self._dial_ended(dial, result, cause, max(0, frame.wait), False, frame.load, now)
+        self._dial_ended(dial, result, cause, max(0, frame.retry_after), False, frame.load, now)
 
     def dial_cut(self, office_id: str, dial_ref: int, now: int) -> None:
         """An office lost a dial of ours."""
@@ -731,12 +731,12 @@
     def _report_groups(self, now: int) -> None:
         self._group_report_timer = None
         numbers, self._unreported_groups = sorted(self._unreported_groups), set()
-        own = [
+        own_offices = [
             office for office in self.offices.values() if office.number == self.number and office.connected
         ]
         for number in numbers:
             group = self.groups[number]
-            for own_office in own:
+            for own_office in own_offices:
                 self.io.send_to_office(own_office.id, frames.GroupState(number, group.local_count))
             for office in self.offices.values():
                 if office.number == number and office.state is not ev.OfficeState.GONE:
@@ -746,14 +746,14 @@
 
     def _group_report(self, number: int, load: frames.Load | None) -> ev.OfficeReport:
         group = self.groups.get(number)
-        utilisation, wait, takes_per_s, hold_back = checked_load(load)
+        utilisation, queue_wait, accept_rate_per_s, load_reduction = checked_load(load)
         return ev.OfficeReport(
             free_circuits=group.free if group else None,
             group_size=group.size if group else None,
             utilisation=utilisation,
-            queue_wait=wait,
-            accept_rate_per_s=takes_per_s,
-            load_reduction=hold_back,
+            queue_wait=queue_wait,
+            accept_rate_per_s=accept_rate_per_s,
+            load_reduction=load_reduction,
         )
 
     def circuits_held(self, office_id: str) -> int:
@@ -820,7 +820,7 @@
                     self._group_changed(number)
         for other in self.offices.values():
             for dial in [dial for dial in other.dials.values() if dial.own_office is office]:
-                # What a failed processor was processing is lost; the far end is told to cancel.
+                # What a failed processor was processing is lost; the far end gets a Cancel.
                 self.io.send_to_office(other.id, frames.Cancel(dial.dial_ref))
                 self._reset_dial(dial, now)
         for dial in list(office.processing.values()):
@@ -986,6 +986,6 @@
     return text is None or len(text) <= MAX_TEXT_CHARS
 
 
-def _role(call: PendingCall) -> str:
-    """Role of this call server in a dialogue."""
+def _side(call: PendingCall) -> str:
+    """Side of this call server in a dialogue, as the ledger names it."""
     return "tandem" if call.own_office is not None else "origin"
--- a/wellhitch/stand_ins/office.py
+++ b/wellhitch/stand_ins/office.py
@@ -294,10 +294,10 @@
         wait = self.processor.wait(now)
         unit = self.processor.unit_us(now)
         return frames.Load(
-            wait=wait if "wait" in self.reports else None,
+            queue_wait=wait if "wait" in self.reports else None,
             utilisation=min(1.0, wait / 1_000_000) if "utilisation" in self.reports else None,
-            takes_per_s=1e6 / unit if "takes" in self.reports else None,
-            hold_back=min(1.0, wait / self.processor.queue_us) if "hold_back" in self.reports else None,
+            accept_rate_per_s=1e6 / unit if "takes" in self.reports else None,
+            load_reduction=min(1.0, wait / self.processor.queue_us) if "hold_back" in self.reports else None,
         )
 
     # -- set-ups --
--- a/wellhitch/trunk/frames.py
+++ b/wellhitch/trunk/frames.py
@@ -22,9 +22,9 @@
     second that it can accept from all senders, share of set-ups that it asks each sender to hold back."""
 
     utilisation: float | None = None
-    wait: int | None = None
-    takes_per_s: float | None = None
-    hold_back: float | None = None
+    queue_wait: int | None = None
+    accept_rate_per_s: float | None = None
+    load_reduction: float | None = None
 
 
 class Hello(Frame, frozen=True):
@@ -138,11 +138,11 @@
 
 
 class Reject(Frame, frozen=True, tag="PushBack"):
-    """The set-up was rejected. `reason` is one of REJECT_REASONS; `wait` is set by some full processors, else 0."""
+    """The set-up was rejected. `reason` is one of REJECT_REASONS; `retry_after` is set by some full processors, else 0."""
 
     dial_ref: int
     reason: str
-    wait: int = 0
+    retry_after: int = 0
     load: Load | None = None
 
 
