--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -35,7 +35,7 @@
 
 MAX_LISTED = 10  # dialogues or faults that are listed one by one; the others are only counted
 
-SHEET = click.argument("sheet", type=click.Path(path_type=Path))
+SETTINGS_FILE = click.argument("settings_file", metavar="SHEET", type=click.Path(path_type=Path))
 FORMAT = click.option("--format", "form", type=click.Choice(["table", "json", "csv"]), default="table")
 PERIOD = click.option("--period", default="", help="a month such as 2026-12; default: all time")
 
@@ -52,14 +52,14 @@
     """
 
 
-def _read(sheet: Path) -> tuple[ServerSettings, reader.LedgerContents]:
-    settings = read_server_settings(sheet)
+def _read(settings_file: Path) -> tuple[ServerSettings, reader.LedgerContents]:
+    settings = read_server_settings(settings_file)
     if settings.ledger is None:
-        raise InvalidSettings(str(sheet), ["ledger: not set, so this call server has no ledger"])
+        raise InvalidSettings(str(settings_file), ["ledger: not set, so this call server has no ledger"])
     try:
-        return settings, reader.read(sheet.parent / settings.ledger.folder)
+        return settings, reader.read(settings_file.parent / settings.ledger.folder)
     except StoreError as error:
-        raise InvalidSettings(str(sheet), [f"ledger.folder: {error}"]) from None
+        raise InvalidSettings(str(settings_file), [f"ledger.folder: {error}"]) from None
 
 
 def _format(rows: list[dict[str, Any]], form: str) -> str:
@@ -98,7 +98,7 @@
 
 
 @ledger.command()
-@SHEET
+@SETTINGS_FILE
 @PERIOD
 @FORMAT
 @click.option("--as-of", default="", help="only what was known at the end of this day")
@@ -106,12 +106,12 @@
 @click.option(
     "--disputes", is_flag=True, help="only dialogues that origin and destination reported differently"
 )
-def show(sheet: Path, period: str, form: str, as_of: str, called: str, disputes: bool) -> None:
+def show(settings_file: Path, period: str, form: str, as_of: str, called: str, disputes: bool) -> None:
     """Show the settled dialogues of this call server, the lost entries and the state of each period."""
     with exit_on_invalid_settings():
-        settings, contents = _read(sheet)
+        settings, contents = _read(settings_file)
         until = _as_of(as_of)
-        keys = read_number_keys(settings, sheet)
+        keys = read_number_keys(settings, settings_file)
         try:
             settled = contents.settled(period, until)
         except ValueError as error:
@@ -158,11 +158,11 @@
 
 
 @ledger.command()
-@SHEET
-def verify(sheet: Path) -> None:
+@SETTINGS_FILE
+def verify(settings_file: Path) -> None:
     """Read every record and verify each chain. Lists each fault; the exit code is 1 if there is one."""
     with exit_on_invalid_settings():
-        _, contents = _read(sheet)
+        _, contents = _read(settings_file)
     for fault in contents.faults:
         click.echo(fault)
     chains = {name for name, _, _ in contents.rows if name.number == contents.number}
@@ -182,17 +182,17 @@
 
 
 @ledger.command()
-@SHEET
+@SETTINGS_FILE
 @click.argument("tariff", type=click.Path(path_type=Path))
 @PERIOD
 @FORMAT
 @click.option("--as-of", default="", help="only what was known at the end of this day")
 @click.option("--out", type=click.Path(path_type=Path), help="also write an HTML page with charts")
-def rate(sheet: Path, tariff: Path, period: str, form: str, as_of: str, out: Path | None) -> None:
+def rate(settings_file: Path, tariff: Path, period: str, form: str, as_of: str, out: Path | None) -> None:
     """Rate dialogues by a TARIFF: what each tenant owes, in lines that add up to the cent. The exit code is 1 if a
     dialogue has no price."""
     with exit_on_invalid_settings():
-        _, contents = _read(sheet)
+        _, contents = _read(settings_file)
         prices = _tariff(tariff)
         try:
             settled = contents.settled(period, _as_of(as_of))
@@ -223,11 +223,11 @@
     sys.exit(1 if unrated else 0)
 
 
-def _send_command(sheet: Path, command: str) -> str:
+def _send_command(settings_file: Path, command: str) -> str:
     """Send a ledger command to the daemon at its operators' address, and return the answer. Raises InvalidSettings."""
-    settings = read_server_settings(sheet)
+    settings = read_server_settings(settings_file)
     if not settings.doors.operators:
-        raise InvalidSettings(str(sheet), ["doors.operators = '': required to reach the daemon"])
+        raise InvalidSettings(str(settings_file), ["doors.operators = '': required to reach the daemon"])
     host, port = split_address(settings.doors.operators)
     try:
         with socket.create_connection((host, port), timeout=5) as connection:
@@ -235,7 +235,7 @@
             return b"".join(iter(lambda: connection.recv(65536), b"")).decode().rstrip()
     except OSError as error:
         raise InvalidSettings(
-            str(sheet), [f"doors.operators = {settings.doors.operators!r}: {error}"]
+            str(settings_file), [f"doors.operators = {settings.doors.operators!r}: {error}"]
         ) from None
 
 
@@ -246,12 +246,12 @@
 
 
 @ledger.command()
-@SHEET
+@SETTINGS_FILE
 @click.argument("period")
-def close(sheet: Path, period: str) -> None:
+def close(settings_file: Path, period: str) -> None:
     """Close PERIOD early: the running daemon makes its statement and adds no more entries to it."""
     with exit_on_invalid_settings():
-        answer = _send_command(sheet, f"close {period}")
+        answer = _send_command(settings_file, f"close {period}")
     _print_answer(answer)
 
 
@@ -260,35 +260,35 @@
 
 
 @ledger.command()
-@SHEET
+@SETTINGS_FILE
 @click.argument("dialogue")
 @click.argument("change", type=int)
 @click.option("--who", required=True)
 @click.option("--why", required=True)
-def correct(sheet: Path, dialogue: str, change: int, who: str, why: str) -> None:
+def correct(settings_file: Path, dialogue: str, change: int, who: str, why: str) -> None:
     """Correct the billed time of a DIALOGUE (ORIGIN/NUMBER) by CHANGE microseconds; a credit is negative."""
     with exit_on_invalid_settings():
-        answer = _send_command(sheet, f"correct {dialogue} {change} {_quote(who)} {_quote(why)}")
+        answer = _send_command(settings_file, f"correct {dialogue} {change} {_quote(who)} {_quote(why)}")
     _print_answer(answer)
 
 
 @ledger.command()
-@SHEET
-def export(sheet: Path) -> None:
+@SETTINGS_FILE
+def export(settings_file: Path) -> None:
     """Show the progress of the export of the running daemon."""
-    _print_status(sheet, ("exported", "periods"))
+    _print_status(settings_file, ("exported", "periods"))
 
 
 @ledger.command()
-@SHEET
-def reconcile(sheet: Path) -> None:
+@SETTINGS_FILE
+def reconcile(settings_file: Path) -> None:
     """Show how far the running daemon is reconciled with the others, and the differences."""
-    _print_status(sheet, ("state", "level_with", "periods", "counts"))
+    _print_status(settings_file, ("state", "level_with", "periods", "counts"))
 
 
-def _print_status(sheet: Path, names: tuple[str, ...]) -> None:
+def _print_status(settings_file: Path, names: tuple[str, ...]) -> None:
     with exit_on_invalid_settings():
-        answer = _send_command(sheet, "")
+        answer = _send_command(settings_file, "")
     try:
         status = msgspec.json.decode(answer.encode())
     except msgspec.MsgspecError:
--- a/wellhitch/cli/serve.py
+++ b/wellhitch/cli/serve.py
@@ -175,10 +175,12 @@
         if "address" in context and not exit_code.done():
             exit_code.set_result(2)  # cannot listen at one of its addresses, for example one in use
 
-    doors = settings.doors
-    # Different with each start: made of the process id and the time of the loop's clock.
+    listeners = settings.doors
+    # Differs with each start: consists of the time of the loop's clock and the process id.
     boot_id = (now_us(loop) << 16 | os.getpid() & 0xFFFF) & ((1 << 62) - 1)
-    addresses = ServerAddresses(doors.callers, doors.peers, doors.operators, doors.register, doors.centre)
+    addresses = ServerAddresses(
+        listeners.callers, listeners.peers, listeners.operators, listeners.register, listeners.centre
+    )
     disk = SystemDisk(loop, file.parent / settings.ledger.folder) if settings.ledger else None
     make_settlement = (
         _settlement_factory(settings, disk, keys, time.time() - now_us(loop) / 1e6, accounting)
--- a/wellhitch/deciding/runner.py
+++ b/wellhitch/deciding/runner.py
@@ -1,8 +1,8 @@
 """Runs the decision module. Pure state machine: the time comes with each event, and timers and the log are passed in.
 
 A server feeds events. Each is passed to `decide`, and the resulting actions are executed in order before the next
-event is, even where executing them feeds further events. Timers are started here. An error in one decision costs the
-dialogue concerned its chance to be established, but not its answer.
+event is, even where executing them feeds further events. Timers are started here. An error in one decision fails no
+more than the dialogue concerned, which still gets its answer.
 """
 
 from collections import Counter, deque
--- a/wellhitch/hooks/check.py
+++ b/wellhitch/hooks/check.py
@@ -381,12 +381,12 @@
 
 def _statements(block: tree.Block) -> list[tree.Statement]:
     """All statements of a block and of all blocks within it."""
-    found: list[tree.Statement] = []
+    statements: list[tree.Statement] = []
     for statement in block.statements:
-        found.append(statement)
+        statements.append(statement)
         for inner in _inner_blocks(statement):
-            found += _statements(inner)
-    return found
+            statements += _statements(inner)
+    return statements
 
 
 def _inner_blocks(statement: tree.Statement) -> list[tree.Block]:
--- a/wellhitch/hooks/cost.py
+++ b/wellhitch/hooks/cost.py
@@ -5,18 +5,18 @@
 
 def children(node: tree.Node) -> list[tree.Node]:
     """The direct children of a node."""
-    found: list[tree.Node] = []
+    nodes: list[tree.Node] = []
     for name in node.__dataclass_fields__:
-        _collect_nodes(getattr(node, name), found)
-    return found
+        _collect_nodes(getattr(node, name), nodes)
+    return nodes
 
 
-def _collect_nodes(value: object, found: list[tree.Node]) -> None:
+def _collect_nodes(value: object, nodes: list[tree.Node]) -> None:
     if isinstance(value, tree.Node):
-        found.append(value)
+        nodes.append(value)
     elif isinstance(value, tuple):
         for item in value:
-            _collect_nodes(item, found)
+            _collect_nodes(item, nodes)
 
 
 def node_count(expr: tree.Node) -> int:
--- a/wellhitch/ledger/journal.py
+++ b/wellhitch/ledger/journal.py
@@ -67,7 +67,7 @@
     dialogue: int
     traffic_class: str
     destination: int
-    called: str | None
+    called_number: str | None
     width: int = 1
     tenant: str | None = None
     tags: tuple[str, ...] = ()
@@ -122,7 +122,7 @@
         return changes
 
     def _answer_entry(self, facts: DialogueFacts, answer: str, wall: int) -> Answered:
-        called_hash, number_key = self.keys.hashed(facts.called)
+        called_hash, number_key = self.keys.hashed(facts.called_number)
         return Answered(
             facts.side,
             facts.origin,
@@ -196,24 +196,24 @@
         """The first entries of a process: where the previous chain ended, and that the dialogues it left were cut as of
         the previous process's last heartbeat."""
         alive_at = self.identity.alive_at
-        end = self.previous_end
-        changes = self._append_row(Restarted(wall, alive_at, unsafe_us, *end), wall)
-        for left in established:
+        previous_end = self.previous_end
+        changes = self._append_row(Restarted(wall, alive_at, unsafe_us, *previous_end), wall)
+        for dialogue in established:
             # A clock set back between the two processes must not make the duration negative.
             ended = Ended(
-                left.side,
-                left.origin,
-                left.dialogue,
+                dialogue.side,
+                dialogue.origin,
+                dialogue.dialogue,
                 "restart",
                 alive_at,
-                max(0, alive_at - left.wall_us),
-                left.dial,
+                max(0, alive_at - dialogue.wall_us),
+                dialogue.dial,
             )
-            changes += self._append_row(ended, wall, left.origin)
+            changes += self._append_row(ended, wall, dialogue.origin)
             changes.append(
                 Change(
                     ESTABLISHED_BUCKET,
-                    established_key(left.side, left.origin, left.dialogue, left.dial),
+                    established_key(dialogue.side, dialogue.origin, dialogue.dialogue, dialogue.dial),
                     None,
                 )
             )
@@ -221,21 +221,21 @@
 
 
 def open_journal(
-    number: int, found: bytes | None, last: tuple[int, bytes] | None, mark: int, keys: NumberKeys
+    number: int, identity_record: bytes | None, last: tuple[int, bytes] | None, mark: int, keys: NumberKeys
 ) -> tuple[Journal, bool]:
     """The journal of an instance, from its identity record and the position of the last row of its latest chain; and
     whether the disk is new. Each process starts a new chain, named by `mark`: on an old disk the sequence numbers that
     follow may be in use already. Raises WrongDiskError if the disk belongs to another instance."""
-    if found is None:
+    if identity_record is None:
         return Journal(Identity(number, [mark]), Chain(ChainId(number, mark)), keys), True
-    identity = msgspec.msgpack.decode(found, type=Identity)
+    identity = msgspec.msgpack.decode(identity_record, type=Identity)
     if identity.number != number:
         raise WrongDiskError(f"the disk belongs to call server {identity.number}, not {number}")
-    end = (identity.marks[-1], *(last or (0, INITIAL_HASH)))
+    previous_end = (identity.marks[-1], *(last or (0, INITIAL_HASH)))
     while mark in identity.marks:  # the same mark drawn again: its rows would overwrite the old ones
         mark += 1
     identity.marks.append(mark)
-    return Journal(identity, Chain(ChainId(number, mark)), keys, end), False
+    return Journal(identity, Chain(ChainId(number, mark)), keys, previous_end), False
 
 
 def last_position(name: ChainId, row: Row | None) -> tuple[int, bytes]:
--- a/wellhitch/ledger/reader.py
+++ b/wellhitch/ledger/reader.py
@@ -26,13 +26,13 @@
 
     def evidence(self, as_of: int | None = None) -> dict[DialogueId, DialogueEvidence]:
         """Evidence about the dialogues of this origin, optionally only from before a wall time."""
-        found = (
+        evidence = (
             entry
             for _, _, entry in self.rows
             if getattr(entry, "origin", None) == self.number
             and (as_of is None or getattr(entry, "wall_us", 0) < as_of)
         )
-        return group_by_dialogue(found)
+        return group_by_dialogue(evidence)
 
     def settled(self, period: str = "", as_of: int | None = None) -> list[Settled]:
         """Settled dialogues, all or those that ended in a period, as known at a wall time."""
@@ -63,12 +63,12 @@
 
 def _read(engine: Engine, path: str) -> LedgerContents:
     try:
-        found = engine.get(IDENTITY_BUCKET, b"")
+        identity_record = engine.get(IDENTITY_BUCKET, b"")
     except DamagedRecord as damage:
         raise StoreError("damaged", f"{path}: {damage}") from None
-    if found is None:
+    if identity_record is None:
         raise StoreError("foreign", f"{path}: the store contains no ledger")
-    contents = LedgerContents(msgspec.msgpack.decode(found[1], type=Identity).number)
+    contents = LedgerContents(msgspec.msgpack.decode(identity_record[1], type=Identity).number)
     for record in engine.scan(PERIOD_BUCKET):
         if isinstance(record, DamagedRecord):
             contents.faults.append(str(record))
--- a/wellhitch/ledger/service.py
+++ b/wellhitch/ledger/service.py
@@ -87,10 +87,10 @@
 def read_store(engine: Engine) -> StoredState:
     """Read what the service needs to start. Runs on the disk's thread."""
     state = StoredState()
-    found = engine.get(IDENTITY_BUCKET, b"")
-    if found:
-        state.identity = found[1]
-        identity = msgspec.msgpack.decode(found[1], type=Identity)
+    identity_record = engine.get(IDENTITY_BUCKET, b"")
+    if identity_record:
+        state.identity = identity_record[1]
+        identity = msgspec.msgpack.decode(identity_record[1], type=Identity)
         chain = ChainId(identity.number, identity.marks[-1])
         for record in engine.scan(CHAIN_BUCKET, chain.key(), chain.key((1 << 64) - 1), reverse=True):
             if not isinstance(record, DamagedRecord):
@@ -104,9 +104,9 @@
         state.periods[period_record.period] = period_record
     open_periods = {name for name, period_record in state.periods.items() if period_record.closed is None}
     state.digests_from = min(open_periods, default=max(state.periods, default=""))
-    found = engine.get(EXPORT_BUCKET, b"")
-    if found:
-        state.export_progress = msgspec.msgpack.decode(found[1], type=export.ExportProgress)
+    export_record = engine.get(EXPORT_BUCKET, b"")
+    if export_record:
+        state.export_progress = msgspec.msgpack.decode(export_record[1], type=export.ExportProgress)
     for record in _intact_records(engine, FILE_BUCKET, state):
         state.files[int.from_bytes(record[0], "big")] = record[2]
     return state
@@ -365,12 +365,12 @@
 
     def ended(self, side: str, origin: int, dialogue: int, ending: str, dial: int = -1) -> None:
         """An established dialogue ended."""
-        end = (side, origin, dialogue, ending, self.wall(), self._now(), dial)
+        pending_end = (side, origin, dialogue, ending, self.wall(), self._now(), dial)
 
         def work() -> None:
             # An end is not dropped when the store is at capacity but waits: otherwise a crash would bill the dialogue
             # up to the last heartbeat. There are never more pending ends than dialogues.
-            self._pending_ends.append(end)
+            self._pending_ends.append(pending_end)
             self._write_pending_ends()
 
         self._run_when_open(work)
@@ -618,11 +618,11 @@
             rows = []
             for key in keys:
                 try:
-                    found = engine.get(bucket, key)
+                    record = engine.get(bucket, key)
                 except DamagedRecord:
                     continue
-                if found:
-                    rows.append((key, found[1]))
+                if record:
+                    rows.append((key, record[1]))
             return rows
 
         def done(result: Any) -> None:
@@ -897,14 +897,14 @@
         }
 
     def run_command(self, command: str) -> str:
-        """Run an operator's command and return the answer; `Daemon.ledger_asked` lists the commands. Raises
+        """Run an operator's command and return the answer; `Daemon.ledger_request` lists the commands. Raises
         ValueError."""
-        words = shlex.split(command)
-        if not words:
+        arguments = shlex.split(command)
+        if not arguments:
             return msgspec.json.format(msgspec.json.encode(self.status()), indent=2).decode()
         if self.journal is None:
             raise ValueError(self.disk_error or f"the store is not open: {self.store.condition().state}")
-        match words:
+        match arguments:
             case ["close", period]:
                 if period_end(period) <= 0 or period > self.open_period:
                     raise ValueError(f"period {period}: the open one is {self.open_period}")
@@ -914,9 +914,9 @@
                 origin, _, number = dialogue.partition("/")
                 # Bounds the numbers: one that the entry's encoding cannot hold would raise while the entry is made.
                 if not re.fullmatch("[0-9]{1,5}/[0-9]{1,18} -?[0-9]{1,15}", f"{dialogue} {change}"):
-                    arguments = f"{dialogue[:40]} {change[:40]}"
+                    shown = f"{dialogue[:40]} {change[:40]}"
                     raise ValueError(
-                        f"correct {arguments}: expected ORIGIN/DIALOGUE and whole microseconds of at most 15 digits"
+                        f"correct {shown}: expected ORIGIN/DIALOGUE and whole microseconds of at most 15 digits"
                     )
                 error = self.correct(int(origin), int(number), int(change), who, why)
                 if error:
@@ -930,7 +930,7 @@
                 )
                 return f"{name} is being made; the log reports when it is complete"
         raise ValueError(
-            f"unknown command {words[0][:20]!r}: close PERIOD, correct DIALOGUE US WHO WHY, or snapshot NAME"
+            f"unknown command {arguments[0][:20]!r}: close PERIOD, correct DIALOGUE US WHO WHY, or snapshot NAME"
         )
 
     def close(self, closed: Callable[[], None] | None = None) -> None:
--- a/wellhitch/platform/established.py
+++ b/wellhitch/platform/established.py
@@ -1,7 +1,7 @@
-"""Established calls: which office holds each, what ends it, and who is told. Pure.
+"""Established calls: which office holds each, what ends it, and whether its caller is notified. Pure.
 
 A call ends when its caller or its office releases it, when its office is gone, has restarted or refuses every
-connection, and when nothing confirms any more that the office still holds it (`liveness.py`). The caller is told
+connection, and when nothing confirms any more that the office still holds it (`liveness.py`). The caller is notified
 through `releases.py`, unless it ended the call itself.
 """
 
@@ -25,7 +25,7 @@
 REFUSED_US = 1_000_000
 # From the report that an office is gone until its calls are cut: releases that it sent before it ended arrive first.
 GONE_US = 500_000
-# Between liveness checks; short compared with the second that is left for telling callers.
+# Between liveness checks; short compared with the second that is left to notify callers.
 LIVENESS_STEP_US = 200_000
 
 
@@ -95,14 +95,14 @@
     # ---- ends ----
 
     def released_by_caller(self, call: EstablishedCall, now: int) -> None:
-        """End a call that its caller released, and tell its office."""
+        """End a call that its caller released, and notify its office."""
         self._release_at_office(call, CAUSE_NORMAL, now)
         self._end(call, DialResult.CANCELLED, OfficeReport(), now, "released by its caller")
 
     def released_by_office(
         self, call: EstablishedCall, connection: Hashable, cause: int, report: OfficeReport, now: int
     ) -> None:
-        """End a call that its office released, and tell its caller."""
+        """End a call that its office released, and notify its caller."""
         call.office.liveness.call_mentioned(call, connection, now)
         normal = cause == CAUSE_NORMAL
         self.release_to_caller(call.call_id, CAUSE_NORMAL if normal else CAUSE_CUT, call.connection, now)
@@ -121,7 +121,7 @@
             del remembered[oldest]
 
     def release_to_caller(self, call_id: str, cause: int, connection: Hashable, now: int) -> None:
-        """Tell a caller that its call has ended, preferably on `connection`."""
+        """Notify a caller that its call has ended, preferably on `connection`."""
         release = sip.request("BYE", call_id, 2, f"Reason: Q.850;cause={cause}\r\n")
         self.releases.add(call_id, release, connection, now)
 
@@ -157,7 +157,7 @@
 
     def cut_unconfirmed(self, now: int) -> None:
         """Before this process ends, cut the calls whose office may have vanished: the next process cannot know how long
-        it has been silent, and their callers can still be told."""
+        it has been silent, and their callers can still be notified."""
         for office in list(self._offices.values()):
             unconfirmed = office.liveness.unconfirmed_calls(now)
             calls = [call for call in office.calls.values() if call in unconfirmed]
--- a/wellhitch/platform/liveness.py
+++ b/wellhitch/platform/liveness.py
@@ -1,9 +1,9 @@
 """Detects whether an office still holds the calls that were established on it. Pure; times in microseconds.
 
 When a machine vanishes, its connections stay open and discovery may report it much later. Its calls have ended all the
-same, and their callers must be told within 8 s. Silence is therefore limited here, whatever its cause: an office with
-calls is tested when it has been quiet, and its calls count as lost when nothing confirms within `SILENCE_LIMIT_US` that
-it still holds them.
+same, and their callers must be notified within 8 s. Silence is therefore limited here, whatever its cause: an office
+with calls is tested when it has been quiet, and its calls count as lost when nothing confirms within
+`SILENCE_LIMIT_US` that it still holds them.
 
 Confirmations are tracked for each incarnation, that is one run of the office's process. Bytes on a connection confirm
 the incarnation to which the connection leads. A new connection is assigned to the current incarnation only if that was
@@ -14,8 +14,8 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-# The operators allow 8 s from the end of a call until its caller is told. One of them is left for telling: a release
-# that is not answered is sent four more times within it.
+# The operators allow 8 s from the end of a call until its caller is notified. The last second is for the
+# notification: a release that is not answered is sent four more times within it.
 SILENCE_LIMIT_US = 7_000_000
 # An office's ordinary traffic confirms it more often than this; a shorter time only adds tests.
 QUIET_US = 1_000_000
@@ -234,7 +234,7 @@
         )
 
     def _merge_successors(self, older: Incarnation) -> None:
-        """Merge later incarnations into one that was silent and is heard from again: they are the same process."""
+        """Merge later incarnations into one that was silent and has sent bytes again: they are the same process."""
         index = self.incarnations.index(older)
         for later in self.incarnations[index + 1 :]:
             older.connections.update(later.connections)
--- a/wellhitch/platform/releases.py
+++ b/wellhitch/platform/releases.py
@@ -10,7 +10,7 @@
 
 from wellhitch.net.transport import Timer
 
-# How long a release may wait for a connection: the platform's limit for telling a caller that its call has ended.
+# How long a release may wait for a connection: the platform's limit for notifying a caller that its call has ended.
 RETENTION_US = 8_000_000
 # How long a caller may take to answer; most answer within milliseconds. Three retries fit into the second that a
 # release may take.
--- a/wellhitch/rules.py
+++ b/wellhitch/rules.py
@@ -406,11 +406,11 @@
         dial_unanswered(exchange, dialogue.pending_dial, now - dialogue.pending_dial.sent_at)
 
 
-def dial_unanswered(exchange: Exchange, dial: Dial, waited_us: int) -> None:
+def dial_unanswered(exchange: Exchange, dial: Dial, waited: int) -> None:
     """Record a dial that ended without an answer. Waiting longer than the delay bound is a sign of load; a
     shorter wait is none, and the dial is dropped from the records."""
-    if dial.setup_delay is None and waited_us > exchange.delay_bound:
-        dial.setup_delay = waited_us
+    if dial.setup_delay is None and waited > exchange.delay_bound:
+        dial.setup_delay = waited
     elif dial.setup_delay is None:
         for dials in (exchange.recent_dials, dial.office.recent_dials):
             if dial in dials:
@@ -621,7 +621,7 @@
     """Dials that still count for the price of an office: their delay became known within the last second, or
     they have waited for less than a second past the delay bound. One second, four intervals, gives a sign of
     load even with few dials to an office; a longer time would let a few lost answers block the office, or the
-    whole exchange, until their callers give up."""
+    whole exchange, until their callers leave."""
     return [
         dial
         for dial in dials
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -161,7 +161,7 @@
         )
         if len(self.accepted_channels) >= MAX_CONNECTIONS:
             # Guards against running out of descriptors for the open connections and for those this server must open.
-            channel.refusal_reason = f"{MAX_CONNECTIONS} links stand here already"
+            channel.refusal_reason = f"{MAX_CONNECTIONS} connections are open here already"
             self.switch.counts["links_refused"] += 1
         else:
             self.accepted_channels[channel] = None
@@ -311,7 +311,7 @@
         """Run an operator's ledger request: `close PERIOD` states a period early, `correct DIALOGUE US WHO WHY` (names
         and reasons without blanks, or quoted), `snapshot NAME`; any other request returns the ledger's status."""
         if self.settlement is None:
-            return "no ledger: the sheet names none"
+            return "no ledger: the settings file names none"
         try:
             return self.settlement.run_command(request)
         except ValueError as error:
@@ -338,7 +338,7 @@
         any other request returns the status."""
         hook_runner = self.switch.hook_runner
         if hook_runner is None or self.parser is None:
-            return "no hooks: the sheet names none"
+            return "no hooks: the settings file names none"
         hooks, command, argument = hook_runner.hooks, request.split(" ")[0], request.partition(" ")[2]
         if command in ("reload", "shadow"):
             try:
@@ -352,7 +352,7 @@
                 return f"{version.digest} runs beside {hooks.version.digest} and decides nothing"
             return self._swap_hooks(hooks, version)
         if command in ("canary", "take", "drop") and hooks.shadow is None:
-            return "no shadow runs: hooks shadow begins one"
+            return "no shadow runs: `hooks shadow` starts one"
         if command == "canary":
             if not re.fullmatch("[0-9]{1,3}", argument) or int(argument) > 100:
                 return f"canary {argument[:20]!r}: a percentage from 0 to 100"
@@ -609,5 +609,5 @@
         return f"unknown request {request[:40]!r}: status, metrics, hooks or ledger\n".encode()
 
 
-REQUEST_TOO_LONG = f"a request over {MAX_REQUEST_BYTES} bytes is not taken\n".encode()
+REQUEST_TOO_LONG = f"a request over {MAX_REQUEST_BYTES} bytes is not accepted\n".encode()
 """Guards against carrying out a request that was truncated at the limit."""
--- a/wellhitch/store/engine.py
+++ b/wellhitch/store/engine.py
@@ -99,9 +99,9 @@
         self.db.set_busy_timeout(BUSY_TIMEOUT_MS)
         if exclusive:
             self.db.execute("pragma locking_mode = exclusive")
-        found, layout = self.db.pragma("application_id"), self.db.pragma("user_version")
+        application_id, layout = self.db.pragma("application_id"), self.db.pragma("user_version")
         empty = self.db.execute("select count(*) from sqlite_schema").get == 0
-        if not empty and found != APPLICATION_ID:
+        if not empty and application_id != APPLICATION_ID:
             raise StoreError("foreign", f"{self.name}: a database of another application")
         if not empty and layout != LAYOUT_VERSION:
             raise StoreError("foreign", f"{self.name}: layout {layout}; this program reads {LAYOUT_VERSION}")
@@ -152,14 +152,14 @@
     def get(self, bucket: str, key: bytes) -> tuple[int, bytes] | None:
         """Version and body of a record. Raises DamagedRecord, StoreError."""
         try:
-            found = self.db.execute(
+            data = self.db.execute(
                 "select cast(data as blob) from record, shelf "
                 "where shelf.name = ? and record.shelf = shelf.number and key = ?",
                 (bucket, key),
             ).get
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
-        return None if found is None else unpack(bucket, key, found)
+        return None if data is None else unpack(bucket, key, data)
 
     def scan(
         self, bucket: str, low: bytes = b"", high: bytes | None = None, reverse: bool = False
@@ -244,10 +244,10 @@
         in an inner page, which hides records, so that their checksums are never verified. Reads the whole file. Raises
         StoreError."""
         try:
-            found = [text for (text,) in self.db.execute("pragma quick_check(10)")]
+            faults = [text for (text,) in self.db.execute("pragma quick_check(10)")]
         except apsw.Error as error:
             raise from_sqlite_error(error, self.name) from None
-        return [] if found == ["ok"] else found
+        return [] if faults == ["ok"] else faults
 
     def snapshot(self, to: str) -> bool:
         """Copy the next STEP_PAGES into another file in the same folder. The copy is complete once this returns True
--- a/wellhitch/trunk/frames.py
+++ b/wellhitch/trunk/frames.py
@@ -138,7 +138,8 @@
 
 
 class Reject(Frame, frozen=True, tag="PushBack"):
-    """The set-up was rejected. `reason` is one of REJECT_REASONS; `retry_after` is set by some full processors, else 0."""
+    """The set-up was rejected. `reason` is one of REJECT_REASONS; `retry_after` is set by some full processors,
+    else 0."""
 
     dial_ref: int
     reason: str
