--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -31,7 +31,7 @@
         try:
             decoded += decoder.feed(chunk)
         except sip.BadSip as error:
-            return decoded + error.before, error.reason
+            return decoded + error.messages_before, error.reason
     return decoded, ""
 
 
@@ -100,7 +100,7 @@
     bad = invite(CALL_ID).replace(b"Content-Length: 14", b"Content-Length: 999999")
     with pytest.raises(sip.BadSip) as caught:
         sip.Decoder().feed(bodyless_request("ACK", CALL_ID) + bad)
-    assert [message.method for message in caught.value.before] == ["ACK"]
+    assert [message.method for message in caught.value.messages_before] == ["ACK"]
     assert caught.value.request is not None and caught.value.request.headers["call-id"] == CALL_ID
 
 
@@ -200,7 +200,7 @@
         try:
             decoded += decoder.feed(chunk)
         except lines.BadLine as error:
-            return decoded + error.before, error.reason
+            return decoded + error.lines_before, error.reason
     return decoded, ""
 
 
@@ -276,7 +276,7 @@
         try:
             decoded += decoder.feed(chunk)
         except board.BadFrame as error:
-            return decoded + error.before, str(error)
+            return decoded + error.updates_before, str(error)
     return decoded, ""
 
 
--- a/wellhitch/board/codec.py
+++ b/wellhitch/board/codec.py
@@ -40,12 +40,12 @@
 
 
 class BadFrame(Exception):
-    """Bytes that are not a valid frame. `reason` names the violated rule; `before` holds the valid updates that were
-    decoded from the same chunk."""
+    """Bytes that are not a valid frame. `reason` names the violated rule; `updates_before` holds the valid updates
+    that were decoded from the same chunk."""
 
-    def __init__(self, reason: str, before: list[Update]) -> None:
+    def __init__(self, reason: str, updates_before: list[Update]) -> None:
         super().__init__(reason)
-        self.reason, self.before = reason, before
+        self.reason, self.updates_before = reason, updates_before
 
 
 class Decoder:
@@ -74,10 +74,10 @@
         return updates
 
 
-def _entry(record: tuple[int, ...], before: list[Update]) -> DiscoveryEntry:
+def _entry(record: tuple[int, ...], updates_before: list[Update]) -> DiscoveryEntry:
     office, address, port, state, _zone, _kind, exchange, _weight, started_ms = record
     if state > REMOVED or port == 0:
-        raise BadFrame("record", before)
+        raise BadFrame("record", updates_before)
     host = ".".join(str(address >> shift & 255) for shift in (24, 16, 8, 0))
     return DiscoveryEntry(f"s-{office:08x}", f"{host}:{port}", state, exchange, started_ms)
 
--- a/wellhitch/office_lines/codec.py
+++ b/wellhitch/office_lines/codec.py
@@ -19,12 +19,12 @@
 
 
 class BadLine(Exception):
-    """Bytes that are not an office line. `reason` names the violated rule; `before` holds the valid lines that were
-    decoded from the same chunk."""
+    """Bytes that are not an office line. `reason` names the violated rule; `lines_before` holds the valid lines that
+    were decoded from the same chunk."""
 
-    def __init__(self, reason: str, before: list[Line]) -> None:
+    def __init__(self, reason: str, lines_before: list[Line]) -> None:
         super().__init__(reason)
-        self.reason, self.before = reason, before
+        self.reason, self.lines_before = reason, lines_before
 
 
 class Decoder:
--- a/wellhitch/platform/callers.py
+++ b/wellhitch/platform/callers.py
@@ -24,7 +24,7 @@
 SILENT_LIMIT_S = 2.0
 # Without a pending set-up or a call. Ordinary callers close an idle connection after four seconds.
 IDLE_LIMIT_S = 6.0
-# From a message's first byte to its last, chosen like `SILENT_LIMIT_S`; and the same while draining.
+# From a message's first byte to its last, the same limit as for silence; it is shorter while draining.
 PARTIAL_MESSAGE_S = 2.0
 PARTIAL_WHILE_DRAINING_S = 0.5
 # How long, and how much, is read from a connection that is being closed. Closing with unread bytes resets the
@@ -111,7 +111,7 @@
             self._dispatch(
                 [
                     message
-                    for message in error.before
+                    for message in error.messages_before
                     if not (isinstance(message, sip.Request) and message.method == "INVITE")
                 ]
             )
--- a/wellhitch/platform/discovery.py
+++ b/wellhitch/platform/discovery.py
@@ -194,7 +194,7 @@
         try:
             updates = watch.decoder.feed(data)
         except codec.BadFrame as error:
-            updates, limit = error.before, str(error)
+            updates, limit = error.updates_before, str(error)
         for update in updates:
             if not self._apply(update):
                 return
--- a/wellhitch/platform/offices.py
+++ b/wellhitch/platform/offices.py
@@ -83,7 +83,7 @@
         try:
             received = self.decoder.feed(pool.owner.buffer[:nbytes])
         except lines.BadLine as error:
-            self._pass_on(error.before)
+            self._pass_on(error.lines_before)
             self.abort(error.reason)
             return
         self._pass_on(received)
--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -65,7 +65,7 @@
         configuration: ev.ServerStarted,
         addresses: ServerAddresses,
         max_open: int,
-        boot: int,
+        boot_id: int,
         log: Log,
         make_switch: Callable[[ev.ServerStarted, int, ServerIO], Switch] = Switch,
         hooks: Mapping[str, str] | None = None,
@@ -74,10 +74,10 @@
         make_settlement: MakeSettlement | None = None,
     ) -> None:
         self.loop, self.network, self.addresses, self.write_log = loop, network, addresses, log
-        self.rng = random.Random(configuration.seed ^ boot)
+        self.rng = random.Random(configuration.seed ^ boot_id)
         self.switch = make_switch(configuration, max_open, self)
-        self.switch.id_epoch = boot % (1 << 30)
-        self.hello = frames.Hello("call_server", self.switch.number, boot)
+        self.switch.id_epoch = boot_id % (1 << 30)
+        self.hello = frames.Hello("call_server", self.switch.number, boot_id)
         self.caller_channels = _CallerChannels(self)
         self.peer_channels = _PeerChannels(self)
         self.control_channels = _ControlChannels(self)
--- a/wellhitch/server/dials.py
+++ b/wellhitch/server/dials.py
@@ -88,7 +88,8 @@
 @dataclass(slots=True, eq=False)
 class PendingCall:
     """An accepted dialogue: from a caller (`connection` and the id on it), or in transit (`own_office` and the
-    reference on its connection)."""
+    reference on its connection). `use_case` (the traffic class) and `called` have the names of the Call frame, because
+    the inputs of hooks are read from either."""
 
     id: int
     use_case: str
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -776,7 +776,7 @@
 
     # ---- connections and the office list ----
 
-    def office_connected(self, office_id: str, number: int, boot: int, now: int) -> str:
+    def office_connected(self, office_id: str, number: int, boot_id: int, now: int) -> str:
         """The connection to an office is up. Returns why it must be closed, or an empty string. Guards against an
         address that now belongs to another office: dialogues would go to the wrong exchange, which would forward them
         as if they were in transit."""
@@ -788,7 +788,7 @@
             return f"office {number}, not {office.number} as listed"
         office.connected, office.boot_id, office.counts_differ_since, office.recent_refs = (
             True,
-            boot,
+            boot_id,
             None,
             RecentIds(),
         )
--- a/wellhitch/sip/codec.py
+++ b/wellhitch/sip/codec.py
@@ -44,13 +44,13 @@
 class BadSip(Exception):
     """Bytes that are not a valid message.
 
-    `reason` names the violated rule or limit. `before` holds the valid messages that were decoded from the same chunk.
-    `request` is the invalid request as far as it could be read, so that it can be answered.
+    `reason` names the violated rule or limit. `messages_before` holds the valid messages that were decoded from the same
+    chunk. `request` is the invalid request as far as it could be read, so that it can be answered.
     """
 
-    def __init__(self, reason: str, before: list[Message], request: Request | None = None) -> None:
+    def __init__(self, reason: str, messages_before: list[Message], request: Request | None = None) -> None:
         super().__init__(reason)
-        self.reason, self.before, self.request = reason, before, request
+        self.reason, self.messages_before, self.request = reason, messages_before, request
 
 
 class _InvalidMessage(Exception):
--- a/wellhitch/trunk/circuits.py
+++ b/wellhitch/trunk/circuits.py
@@ -40,12 +40,12 @@
 
 
 def track_disagreement(
-    local: int, remote: int, since: int | None, now: int, allowed_us: int
+    local: int, remote: int, since: int | None, now: int, allowed: int
 ) -> tuple[int | None, bool]:
-    """Track whether the two ends' counts on one connection differ for longer than `allowed_us`; frames in flight
+    """Track whether the two ends' counts on one connection differ for longer than `allowed`; frames in flight
     explain shorter differences. Takes the time since when they differ, or None; returns it updated, and whether the
     disagreement must be reported."""
     if local == remote:
         return None, False
     since = now if since is None else since
-    return since, now - since > allowed_us
+    return since, now - since > allowed
--- a/wellhitch/trunk/connection.py
+++ b/wellhitch/trunk/connection.py
@@ -7,7 +7,7 @@
 
 from wellhitch.trunk import codec, frames
 
-# One small frame a second on each connection costs next to nothing, and three missed ones are no coincidence.
+# One small frame a second costs a connection next to nothing, and three in a row are not missed by chance.
 HEARTBEAT_INTERVAL_US = 1_000_000
 SILENCE_TIMEOUT_US = 3_500_000  # three heartbeats, and half of one more for a busy event loop
 
@@ -105,13 +105,13 @@
                 return f"{name} before Hello", True
             if frame.role not in self.accepted_roles:
                 return (
-                    f"role {frame.role[:40]!r} is not taken here, but {' or '.join(self.accepted_roles)}",
+                    f"role {frame.role[:40]!r} is not accepted here, but {' or '.join(self.accepted_roles)}",
                     True,
                 )
         elif isinstance(frame, frames.Hello):
             return "a second Hello", True
         elif not isinstance(frame, self._allowed):
-            return f"{name} is not for a {self.peer.role if self.peer else '?'} to say here", True
+            return f"role {self.peer.role if self.peer else '?'} may not send {name} here", True
         return "", False
 
     def timed_out(self, now: int) -> bool:
