--- a/wellhitch/sip/codec.py
+++ b/wellhitch/sip/codec.py
@@ -44,8 +44,8 @@
 class BadSip(Exception):
     """Bytes that are not a valid message.
 
-    `reason` names the violated rule or limit. `messages_before` holds the valid messages that were decoded from the same
-    chunk. `request` is the invalid request as far as it could be read, so that it can be answered.
+    `reason` names the violated rule or limit. `messages_before` holds the valid messages that were decoded from the
+    same chunk. `request` is the invalid request as far as it could be read, so that it can be answered.
     """
 
     def __init__(self, reason: str, messages_before: list[Message], request: Request | None = None) -> None:
