--- a/wellhitch/ledger/__init__.py
+++ b/wellhitch/ledger/__init__.py
@@ -2,7 +2,7 @@
 
 entries.py     what happened to a dialogue as one call server saw it; called numbers only as keyed hashes
 chain.py       the entries of one instance as a hash chain
-journal.py     makes entries of the server's events; restarts, gaps, clocks set back
+journal.py     makes entries from the server's events; restarts, gaps, clocks set back
 settle.py      one duration per dialogue from what all ends saw, in any order
 periods.py     open, closing, closed: agreed by a majority of the instances
 closing.py     settles the rows known up to a closed period
--- a/wellhitch/server/hook_runner.py
+++ b/wellhitch/server/hook_runner.py
@@ -1,4 +1,5 @@
-"""Runs the hooks of a call server: provides the facts for each hook point and returns results as facts of the event.
+"""Runs the hooks of a call server: provides the inputs of each hook point and returns the results, some of which become
+fields of the event that the decision module gets.
 
 No hook can affect a route, a dial or a timeout directly.
 """
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class HookRunner:
-    """The hooks of one call server and the facts that they get."""
+    """The hooks of one call server and the inputs that they get."""
 
     hooks: Hooks
     exchange: Exchange
@@ -59,16 +60,16 @@
         }
         return Record(fields, 1)
 
-    def _call_facts(self, call: frames.Call | PendingCall, redialled: bool, left: int) -> Record:
+    def _call_facts(self, call: frames.Call | PendingCall, is_redial: bool, time_left: int) -> Record:
         fields: dict[str, Value] = {
             "use_case": call.use_case,
             "destination": call.destination,
             "called": call.called,
             "width": call.width,
-            "redialled": redialled,
+            "redialled": is_redial,
             "transit": False,
             "tenant": call.tenant,
-            "left": Duration(left),
+            "left": Duration(time_left),
         }
         return Record(fields, 1)
 
@@ -94,12 +95,12 @@
         }
         return self.hooks.consult("arrive", facts, call.tenant or call.use_case, now, call.called)
 
-    def call_answered(self, call: PendingCall, answer: str, left: int, now: int) -> tuple[str, ...]:
+    def call_answered(self, call: PendingCall, answer: str, time_left: int, now: int) -> tuple[str, ...]:
         """Run `on answer` for a dialogue that got its final answer; returns its tags."""
         if not self.hooks.has_hooks("answer"):
             return call.tags
         facts = {
-            "call": self._call_facts(call, False, left),
+            "call": self._call_facts(call, False, time_left),
             "clock": self._clock_facts(now),
             "place": self._place_facts,
             "answer": answer,
--- a/wellhitch/trunk/connection.py
+++ b/wellhitch/trunk/connection.py
@@ -111,7 +111,7 @@
         elif isinstance(frame, frames.Hello):
             return "a second Hello", True
         elif not isinstance(frame, self._allowed):
-            return f"role {self.peer.role if self.peer else '?'} may not send {name} here", True
+            return f"{name} may not be sent by role {self.peer.role if self.peer else '?'} here", True
         return "", False
 
     def timed_out(self, now: int) -> bool:
