--- a/wellhitch/platform/core.py
+++ b/wellhitch/platform/core.py
@@ -51,7 +51,7 @@
 
 
 class Core:
-    """One exchange's call server on the platform."""
+    """One exchange's call server on the platform: the state machine that `service.Service` connects to the network."""
 
     def __init__(
         self, configuration: ev.ServerStarted, max_open: int, loop_epoch_us: int, io: ServerIO
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -1,8 +1,7 @@
 """The call server as a pure state machine: takes frames and timer events, sends frames and starts timers by `ServerIO`.
 
-It feeds events to the decision module (`wellhitch.rules`) one at a time and carries out the actions that the
-module returns. It adds guards against conditions that the decision module cannot see, each described where it is
-implemented: a set-up that is still queued here when its office starts draining is withdrawn; a second final answer is
+It feeds events to the decision module (`wellhitch.rules`) one at a time and carries out the actions that it
+returns. It adds guards against conditions that the decision module cannot see, each described where it is implemented: a set-up that is still queued here when its office starts draining is withdrawn; a second final answer is
 never sent; an exception in the decision module fails one dialogue, which still gets its answer.
 """
 
@@ -95,7 +94,7 @@
 
 
 class Switch:
-    """One exchange's call server."""
+    """One exchange's call server: the state machine that `daemon.Daemon` connects to the network."""
 
     def __init__(self, configuration: ev.ServerStarted, max_open: int, io: ServerIO) -> None:
         self.configuration, self.max_open, self.io = configuration, max_open, io
