--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -1,8 +1,9 @@
 """The call server as a pure state machine: takes frames and timer events, sends frames and starts timers by `ServerIO`.
 
-It feeds events to the decision module (`wellhitch.rules`) one at a time and carries out the actions that it
-returns. It adds guards against conditions that the decision module cannot see, each described where it is implemented: a set-up that is still queued here when its office starts draining is withdrawn; a second final answer is
-never sent; an exception in the decision module fails one dialogue, which still gets its answer.
+It feeds events to the decision module (`wellhitch.rules`) one at a time and carries out the actions that it returns. It
+adds guards against conditions that the decision module cannot see, each described where it is implemented: a set-up
+that is still queued here when its office starts draining is withdrawn; a second final answer is never sent; an
+exception in the decision module fails one dialogue, which still gets its answer.
 """
 
 from collections import Counter
