--- a/days/bad.jsonnet
+++ b/days/bad.jsonnet
@@ -1,5 +1,5 @@
-// The bad day: six exchanges in two zones, and one thing after another goes wrong. `make day` plays it with each
-// call server in a process of its own.
+// The bad day: six exchanges in two zones, and a series of faults (`troubles`). `make day` plays it with each call
+// server in a process of its own.
 local lib = import 'fleet.libsonnet';
 
 lib.fleet(6, ['recife', 'fortaleza'], '12ms', 12, 26) + lib.chat + {
--- a/days/fleet.libsonnet
+++ b/days/fleet.libsonnet
@@ -1,4 +1,4 @@
-// A fleet of exchanges from a few figures: every pair linked, calls spread evenly.
+// A fleet of exchanges from a few parameters: a trunk group between every pair, calls spread evenly.
 {
   fleet(n, zones, setup, calls_per_s, group):: {
     exchanges: [
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# What `run` and `sim` need, inside the repository's folder: two bounded packages, and everything compiled, since the
-# file system is read-only when they run.
+# Installs what `run` and `sim` need inside the repository's folder: two packages within version bounds, and everything
+# compiled, since the file system is read-only when they run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 WANTED=('click>=8.1,<9' 'msgspec>=0.18.6,<1')
--- a/deploy/fleet/exchange.libsonnet
+++ b/deploy/fleet/exchange.libsonnet
@@ -1,11 +1,11 @@
-// One shared template for a fleet's call servers: `(import 'exchange.libsonnet')(3)` has the settings for exchange 3.
-// Change figures here once; what one exchange has of its own is added with `+ { ... }` in its own file.
-local base = 7000;  // ports from here on, ten an exchange
+// The shared template for a fleet's call servers: `(import 'exchange.libsonnet')(3)` returns the settings of exchange 3.
+// Change values for all exchanges here; add those of one exchange with `+ { ... }` in its own file.
+local base = 7000;  // first port; each exchange has ten
 
 function(number) {
   number: number,
   seed: 1000 + number,  // any number; it differs between call servers
-  peers: 25,  // the other call servers
+  peers: 25,  // number of other call servers
   use_cases: [
     { name: 'balance-check', payoff: 1, agreed_time: '1500ms', outer_limit: '9s', late_share: 0.25, hold: '12s' },
     { name: 'card-lock', payoff: 6, agreed_time: '1200ms', outer_limit: '6s', late_share: 0.25, hold: '9s' },
