--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,8 +7,8 @@
 import pytest
 from world import RULES, USE_CASES, day, played, rules, trouble
 
-from wellhitch.lab.fleet import InProcess
-from wellhitch.lab.play import Played
+from wellhitch.lab.fleet import InProcessFleet
+from wellhitch.lab.play import DayResult
 from wellhitch.settings.day import FAULT_KINDS, Day
 from wellhitch.stand_ins.town import Town
 from wellhitch.stand_ins.troubles import TABLE
@@ -16,7 +16,7 @@
 from wellhitch.trunk.capture import Note
 
 
-def frames_of(done: Played, kind: type, party: str, way: str) -> list[Any]:
+def frames_of(done: DayResult, kind: type, party: str, way: str) -> list[Any]:
     """Frames of one kind that a party saw."""
     return [
         line
@@ -27,7 +27,7 @@
     ]
 
 
-def notes_of(done: Played, what: str, party: str) -> list[Note]:
+def notes_of(done: DayResult, what: str, party: str) -> list[Note]:
     """Notes of one kind."""
     found = [
         line for one in done.captures if one.party == party for line in one.records if isinstance(line, Note)
@@ -35,54 +35,54 @@
     return [note for note in found if note.kind == what]
 
 
-def served(done: Played) -> float:
+def served(done: DayResult) -> float:
     return done.service.whole
 
 
-def slowest(done: Played) -> int:
+def slowest(done: DayResult) -> int:
     times = sorted(done.service.set_up_us)
     return times[int(len(times) * 0.9)]
 
 
-def cut(done: Played) -> int:
+def cut(done: DayResult) -> int:
     return sum(one.cut for one in done.service.by_use_case.values())
 
 
-def count(name: str) -> Callable[[Played], int]:
+def count(name: str) -> Callable[[DayResult], int]:
     """A count of the offices."""
     return lambda done: sum(office.get(name, 0) for office in done.offices.values())
 
 
-def tell(name: str) -> Callable[[Played], int]:
+def tell(name: str) -> Callable[[DayResult], int]:
     """A count that the call servers tell of themselves."""
     return lambda done: sum(status.get("counts", {}).get(name, 0) for status in done.servers.values())
 
 
-def asked(done: Played) -> int:
+def asked(done: DayResult) -> int:
     return sum(one.asked for one in done.service.by_use_case.values())
 
 
-def most_of_one(done: Played) -> int:
+def most_of_one(done: DayResult) -> int:
     return max(status.get("counts", {}).get("taken", 0) for status in done.servers.values())
 
 
-def short_tries(done: Played) -> int:
+def short_tries(done: DayResult) -> int:
     return sum(line.frame.left < 2_000_000 for line in frames_of(done, frames.Call, "callers", "out"))
 
 
-def fresh_offices(done: Played) -> int:
+def fresh_offices(done: DayResult) -> int:
     return sum("." in name for name in done.offices)
 
 
-def told_twice(done: Played) -> int:
+def told_twice(done: DayResult) -> int:
     return len(frames_of(done, frames.Answer, "office", "out")) - count("answered")(done)
 
 
-def old_lists(done: Played) -> int:
+def old_lists(done: DayResult) -> int:
     return tell("lists_skipped")(done)
 
 
-def oldest_load(done: Played) -> int:
+def oldest_load(done: DayResult) -> int:
     """How often a load of no wait is told though the processor is pressed: the report is old."""
     loads = [
         line.frame.load.wait for line in frames_of(done, frames.Answer, "office", "out") if line.frame.load
@@ -93,15 +93,15 @@
 TOLD = {"limits": {"may_tell_peers": True}}
 
 
-def words_missed(done: Played) -> int:
+def words_missed(done: DayResult) -> int:
     return -tell("event.PeerSaid")(done)
 
 
-def downs(done: Played) -> int:
+def downs(done: DayResult) -> int:
     return len(notes_of(done, "down", "office"))
 
 
-def longest_pause(done: Played) -> int:
+def longest_pause(done: DayResult) -> int:
     """The longest time between two answers to one exchange's callers."""
     out = 0
     for one in done.captures:
@@ -113,7 +113,7 @@
     return out
 
 
-def latest_answer(done: Played) -> int:
+def latest_answer(done: DayResult) -> int:
     """How much of its time the answer that came last within it had left, less than nothing."""
     asked, out = dict[tuple[str, int], tuple[int, int]](), -(1 << 40)
     for one in done.captures:
@@ -129,7 +129,7 @@
     return out
 
 
-MORE: dict[str, tuple[dict[str, Any], Callable[[Played], float], dict[str, Any]]] = {
+MORE: dict[str, tuple[dict[str, Any], Callable[[DayResult], float], dict[str, Any]]] = {
     "slow": ({"size": 8, "on": [1]}, slowest, {}),
     "hang": ({"on": [1]}, lambda done: -served(done), {}),
     "answer_lost": ({"size": 0.4}, count("answers_lost"), {}),
@@ -188,13 +188,13 @@
     ill = played(day(**over, troubles=[*always, trouble(kind, **line)]))
     assert quiet.verdict.breaks == [] and ill.verdict.breaks == []
     assert bite(ill) > bite(quiet), f"{bite(ill)} with {kind}, {bite(quiet)} without"
-    assert not ill.left_open and not ill.lost_circuits
+    assert not ill.left_open and not ill.leaked_circuits
 
 
 # ---- one seed, one history ----
 
 
-def digest(done: Played) -> str:
+def digest(done: DayResult) -> str:
     return hashlib.sha256(repr([(one.name, one.records) for one in done.captures]).encode()).hexdigest()
 
 
@@ -239,7 +239,7 @@
     killed = [trouble("server_killed", length="2s", on=[2])]
     done = played(day(groups=groups, limits=told, rate=12, troubles=killed))
     assert done.verdict.breaks == [] and done.verdict.seen["transits"] > 50
-    assert cut(done) > 5 and not done.lost_circuits and not done.left_open
+    assert cut(done) > 5 and not done.leaked_circuits and not done.left_open
 
 
 def test_a_restarted_call_server_names_no_dialogue_as_the_one_before_did() -> None:
@@ -254,7 +254,7 @@
 
 def test_a_link_flaps_faster_than_the_release_wait() -> None:
     done = played(day(rate=15, troubles=[trouble("link_cut", size=30, extra=0.12, on=[1])]))
-    assert done.verdict.breaks == [] and not done.lost_circuits
+    assert done.verdict.breaks == [] and not done.leaked_circuits
     assert downs(done) >= 40
 
 
@@ -279,7 +279,7 @@
 
 def test_call_servers_with_clocks_an_hour_apart() -> None:
     made = mixed()
-    apart = played(made, clocks={0: 3600.0, 1: 0.0, 2: -0.5 + 7200.0})
+    apart = played(made, clock_offsets_s={0: 3600.0, 1: 0.0, 2: -0.5 + 7200.0})
     assert apart.verdict.breaks == []
     assert abs(served(apart) - served(played(made))) < 0.05
 
@@ -313,7 +313,7 @@
 def test_settings_that_are_legal_but_extreme(over: dict[str, Any]) -> None:
     lost = [trouble("answer_lost", size=0.5)] if over.get("n", 3) > 1 else []
     done = played(day(**{"troubles": lost, "length": "6s", **over}) if over.get("n") != 1 else alone())
-    assert done.verdict.breaks == [] and not done.left_open and not done.lost_circuits
+    assert done.verdict.breaks == [] and not done.left_open and not done.leaked_circuits
     assert all(not status["counts"].get("decision_faults") for status in done.servers.values())
 
 
@@ -341,7 +341,7 @@
 def test_what_the_operators_see_is_there() -> None:
     seen: dict[str, Any] = {}
 
-    def look(town: Town, fleet: InProcess) -> None:
+    def look(town: Town, fleet: InProcessFleet) -> None:
         town.loop.call_later(6, lambda: seen.update(fleet.daemons[0].status()))
 
     played(day(), meddle=look)
@@ -384,4 +384,4 @@
     groups = [{"ends": [0, 2], "size": 40}, {"ends": [1, 2], "size": 40}]
     for over in ({}, {"groups": groups, "limits": {"may_tell_peers": True}}):
         done = played(day(rate=15, setup="1ms", troubles=troubles, **over))
-        assert done.verdict.breaks == [] and not done.left_open and not done.lost_circuits
+        assert done.verdict.breaks == [] and not done.left_open and not done.leaked_circuits
--- a/tests/test_doors.py
+++ b/tests/test_doors.py
@@ -13,7 +13,7 @@
 from wellhitch.emulator.disk import EmulatedDisk
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
-from wellhitch.lab.fleet import HostAddresses, sheet_of
+from wellhitch.lab.fleet import HostAddresses, server_settings
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.service import SettlementService
 from wellhitch.server.daemon import Daemon, ServerAddresses
@@ -53,7 +53,7 @@
         self.loop.set_exception_handler(lambda loop, context: self.faults.append(str(context)))
         self.net = EmulatedNetwork(self.loop, 1)
         self.said: list[str] = []
-        facts = start_event(sheet_of(day(**over), 0, HostAddresses()))
+        facts = start_event(server_settings(day(**over), 0, HostAddresses()))
         doors = ServerAddresses("s:1", "s:2", "s:3", "register:1", "")
         hooks = {"a": "on arrive { return none }"}
         self.daemon = Daemon(
--- a/tests/test_hooks_service.py
+++ b/tests/test_hooks_service.py
@@ -24,8 +24,8 @@
 from wellhitch.hooks.state_file import decode_state, encode_state
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.hooks.values import Duration, ListValue, Record
-from wellhitch.lab.fleet import InProcess
-from wellhitch.lab.play import Played
+from wellhitch.lab.fleet import InProcessFleet
+from wellhitch.lab.play import DayResult
 from wellhitch.stand_ins.town import Town
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Note
@@ -214,7 +214,7 @@
 }
 
 
-def day_with_faults(texts: dict[str, str]) -> Played:
+def day_with_faults(texts: dict[str, str]) -> DayResult:
     troubles = [
         trouble("crash", at="2s", length="1s", on=[1]),
         trouble("deploy", at="3s", on=[2], size=0.34, extra=2),
@@ -226,7 +226,7 @@
 def test_a_day_with_faults_and_broken_hooks() -> None:
     plain, broken = day_with_faults({}), day_with_faults(BROKEN)
     assert rules(plain) == rules(broken) == []
-    assert not broken.left_open and not broken.lost_circuits
+    assert not broken.left_open and not broken.leaked_circuits
     counts = broken.servers[0]["counts"]
     kinds = [name for name in counts if name.startswith("hooks_failed.")]
     assert {"hooks_failed.steps", "hooks_failed.memory", "hooks_failed.wrong", "hooks_failed.answer"} <= set(
@@ -293,7 +293,7 @@
     sheet_hooks = dict(texts)
     replies: list[str] = []
 
-    def operate(town: Town, fleet: InProcess) -> None:
+    def operate(town: Town, fleet: InProcessFleet) -> None:
         def request(command: str, text: str | None = None) -> None:
             if text:
                 sheet_hooks["a"] = text
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -389,8 +389,8 @@
 
 def test_no_interleaving_closes_a_period_in_two_ways() -> None:
     found = explore(Bounds(2, 1, 1), 50_000)
-    assert found.whole and not found.broken and found.states > 4_000
-    assert not explore(Bounds(3, 1, 0, 2), 12_000).broken
+    assert found.complete and not found.violation and found.states > 4_000
+    assert not explore(Bounds(3, 1, 0, 2), 12_000).violation
 
 
 def test_the_search_detects_an_agreement_without_a_majority_or_without_earlier_content() -> None:
@@ -399,7 +399,7 @@
         def majority(self) -> int:
             return 1
 
-    assert explore(Bounds(2, 1, 0), 50_000, NeedsNoMajority).broken == "a period closed in two ways"
+    assert explore(Bounds(2, 1, 0), 50_000, NeedsNoMajority).violation == "a period closed in two ways"
 
     class IgnoresEarlierContent(Agreement):
         """Proposes its own content, even if another may have been chosen already."""
@@ -408,7 +408,7 @@
             message = msgspec.structs.replace(message, accepted=None, content=())
             return super()._promised(sender, message)
 
-    assert explore(Bounds(2, 1, 0), 400_000, IgnoresEarlierContent).broken == "a period closed in two ways"
+    assert explore(Bounds(2, 1, 0), 400_000, IgnoresEarlierContent).violation == "a period closed in two ways"
 
 
 # ---- reconciling ----
--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -63,14 +63,14 @@
 ALL_ILLS = Ills(loses_answer=0.3, answers_twice=0.3, wrong_file=0.3, takes_half=0.3)
 
 
-def play_day(faults: Ills, troubles: list[dict[str, Any]], **more: Any) -> ledger_day.Books:
+def play_day(faults: Ills, troubles: list[dict[str, Any]], **more: Any) -> ledger_day.LedgerDayResult:
     made = day(ledger=True, callers=TENANTS, length="8s", rate=6.0, troubles=troubles)
     return ledger_day.play(made, faults, **more)
 
 
-def assert_all_booked(found: ledger_day.Books, killed_us: int = 0) -> None:
+def assert_all_booked(found: ledger_day.LedgerDayResult, killed_us: int = 0) -> None:
     assert not found.verdict.breaks and not found.wrong
-    assert ledger_day.differences(found, killed_us) == [] and len(found.booked) > 80
+    assert ledger_day.find_discrepancies(found, killed_us) == [] and len(found.booked) > 80
     assert set(found.exported.values()) == {"2027-01"}
     # A second line for a dialogue is a correction; the sum of both is not negative.
     assert all(one.billed >= 0 for one in found.booked.values())
@@ -95,14 +95,16 @@
     killed = [trouble("server_killed", "3s", "1s", on=[0, 1, 2])]
     found = play_day(ALL_ILLS, killed, power_cuts=lambda number: True)
     assert not found.verdict.breaks and not found.wrong
-    lost = [one for one in ledger_day.differences(found, SECOND) if "is not booked" not in one]
+    lost = [one for one in ledger_day.find_discrepancies(found, SECOND) if "is not booked" not in one]
     assert lost == []
     # Dialogues established within the linger time before the cut may be missing: 18 a second, 20 ms.
-    assert len(found.booked) >= len(found.stood) - 4
+    assert len(found.booked) >= len(found.established) - 4
 
 
 def test_clocks_minutes_apart_and_cut_connections_close_the_same_period() -> None:
-    found = play_day(Ills(), [trouble("link_cut", "3s", "1s")], clocks={1: 240.0, 2: 30.0}, after_s=400.0)
+    found = play_day(
+        Ills(), [trouble("link_cut", "3s", "1s")], clock_offsets_s={1: 240.0, 2: 30.0}, after_s=400.0
+    )
     assert_all_booked(found)
 
 
@@ -128,7 +130,7 @@
         found.booked[other].tenant, "", found.booked[other].billed + SECOND, 1
     )
     found.booked[third] = ledger_day.Booked("nobody", "", found.booked[third].billed, 1)
-    assert len(ledger_day.differences(found)) == 4
+    assert len(ledger_day.find_discrepancies(found)) == 4
 
 
 # ---- the settlement service ----
@@ -237,7 +239,7 @@
         restarted_disk = disk.after_power_cut(at, (at % 5) / 4)
         bench = ServiceBench(restarted_disk)
         bench.loop.advance(0.5)
-        assert ledger_day.verified(restarted_disk) == []
+        assert ledger_day.verify_disk(restarted_disk) == []
         entries = bench.entries()
         # Every established dialogue has ended, at the latest by the restart, and none has ended twice.
         ends = Counter(entry.dialogue for entry in entries if isinstance(entry, Ended))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,7 +8,7 @@
 
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
-from wellhitch.lab.fleet import HostAddresses, sheet_of
+from wellhitch.lab.fleet import HostAddresses, server_settings
 from wellhitch.server.daemon import MAX_CONNECTIONS, Daemon, ServerAddresses
 from wellhitch.settings.server import start_event
 from wellhitch.trunk import frames
@@ -184,7 +184,7 @@
     daemon = Daemon(
         loop,
         net.at("s"),
-        start_event(sheet_of(day(), 0, HostAddresses())),
+        start_event(server_settings(day(), 0, HostAddresses())),
         doors,
         10,
         1,
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from wellhitch.lab.loopback import own_address
+from wellhitch.lab.loopback import allocate_loopback_address
 from wellhitch.net.transport import split_address
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.settings.checked import InvalidSettings
@@ -172,7 +172,7 @@
 
     def __init__(self, folder: Path, max_files: int = 256) -> None:
         self.discovery = socket.create_server(("127.0.0.1", 0))
-        listen = own_address()
+        listen = allocate_loopback_address()
         self.address = split_address(listen)
         self.configuration_file = configuration_file(
             listen=listen,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from world import RULES, USE_CASES, day, played
 
 from wellhitch.cli.main import main
-from wellhitch.lab.fleet import HostAddresses, sheet_of
+from wellhitch.lab.fleet import HostAddresses, server_settings
 from wellhitch.lab.from_bench import convert
 from wellhitch.settings import checked, server
 from wellhitch.settings.checked import InvalidSettings
@@ -129,7 +129,7 @@
 
 
 def test_a_day_makes_the_sheets_of_its_call_servers() -> None:
-    made = sheet_of(day(), 1, HostAddresses())
+    made = server_settings(day(), 1, HostAddresses())
     assert made.doors.callers == "server-1:2" and made.peers == 2
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -16,7 +16,7 @@
 from world import USE_CASES, day, played, trouble
 
 from wellhitch.hooks.state_file import decode_state
-from wellhitch.lab.fleet import LoopbackAddresses, sheet_of
+from wellhitch.lab.fleet import LoopbackAddresses, server_settings
 from wellhitch.lab.play import play_sockets
 from wellhitch.settings.server import LedgerSettings
 
@@ -32,7 +32,7 @@
     made = small(troubles=[trouble("answer_lost", at="1s", length="1s", size=0.3)])
     real, virtual = play_sockets(made, tmp_path, processes=False), played(made)
     assert real.verdict.breaks == [] and virtual.verdict.breaks == []
-    assert not real.left_open and not real.lost_circuits
+    assert not real.left_open and not real.leaked_circuits
     # The callers' draws are the same, so the same dialogues are asked for, up to those at the very end.
     asked = [sum(one.asked for one in done.service.by_use_case.values()) for done in (real, virtual)]
     assert abs(asked[0] - asked[1]) <= max(asked) // 2
@@ -56,7 +56,7 @@
     """A call server alone in a process, with nobody to follow."""
     addresses = LoopbackAddresses()
     sheet = tmp_path / "x.jsonnet"
-    sheet.write_bytes(msgspec.json.encode(sheet_of(small(), 0, addresses)))
+    sheet.write_bytes(msgspec.json.encode(server_settings(small(), 0, addresses)))
     log = tmp_path / "log"
     with log.open("wb") as out:
         process = subprocess.Popen([sys.executable, "-m", "wellhitch", "serve", str(sheet)], stderr=out)
@@ -145,7 +145,7 @@
 def test_damaged_hook_state_is_dropped_with_a_word_and_written_anew_at_the_end(tmp_path: Path) -> None:
     addresses = LoopbackAddresses()
     texts = {"a": 'on tick { remember("ticks", recall("ticks", 0) + 1, 1h) }'}
-    made = msgspec.structs.replace(sheet_of(small(hooks=texts), 0, addresses), hooks_state="kept")
+    made = msgspec.structs.replace(server_settings(small(hooks=texts), 0, addresses), hooks_state="kept")
     (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(made))
     (tmp_path / "kept").write_bytes(b"\x00garbage")
     log = tmp_path / "log"
@@ -168,7 +168,7 @@
 def test_a_call_server_with_a_ledger_stops_when_told_to_and_loses_nothing(tmp_path: Path) -> None:
     """The one word that all is on disk was said to nobody: each stop took 10 s and ended in a traceback."""
     addresses = LoopbackAddresses()
-    made = sheet_of(small(), 0, addresses)
+    made = server_settings(small(), 0, addresses)
     made = msgspec.structs.replace(made, ledger=LedgerSettings("kept", [0]))
     (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(made))
     log = tmp_path / "log"
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -12,8 +12,8 @@
 from wellhitch.deciding import runner as runner_module
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
-from wellhitch.lab.fleet import InProcess
-from wellhitch.lab.play import Played
+from wellhitch.lab.fleet import InProcessFleet
+from wellhitch.lab.play import DayResult
 from wellhitch.server.dials import DialState, PendingDial
 from wellhitch.server.switch import Switch
 from wellhitch.settings.day import Day, FaultSettings
@@ -53,7 +53,7 @@
             more = {"hooks": {"a": "on arrive { return {favour: 1 / length([])} }"}}
         self.made: Day = day(rate=12, length="3s", tail="12s", **needs, **more, **over)
         self.town: Town
-        self.fleet: InProcess
+        self.fleet: InProcessFleet
         self.done = False
         self.raises = False
         self.left: list[str] = []
@@ -155,7 +155,7 @@
 
     # -- the day --
 
-    def meddle(self, town: Town, fleet: InProcess) -> None:
+    def meddle(self, town: Town, fleet: InProcessFleet) -> None:
         self.town, self.fleet = town, fleet
         status = fleet.status
 
@@ -196,7 +196,7 @@
                 ):
                     yield name
 
-    def play(self) -> Played:
+    def play(self) -> DayResult:
         real = runner_module.decide
 
         def decide(x: Any, event: Any, now: int) -> Any:
@@ -330,7 +330,7 @@
     done = struck.play()
     assert struck.done, "the stage was never reached"
     assert done.verdict.breaks == [] and done.verdict.seen["dialogues"] > 30
-    assert struck.left == [] and not done.left_open and not done.lost_circuits
+    assert struck.left == [] and not done.left_open and not done.leaked_circuits
 
 
 class NeverFrees(Switch):
--- a/tests/world.py
+++ b/tests/world.py
@@ -7,7 +7,7 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.lab import play
-from wellhitch.lab.fleet import HostAddresses, InProcess, zone_delay
+from wellhitch.lab.fleet import HostAddresses, InProcessFleet, zone_delay
 from wellhitch.server.switch import Switch
 from wellhitch.settings import checked
 from wellhitch.settings.day import Day, check
@@ -80,26 +80,32 @@
 def played(
     made: Day,
     make_switch: Callable[..., Switch] = Switch,
-    clocks: dict[int, float] | None = None,
-    meddle: Callable[[Town, InProcess], None] | None = None,
-) -> play.Played:
+    clock_offsets_s: dict[int, float] | None = None,
+    meddle: Callable[[Town, InProcessFleet], None] | None = None,
+) -> play.DayResult:
     """A day in virtual time, with call servers of another make, clocks that differ, or a hand in it."""
     loop = VirtualLoop()
     try:
         net = EmulatedNetwork(loop, made.seed, zone_delay(made), made.net.jitter)
         addresses = HostAddresses()
-        fleet = InProcess(
-            loop, made, addresses, net, play.quiet_log, make_switch=make_switch, clocks=clocks or {}
+        fleet = InProcessFleet(
+            loop,
+            made,
+            addresses,
+            net,
+            play.null_log,
+            make_switch=make_switch,
+            clock_offsets_s=clock_offsets_s or {},
         )
-        town = Town(loop, made, net.at, addresses, fleet, play.VirtualWire(net))
+        town = Town(loop, made, net.at, addresses, fleet, play.EmulatedLinkFaults(net))
         if meddle:
             meddle(town, fleet)
-        return play._run(loop, made, town, fleet, None, None, 0.0, loop.advance)
+        return play.run_day(loop, made, town, fleet, None, None, 0.0, loop.advance)
     finally:
         loop.close()
 
 
-def rules(done: play.Played) -> list[int]:
+def rules(done: play.DayResult) -> list[int]:
     """The rules that were broken."""
     return sorted({one.rule for one in done.verdict.breaks})
 
--- a/wellhitch/cli/day.py
+++ b/wellhitch/cli/day.py
@@ -11,7 +11,7 @@
 from wellhitch.cli.errors import exit_on_invalid_settings
 from wellhitch.judge.page import service_page, verdict_page
 from wellhitch.lab.from_bench import convert
-from wellhitch.lab.play import Played, play_sockets, play_virtual
+from wellhitch.lab.play import DayResult, play_sockets, play_virtual
 from wellhitch.settings import checked
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.settings.day import Day
@@ -106,7 +106,7 @@
         click.echo(text.decode())
 
 
-def page(name: str, played: Played) -> str:
+def page(name: str, played: DayResult) -> str:
     """The text report of a played day."""
     lines = [f"day {name}, played in {played.seconds:.1f} s", "", verdict_page(played.verdict), ""]
     lines += [service_page(played.service), "", "call servers, by their own counts"]
@@ -132,6 +132,6 @@
         lines.append(
             f"{played.left_open} dialogues were still open at the end: lengthen `tail`, or find what blocks them"
         )
-    if played.lost_circuits:
-        lines.append("circuits still in use at the end: " + "; ".join(played.lost_circuits))
+    if played.leaked_circuits:
+        lines.append("circuits still in use at the end: " + "; ".join(played.leaked_circuits))
     return "\n".join(lines)
--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -26,7 +26,13 @@
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.hooks.values import Budget, HookError, to_text
 from wellhitch.judge.page import service_page, verdict_page
-from wellhitch.lab.hook_runs import differences, facts_of, page, run, shown
+from wellhitch.lab.hook_runs import (
+    evaluate_arrivals,
+    format_differences,
+    format_result,
+    format_run,
+    hook_inputs,
+)
 from wellhitch.lab.play import play_virtual
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.store.files import read_file
@@ -174,7 +180,7 @@
         name = f"{frames.Call.__struct_fields__[int(at[1]) - 1]}: " if at else ""
         click.echo(f"--call: {name}{str(fault).partition(' - at')[0]}", err=True)
         sys.exit(2)
-    facts = facts_of(made, 0, hour * 3600 * 1_000_000)
+    facts = hook_inputs(made, 0, hour * 3600 * 1_000_000)
     inputs = {name: to_value(facts[name], wanted) for name, wanted in POINTS["arrive"].inputs.items()}
     use_cases = frozenset({made.use_case, "balance-check", "card-lock", "loan-simulation"})
     for program in version.programs:
@@ -183,7 +189,7 @@
         budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
         try:
             value = program.run("arrive", inputs, budget)
-            said = shown(parse_result("arrive", value, use_cases))
+            said = format_result(parse_result("arrive", value, use_cases))
             click.echo(
                 f"{program.file.name}: {said}  (returned {to_text(value, Budget())}; {MAX_STEPS - budget.steps} steps)"
             )
@@ -220,7 +226,7 @@
         raise click.UsageError("either --capture or --day")
     version = loaded(folder)
     if capture is not None:
-        click.echo(page(run(version, _captures(capture))))
+        click.echo(format_run(evaluate_arrivals(version, _captures(capture))))
         return
     assert day_file is not None
     with exit_on_invalid_settings():
@@ -228,7 +234,7 @@
         texts = texts_of(folder)
     without = play_virtual(msgspec.structs.replace(made, hooks={}))
     within = play_virtual(msgspec.structs.replace(made, hooks=texts))
-    click.echo(page(run(version, without.captures)))
+    click.echo(format_run(evaluate_arrivals(version, without.captures)))
     click.echo("\nwithout hooks: " + service_page(without.service))
     click.echo("\nwith hooks: " + service_page(within.service))
     click.echo(verdict_page(within.verdict))
@@ -246,7 +252,11 @@
     Example: wellhitch hooks shadow hooks/ new-hooks/ --capture /tmp/bad-day
     """
     captures = _captures(capture)
-    click.echo(differences(run(loaded(folder), captures), run(loaded(other), captures)))
+    click.echo(
+        format_differences(
+            evaluate_arrivals(loaded(folder), captures), evaluate_arrivals(loaded(other), captures)
+        )
+    )
 
 
 def _captures(folder: Path) -> list[Capture]:
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -18,7 +18,7 @@
 from wellhitch.cli.errors import exit_on_invalid_settings
 from wellhitch.cli.serve import read_export_key, read_number_keys
 from wellhitch.lab import ledger_day
-from wellhitch.lab.ledger_page import page
+from wellhitch.lab.ledger_page import month_report
 from wellhitch.ledger import reader
 from wellhitch.ledger.entries import Answered
 from wellhitch.ledger.outbox import quarantine, write_atomically
@@ -208,7 +208,9 @@
     if len(unrated) > MOST_UNRATED:
         click.echo(f"and {len(unrated) - MOST_UNRATED} more without a price", err=True)
     if out:
-        out.write_text(page(period or "all time", prices.currency, lines, cents, settled), encoding="utf-8")
+        out.write_text(
+            month_report(period or "all time", prices.currency, lines, cents, settled), encoding="utf-8"
+        )
         click.echo(f"written: {out}", err=True)
     sys.exit(1 if unrated else 0)
 
@@ -299,7 +301,7 @@
     for word in [*found.faults, *found.wrong, *found.lost][:MOST_UNRATED]:
         click.echo(word)
     click.echo(
-        f"{found.stood} dialogues stood by the captures, {found.billed} are billed; {len(found.lost)} lost with "
+        f"{found.established} dialogues stood by the captures, {found.billed} are billed; {len(found.lost)} lost with "
         f"{found.killed} killed processes, {len(found.wrong)} otherwise than they stood, {len(found.faults)} faults"
     )
     sys.exit(1 if found.wrong or found.faults else 0)
--- a/wellhitch/lab/explore.py
+++ b/wellhitch/lab/explore.py
@@ -24,14 +24,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class SearchResult:
     """What a search saw: states, the longest way, and the first broken invariant with its way."""
 
     states: int
     depth: int
-    whole: bool
-    broken: str = ""
-    way: tuple[str, ...] = ()
+    complete: bool
+    violation: str = ""
+    trace: tuple[str, ...] = ()
 
 
 Step = tuple[str, World]
@@ -45,7 +45,7 @@
     wrong: Callable[[World], str]
     most: int = 200_000
 
-    def run(self, start: World) -> Found:
+    def run(self, start: World) -> SearchResult:
         """Search from a world."""
         seen: dict[World, tuple[World | None, str]] = {start: (None, "")}
         edge, depth = [start], 0
@@ -58,12 +58,12 @@
                     seen[reached] = world, name
                     broken = self.wrong(reached)
                     if broken:
-                        return Found(len(seen), depth + 1, False, broken, _way(seen, reached))
+                        return SearchResult(len(seen), depth + 1, False, broken, _way(seen, reached))
                     after.append(reached)
                     if len(seen) >= self.most:
-                        return Found(len(seen), depth + 1, False)
+                        return SearchResult(len(seen), depth + 1, False)
             edge, depth = after, depth + 1
-        return Found(len(seen), depth - 1, True)
+        return SearchResult(len(seen), depth - 1, True)
 
 
 def _way(seen: dict[World, tuple[World | None, str]], world: World) -> tuple[str, ...]:
--- a/wellhitch/lab/explore_ledger.py
+++ b/wellhitch/lab/explore_ledger.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from wellhitch.lab.explore import ENCODER, Found, Search, Sent, Step, World
+from wellhitch.lab.explore import ENCODER, Search, SearchResult, Sent, Step, World
 from wellhitch.ledger.periods import (
     MESSAGE_DECODER,
     Agreement,
@@ -40,7 +40,7 @@
 
 def explore(
     bounds: Bounds, most: int, make: Callable[[int, tuple[int, ...], PeriodRecord], Agreement] = Agreement
-) -> Found:
+) -> SearchResult:
     """Explore; `make` may be a broken agreement, to see that it is caught."""
     roster = tuple(range(bounds.instances))
 
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -19,7 +19,7 @@
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.emulator.party import PartyLoop
 from wellhitch.interface.events import ServerStarted
-from wellhitch.lab.loopback import own_address
+from wellhitch.lab.loopback import allocate_loopback_address
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.service import AccountingChannel, SettlementService
 from wellhitch.net.transport import LoopbackNetwork
@@ -58,11 +58,11 @@
         """As `Addresses`."""
         known = self._known.get((host, door))
         if known is None:
-            known = self._known[host, door] = own_address()
+            known = self._known[host, door] = allocate_loopback_address()
         return known
 
 
-def sheet_of(day: Day, number: int, addresses: HostAddresses | LoopbackAddresses) -> ServerSettings:
+def server_settings(day: Day, number: int, addresses: HostAddresses | LoopbackAddresses) -> ServerSettings:
     """The sheet of one call server of a day."""
     host = f"server-{number}"
     cases = [
@@ -90,7 +90,7 @@
     )
 
 
-def doors_of(sheet: ServerSettings) -> ServerAddresses:
+def server_addresses(sheet: ServerSettings) -> ServerAddresses:
     """The doors of a sheet, as the daemon takes them."""
     d = sheet.doors
     return ServerAddresses(d.callers, d.peers, d.operators, d.register, d.centre)
@@ -119,7 +119,7 @@
 
 
 @dataclass
-class InProcess:
+class InProcessFleet:
     """Call servers in this process. On the emulated network each has its own gate, so that it can be paused."""
 
     loop: asyncio.AbstractEventLoop
@@ -131,7 +131,9 @@
     boots: dict[int, int] = field(default_factory=dict)
     parties: dict[int, PartyLoop] = field(default_factory=dict)
     make_switch: Callable[[ServerStarted, int, ServerIO], Switch] = Switch
-    clocks: dict[int, float] = field(default_factory=dict)  # seconds that a call server's clock is ahead
+    clock_offsets_s: dict[int, float] = field(
+        default_factory=dict
+    )  # seconds that a call server's clock is ahead
     disks: dict[int, EmulatedDisk] = field(default_factory=dict)
     accounting_channels: dict[int, AccountingChannel] = field(
         default_factory=dict
@@ -145,12 +147,12 @@
     def start(self, number: int) -> None:
         """As `Servers`."""
         boot = self.boots[number] = self.boots.get(number, 0) + 1
-        sheet = sheet_of(self.day, number, self.addresses)
+        sheet = server_settings(self.day, number, self.addresses)
         host = f"server-{number}"
         loop = self.loop
         if self.net is not None:
             party = self.parties[number] = self.net.gates[host] = PartyLoop(
-                self.loop, self.clocks.get(number, 0.0)
+                self.loop, self.clock_offsets_s.get(number, 0.0)
             )
             loop = party.as_loop()
         network = self.net.at(host) if self.net is not None else LoopbackNetwork(self.loop)
@@ -158,7 +160,7 @@
             loop,
             network,
             start_event(sheet),
-            doors_of(sheet),
+            server_addresses(sheet),
             sheet.limits.max_open,
             boot,
             self.log(number),
@@ -242,7 +244,7 @@
 
 
 @dataclass
-class Processes:
+class ProcessFleet:
     """Each call server in a process of its own, as in service."""
 
     day: Day
@@ -254,7 +256,7 @@
         """As `Servers`."""
         sheet = self.folder / f"server-{number}.jsonnet"
         if not sheet.exists():
-            made = sheet_of(self.day, number, self.addresses)
+            made = server_settings(self.day, number, self.addresses)
             sheet.write_bytes(msgspec.json.format(msgspec.json.encode(made), indent=2))
         log = (self.folder / f"server-{number}.log").open("ab")
         self.running[number] = subprocess.Popen(
--- a/wellhitch/lab/hook_runs.py
+++ b/wellhitch/lab/hook_runs.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Ran:
+class HookRun:
     """A whole run."""
 
     by_use_case: dict[str, Tally] = field(default_factory=dict)
@@ -46,7 +46,7 @@
     return sorted(found, key=lambda one: (one[0], one[1], one[2].id))
 
 
-def facts_of(call: frames.Call, number: int, t: int) -> dict[str, Any]:
+def hook_inputs(call: frames.Call, number: int, t: int) -> dict[str, Any]:
     """What an arrive hook is told of a captured call. Load is not in a capture: prices are nought, room unknown."""
     second = t // 1_000_000
     return {
@@ -72,17 +72,17 @@
     }
 
 
-def run(version: Version, captures: list[Capture]) -> Ran:
+def evaluate_arrivals(version: Version, captures: list[Capture]) -> HookRun:
     """All arrivals through a version, each exchange with state of its own."""
     calls = arrivals(captures)
     use_cases = frozenset(call.use_case for _, _, call in calls)
-    out = Ran()
+    out = HookRun()
     servers: dict[int, Hooks] = {}
     for t, number, call in calls:
         hooks = servers.get(number)
         if hooks is None:
             hooks = servers[number] = Hooks(version, use_cases, _silent, out.counts)
-        said = hooks.evaluate("arrive", facts_of(call, number, t), call.tenant or call.use_case, t)
+        said = hooks.evaluate("arrive", hook_inputs(call, number, t), call.tenant or call.use_case, t)
         tally = out.by_use_case.setdefault(call.use_case, Tally())
         tally.arrivals += 1
         tally.pushed_back += said.push_back is not None
@@ -98,7 +98,7 @@
     pass
 
 
-def page(ran: Ran) -> str:
+def format_run(ran: HookRun) -> str:
     """A table of a run."""
     out = ["use case              arrivals  pushed back  renamed  favoured  disfavoured  tags"]
     for name, one in sorted(ran.by_use_case.items()):
@@ -115,17 +115,18 @@
     return "\n".join(out)
 
 
-def differences(before: Ran, after: Ran) -> str:
+def format_differences(before: HookRun, after: HookRun) -> str:
     """How two runs over the same arrivals differ."""
     differ = [(call, a, b) for (call, a), (_, b) in zip(before.said, after.said, strict=True) if a != b]
     out = [f"{len(differ)} of {len(before.said)} arrivals would be told otherwise"]
     out += [
-        f"  {call.use_case} to {call.called}: {shown(a)} -> {shown(b)}" for call, a, b in differ[:EXAMPLES]
+        f"  {call.use_case} to {call.called}: {format_result(a)} -> {format_result(b)}"
+        for call, a, b in differ[:EXAMPLES]
     ]
     return "\n".join(out)
 
 
-def shown(said: HookResult) -> str:
+def format_result(said: HookResult) -> str:
     """What was said, without what was not."""
     parts: Mapping[str, object] = {
         "use case": said.use_case,
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -12,8 +12,8 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.judge.rules import Verdict, judge
-from wellhitch.lab.fleet import HostAddresses, InProcess, zone_delay
-from wellhitch.lab.play import COME_UP_S, LAST_S, VirtualWire
+from wellhitch.lab.fleet import HostAddresses, InProcessFleet, zone_delay
+from wellhitch.lab.play import SETTLE_S, STARTUP_S, EmulatedLinkFaults
 from wellhitch.ledger import reader
 from wellhitch.ledger.chain import ChainFault, ChainId, verify
 from wellhitch.ledger.periods import CLOCK_MARGIN_US, next_period, period_end
@@ -49,11 +49,11 @@
 
 
 @dataclass
-class Books:
+class LedgerDayResult:
     """What a day left in the books, beside what was seen."""
 
     verdict: Verdict
-    stood: "dict[tuple[int, int], Stood]"
+    established: "dict[tuple[int, int], EstablishedDialogue]"
     booked: dict[tuple[int, int], Booked]
     wrong: list[ChainFault]
     accounting: Counter[str]
@@ -68,9 +68,9 @@
     seed: int = 1,
     power_cuts: Callable[[int], bool] = lambda number: False,
     after_s: float = 60.0,
-    clocks: dict[int, float] | None = None,
+    clock_offsets_s: dict[int, float] | None = None,
     disk: str = "",
-) -> Books:
+) -> LedgerDayResult:
     """Play a day that begins six seconds before the month ends, then as long as closing and export take. A call server
     that the day's troubles kill loses the power of its machine where `power_cuts` says so. `disk`: once the month is
     exported the second call server is killed and comes back with an `old` disk, of the middle of the day, or a `new`
@@ -89,9 +89,9 @@
         chance = random.Random(seed)
         net = EmulatedNetwork(loop, day.seed, zone_delay(day), day.net.jitter)
         addresses = HostAddresses()
-        fleet = InProcess(loop, day, addresses, net, log)
-        fleet.clocks = clocks or {}
-        fleet.wall_at_start = period_end(PERIOD) - 6_000_000 - round(COME_UP_S * 1e6)
+        fleet = InProcessFleet(loop, day, addresses, net, log)
+        fleet.clock_offsets_s = clock_offsets_s or {}
+        fleet.wall_at_start = period_end(PERIOD) - 6_000_000 - round(STARTUP_S * 1e6)
         fleet.power_cut = lambda number: chance.random() if power_cuts(number) else None
         accounting_disk = EmulatedDisk(seed)
         keys = {one.number: bytes([one.number % 256, 7]) * 16 for one in day.exchanges}
@@ -99,10 +99,10 @@
         fleet.accounting_channels = {
             number: AccountingChannel(key, _Box(accounting, number)) for number, key in keys.items()
         }
-        town = Town(loop, day, net.at, addresses, fleet, VirtualWire(net), None)
+        town = Town(loop, day, net.at, addresses, fleet, EmulatedLinkFaults(net), None)
         for one in day.exchanges:
             fleet.start(one.number)
-        loop.advance(COME_UP_S)
+        loop.advance(STARTUP_S)
         town.begin()
         schedule(town)
         second = day.exchanges[1].number
@@ -116,7 +116,7 @@
             spent += 0.5
         for callers in town.callers.values():
             callers.hang_up()
-        loop.advance(LAST_S)
+        loop.advance(SETTLE_S)
         # The day's links are of no use to the books; the ledgers' own go on.
         left = (period_end(PERIOD) + CLOCK_MARGIN_US - fleet.wall_at_start) / 1e6 - loop.time()
         loop.advance(max(0.0, left) + after_s)
@@ -141,10 +141,10 @@
         fleet.close()
         town.close()
         captures = [read_capture(recorder.held, name) for name, recorder in town.recorders.items()]
-        wrong = [one for disk in fleet.disks.values() for one in verified(disk)]
-        return Books(
+        wrong = [one for disk in fleet.disks.values() for one in verify_disk(disk)]
+        return LedgerDayResult(
             judge(captures),
-            stood_of(captures),
+            established_dialogues(captures),
             accounting.booked(),
             wrong,
             accounting.counts,
@@ -156,7 +156,7 @@
         loop.close()
 
 
-def verified(disk: EmulatedDisk) -> list[ChainFault]:
+def verify_disk(disk: EmulatedDisk) -> list[ChainFault]:
     """What is wrong with the chains on a disk."""
     engine = disk.after_kill().open(STORE_NAME)
     chains: dict[ChainId, list[tuple[int, bytes | None]]] = {}
@@ -169,7 +169,7 @@
 
 
 @dataclass(slots=True)
-class Stood:
+class EstablishedDialogue:
     """A dialogue that a caller was told stands, by the captures: how long the caller's end and the far office's saw it
     stand (None: no end seen there)."""
 
@@ -178,14 +178,14 @@
     office: int | None = None
 
 
-def stood_of(captures: list[Capture]) -> dict[tuple[int, int], Stood]:
+def established_dialogues(captures: list[Capture]) -> dict[tuple[int, int], EstablishedDialogue]:
     """Dialogues that stood, by their names in the fleet. Callers do not know these: the far office's Setup names the
     dialogue and the number called, which no two callers share."""
     offices: dict[str, list[tuple[int, int | None, frames.Setup]]] = {}  # by number called: answered, ended
     for capture in captures:
         if capture.party == "office":
             _office(capture, offices)
-    out: dict[tuple[int, int], Stood] = {}
+    out: dict[tuple[int, int], EstablishedDialogue] = {}
     for capture in captures:
         if capture.party != "callers":
             continue
@@ -195,7 +195,7 @@
             if fit:
                 answered, over, setup = max(fit, key=lambda one: one[0])
                 far = None if over is None else over - answered
-                out[setup.origin, setup.dialogue] = Stood(call.tenant or "", ended - began, far)
+                out[setup.origin, setup.dialogue] = EstablishedDialogue(call.tenant or "", ended - began, far)
     return out
 
 
@@ -261,10 +261,10 @@
 # a release that waits in the own processor, and a link that is found broken
 
 
-def differences(books: Books, killed_us: int = 0) -> list[str]:
+def find_discrepancies(books: LedgerDayResult, killed_us: int = 0) -> list[str]:
     """Where the books are not what stood. `killed_us`: what a dialogue cut by a crash may be billed too little."""
     out = []
-    for name, stood in books.stood.items():
+    for name, stood in books.established.items():
         booked = books.booked.get(name)
         if booked is None:
             out.append(f"{name}: stood {stood.caller} and is not booked")
@@ -276,7 +276,7 @@
             )
         if booked.tenant != stood.tenant:
             out.append(f"{name}: of {stood.tenant}, booked to {booked.tenant}")
-    out += [f"{name}: booked and never stood" for name in books.booked.keys() - books.stood.keys()]
+    out += [f"{name}: booked and never stood" for name in books.booked.keys() - books.established.keys()]
     return out
 
 
@@ -284,7 +284,7 @@
 class Audit:
     """The ledgers of a day that was played in processes, held against its captures."""
 
-    stood: int
+    established: int
     billed: int
     lost: list[str]
     wrong: list[str]
@@ -305,12 +305,12 @@
         for one in found.settled():
             if one.state == "billed":
                 booked[one.dialogue_id] = Booked(one.tenant, one.traffic_class, one.billed, 1)
-    stood = stood_of(captures)
+    stood = established_dialogues(captures)
     notes = [line for capture in captures for line in capture.records if isinstance(line, Note)]
     killed = sum(note.kind == "server_killed" for note in notes)
-    books = Books(Verdict([], Counter()), stood, booked, [], Counter(), {}, Counter())
+    books = LedgerDayResult(Verdict([], Counter()), stood, booked, [], Counter(), {}, Counter())
     # A process that was killed is billed to its last note of life: a second, and as long as that waits for the disk.
-    found_wrong = differences(books, 1_200_000 if killed else 0)
+    found_wrong = find_discrepancies(books, 1_200_000 if killed else 0)
     lost = [one for one in found_wrong if one.endswith("is not booked")]
     wrong = [one for one in found_wrong if one not in lost]
     return Audit(len(stood), len(booked), lost, wrong, faults, killed)
--- a/wellhitch/lab/ledger_page.py
+++ b/wellhitch/lab/ledger_page.py
@@ -15,7 +15,7 @@
 SHOWN = 200  # disputes on the page; the rest is counted
 
 
-def page(
+def month_report(
     period: str,
     currency: str,
     lines: Sequence[InvoiceLine],
--- a/wellhitch/lab/loopback.py
+++ b/wellhitch/lab/loopback.py
@@ -12,12 +12,12 @@
 _ports = count(FIRST_PORT)
 
 
-def own_host() -> str:
+def process_loopback_host() -> str:
     """A loopback address that no other process of this machine gets here."""
     pid = os.getpid()  # 22 bits at most
     return f"127.{64 + (pid >> 16)}.{pid >> 8 & 255}.{pid & 255}"
 
 
-def own_address() -> str:
+def allocate_loopback_address() -> str:
     """host:port, another one each time."""
-    return f"{own_host()}:{next(_ports)}"
+    return f"{process_loopback_host()}:{next(_ports)}"
--- a/wellhitch/lab/measure.py
+++ b/wellhitch/lab/measure.py
@@ -289,21 +289,21 @@
     """A closed loop: dialogues a second, and how much of a core the call server used."""
 
     per_s: float
-    core: float
+    cpu_share: float
 
 
 @dataclass(frozen=True, slots=True)
 class Delays:
     """An open loop: what was asked and stood, and the set-up delays in us."""
 
-    asked_per_s: float
-    stood: int
+    offered_per_s: float
+    established: int
     others: int
-    median: int
-    high: int
+    median_us: int
+    p99_us: int
 
 
-class Measured:
+class ServerBenchmark:
     """One call server process with its offices, for as long as it is needed."""
 
     def __init__(
@@ -342,7 +342,7 @@
             if process.is_alive():
                 process.kill()
 
-    def full(self, seconds: float, width: int = 64) -> Rate:
+    def max_rate(self, seconds: float, width: int = 64) -> Rate:
         """As many dialogues as it takes, `width` at a time."""
 
         async def run() -> Rate:
@@ -361,7 +361,7 @@
 
         return asyncio.run(run())
 
-    def steady(self, rate: float, seconds: float) -> Delays:
+    def setup_delays(self, rate: float, seconds: float) -> Delays:
         """`rate` dialogues a second, at chance times, each held for two seconds."""
 
         async def run() -> Delays:
@@ -388,7 +388,7 @@
 
         return asyncio.run(run())
 
-    def held(self, dialogues: int) -> float:
+    def bytes_per_dialogue(self, dialogues: int) -> float:
         """Bytes of the call server's memory for each dialogue held."""
 
         async def run() -> float:
@@ -407,7 +407,7 @@
         return asyncio.run(run())
 
 
-def decide_alone(offices: int, per_s: float, dialogues: int) -> float:
+def decision_rate(offices: int, per_s: float, dialogues: int) -> float:
     """Dialogues a second that the decisions bear on their own: the events of a dialogue that is set up direct and
     stands, at `per_s` of the decisions' own clock, without a frame."""
     x = Exchange()
--- a/wellhitch/lab/measure_hooks.py
+++ b/wellhitch/lab/measure_hooks.py
@@ -13,10 +13,10 @@
 from wellhitch.hooks.interpreter import Interpreter
 from wellhitch.hooks.points import POINTS
 from wellhitch.hooks.values import Budget, HookError, Value
-from wellhitch.lab.hook_runs import facts_of
+from wellhitch.lab.hook_runs import hook_inputs
 from wellhitch.trunk import frames
 
-TEN_LINES = """let partners = ["north", "south", "east"]
+TEN_LINE_HOOK = """let partners = ["north", "south", "east"]
 on arrive {
   let weight = 1
   if call.tenant in partners { weight = 0.8 }
@@ -73,9 +73,9 @@
     """All measurements as lines."""
     parser = Parser()
     call = frames.Call(1, "card-lock", 3, "0800123", 3_000_000)
-    facts = facts_of(call, 0, 9 * 3600 * 1_000_000)
+    facts = hook_inputs(call, 0, 9 * 3600 * 1_000_000)
     inputs: dict[str, Value] = {name: to_value(facts[name], t) for name, t in POINTS["arrive"].inputs.items()}
-    file = parser.parse(TEN_LINES, "ten")
+    file = parser.parse(TEN_LINE_HOOK, "ten")
     program = compile_file(file, Budget())
     walker = Interpreter(file, Budget())
 
@@ -83,7 +83,9 @@
         walker.budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
         walker.run("arrive", inputs)
 
-    hooks = Hooks(load_version({"ten": TEN_LINES}, parser), frozenset({"card-lock"}), lambda event, **f: None)
+    hooks = Hooks(
+        load_version({"ten": TEN_LINE_HOOK}, parser), frozenset({"card-lock"}), lambda event, **f: None
+    )
     clock = [0]
 
     def host() -> None:
@@ -114,14 +116,16 @@
         except HookError as fault:
             kind = fault.kind
         out.append(f"  {name:36} {(time.perf_counter() - began) * 1000:8.2f} ms   {kind}")
-    many = {f"{at:03}": TEN_LINES for at in range(200)}
+    many = {f"{at:03}": TEN_LINE_HOOK for at in range(200)}
     began = time.perf_counter()
     load_version(many, parser)
     out.append(f"200 hooks of ten lines read, checked and compiled in {time.perf_counter() - began:.2f} s")
     return out
 
 
-def benches(per_s: float = 8.0, seconds: float = 600.0, keys: int = 10, seed: int = 5) -> list[str]:
+def simulate_suspensions(
+    per_s: float = 8.0, seconds: float = 600.0, keys: int = 10, seed: int = 5
+) -> list[str]:
     """Benches simulated: a hook that fails by chance, for one key or for all, at the rate of one exchange. Tells how
     many of its runs failed (work for nothing) and how many that would have ended well were passed over."""
     chance = random.Random(seed)
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -11,7 +11,7 @@
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.judge.rules import Verdict, judge
 from wellhitch.judge.service import Service, service
-from wellhitch.lab.fleet import HostAddresses, InProcess, LoopbackAddresses, Processes, zone_delay
+from wellhitch.lab.fleet import HostAddresses, InProcessFleet, LoopbackAddresses, ProcessFleet, zone_delay
 from wellhitch.net.collector import startup_objects_frozen
 from wellhitch.net.transport import LoopbackNetwork
 from wellhitch.server.daemon import Log
@@ -21,13 +21,13 @@
 from wellhitch.stand_ins.troubles import schedule
 from wellhitch.trunk.capture import Capture, read_capture, read_folder
 
-COME_UP_S = 3.0  # until all links stand, before the first caller
-LAST_S = 2.0  # after the last caller hung up: releases and counts are on their way
-LOOPBACK_WAY = 30_000  # us; a busy loop on a shared machine is the way's time there
+STARTUP_S = 3.0  # until all links stand, before the first caller
+SETTLE_S = 2.0  # after the last caller hung up: releases and counts are on their way
+LOOPBACK_DELAY_US = 30_000  # us; a busy loop on a shared machine is the way's time there
 
 
 @dataclass
-class Played:
+class DayResult:
     """What a day left."""
 
     verdict: Verdict
@@ -37,10 +37,10 @@
     offices: dict[str, dict[str, int]]
     left_open: int
     seconds: float
-    lost_circuits: list[str] = field(default_factory=list)
+    leaked_circuits: list[str] = field(default_factory=list)
 
 
-def quiet_log(number: int) -> Log:
+def null_log(number: int) -> Log:
     """A log that is not kept."""
 
     def log(event: str, **facts: Any) -> None:
@@ -49,7 +49,7 @@
     return log
 
 
-class VirtualWire:
+class EmulatedLinkFaults:
     """InvalidSettings of links on the emulated network."""
 
     def __init__(self, net: EmulatedNetwork) -> None:
@@ -69,19 +69,19 @@
 def play_virtual(
     day: Day,
     folder: Path | None = None,
-    log: Callable[[int], Log] = quiet_log,
+    log: Callable[[int], Log] = null_log,
     progress: Callable[[float, int], None] | None = None,
     speed: float = 0.0,
-) -> Played:
+) -> DayResult:
     """A day in virtual time: the same on every run, as fast as it goes, or `speed` times as fast as a clock."""
     began = time.perf_counter()
     loop = VirtualLoop((lambda seconds: time.sleep(seconds / speed)) if speed else None)
     try:
         net = EmulatedNetwork(loop, day.seed, zone_delay(day), day.net.jitter)
         addresses = HostAddresses()
-        fleet = InProcess(loop, day, addresses, net, log)
-        town = Town(loop, day, net.at, addresses, fleet, VirtualWire(net), folder)
-        return _run(loop, day, town, fleet, folder, progress, began, loop.advance)
+        fleet = InProcessFleet(loop, day, addresses, net, log)
+        town = Town(loop, day, net.at, addresses, fleet, EmulatedLinkFaults(net), folder)
+        return run_day(loop, day, town, fleet, folder, progress, began, loop.advance)
     finally:
         loop.close()
 
@@ -90,23 +90,27 @@
     day: Day,
     folder: Path,
     processes: bool,
-    log: Callable[[int], Log] = quiet_log,
+    log: Callable[[int], Log] = null_log,
     progress: Callable[[float, int], None] | None = None,
-) -> Played:
+) -> DayResult:
     """A day on real loopback sockets, in its own time."""
     began = time.perf_counter()
     loop = asyncio.new_event_loop()
-    fleet: InProcess | Processes | None = None
+    fleet: InProcessFleet | ProcessFleet | None = None
     try:
         addresses = LoopbackAddresses()
-        fleet = Processes(day, addresses, folder) if processes else InProcess(loop, day, addresses, None, log)
+        fleet = (
+            ProcessFleet(day, addresses, folder)
+            if processes
+            else InProcessFleet(loop, day, addresses, None, log)
+        )
         town = _SocketTown(loop, day, lambda host: LoopbackNetwork(loop), addresses, fleet, None, folder)
 
         def advance(seconds: float) -> None:
             loop.run_until_complete(asyncio.sleep(seconds))
 
         with startup_objects_frozen():  # a stand-in that is late is taken for a call server that is
-            return _run(loop, day, town, fleet, folder, progress, began, advance)
+            return run_day(loop, day, town, fleet, folder, progress, began, advance)
     finally:
         if fleet is not None:
             fleet.close()
@@ -116,22 +120,22 @@
 
 class _SocketTown(Town):
     def ways(self) -> tuple[int, int]:
-        return LOOPBACK_WAY, LOOPBACK_WAY
+        return LOOPBACK_DELAY_US, LOOPBACK_DELAY_US
 
 
-def _run(
+def run_day(
     loop: asyncio.AbstractEventLoop,
     day: Day,
     town: Town,
-    fleet: InProcess | Processes,
+    fleet: InProcessFleet | ProcessFleet,
     folder: Path | None,
     progress: Callable[[float, int], None] | None,
     began: float,
     advance: Callable[[float], None],
-) -> Played:
+) -> DayResult:
     for one in day.exchanges:
         fleet.start(one.number)
-    advance(COME_UP_S)
+    advance(STARTUP_S)
     town.begin()
     schedule(town)
     whole = duration_us(day.length) / 1e6
@@ -150,7 +154,7 @@
         spent += 0.5
     for callers in town.callers.values():
         callers.hang_up()
-    advance(LAST_S)
+    advance(SETTLE_S)
     left_open = town.open
     lost = [] if left_open else _lost_circuits(town)
     servers = {one.number: fleet.status(one.number) or {} for one in day.exchanges}
@@ -161,7 +165,7 @@
     else:
         captures = [read_capture(recorder.held, name) for name, recorder in town.recorders.items()]
     offices = {office.name: dict(office.counts) for office in [*town.past, *town.offices.values()]}
-    return Played(
+    return DayResult(
         judge(captures),
         service(captures),
         captures,
--- a/wellhitch/lab/trials/fleet.py
+++ b/wellhitch/lab/trials/fleet.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from wellhitch.lab.loopback import own_address, own_host
+from wellhitch.lab.loopback import allocate_loopback_address, process_loopback_host
 from wellhitch.lab.trials.client import Clients, Manner, bad_client
 from wellhitch.lab.trials.discovery import Discovery, EndpointState, Listed
 from wellhitch.lab.trials.endpoint import Endpoint, EndpointTraits
@@ -129,13 +129,13 @@
         self.endpoints = [self._endpoint(cell) for cell in range(plan.endpoints)]
         self.states = {endpoint.id: EndpointState.UP for endpoint in self.endpoints}
         self.starts = {endpoint.id: 0 for endpoint in self.endpoints}
-        self.discovery = Discovery(self.loop, self.records, own_host(), names)
+        self.discovery = Discovery(self.loop, self.records, process_loopback_host(), names)
         self.discovery.tell(*(self._listed(endpoint) for endpoint in self.endpoints))
         self.servers = [
             CallServer(
                 name,
                 cell,
-                own_address(),
+                allocate_loopback_address(),
                 self.folder,
                 self.records,
                 settings_of(plan, cell),
@@ -162,7 +162,9 @@
     def _endpoint(self, cell: int) -> Endpoint:
         made = f"s-{self.chance.getrandbits(32):08x}"
         chance = random.Random(self.chance.getrandbits(32))
-        return Endpoint(self.loop, self.records, chance, made, own_host(), cell, self.names, self.traits)
+        return Endpoint(
+            self.loop, self.records, chance, made, process_loopback_host(), cell, self.names, self.traits
+        )
 
     def _listed(self, endpoint: Endpoint) -> Listed:
         addresses = {name: endpoint.address(name) for name in self.names}
