--- a/tests/world.py
+++ b/tests/world.py
@@ -11,7 +11,7 @@
 from wellhitch.server.switch import Switch
 from wellhitch.settings import checked
 from wellhitch.settings.day import Day, check
-from wellhitch.stand_ins.town import Town
+from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk import frames
 from wellhitch.trunk.channel import Channel
 
@@ -81,7 +81,7 @@
     made: Day,
     make_switch: Callable[..., Switch] = Switch,
     clock_offsets_s: dict[int, float] | None = None,
-    meddle: Callable[[Town, InProcessFleet], None] | None = None,
+    meddle: Callable[[SimulatedFleet, InProcessFleet], None] | None = None,
 ) -> play.DayResult:
     """A day in virtual time, with call servers of another make, clocks that differ, or a hand in it."""
     loop = VirtualLoop()
@@ -97,10 +97,10 @@
             make_switch=make_switch,
             clock_offsets_s=clock_offsets_s or {},
         )
-        town = Town(loop, made, net.at, addresses, fleet, play.EmulatedLinkFaults(net))
+        simulation = SimulatedFleet(loop, made, net.at, addresses, fleet, play.EmulatedLinkFaultInjector(net))
         if meddle:
-            meddle(town, fleet)
-        return play.run_day(loop, made, town, fleet, None, None, 0.0, loop.advance)
+            meddle(simulation, fleet)
+        return play.run_day(loop, made, simulation, fleet, None, None, 0.0, loop.advance)
     finally:
         loop.close()
 
