--- a/wellhitch/lab/explore.py
+++ b/wellhitch/lab/explore.py
@@ -1,6 +1,8 @@
-"""All interleavings of a small state machine over messages that are lost, doubled and late: a breadth-first search over
-the same pure code that is in service. A message once sent may be delivered at any later step, any number of times, or
-never, so the network is the set of all that was ever sent."""
+"""Model checking of a small state machine whose messages are lost, duplicated and delayed.
+
+A breadth-first search over all interleavings runs the same pure code as production. A message once sent may be
+delivered at any later step, any number of times, or never, so the network is the set of all messages ever sent.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,21 +13,24 @@
 State = TypeVar("State")
 ENCODER = msgspec.msgpack.Encoder(order="deterministic")
 
-Sent = tuple[int, int, bytes]  # from, to, message
+SentMessage = tuple[int, int, bytes]  # sender, receiver, encoded message
 
 
 @dataclass(frozen=True, slots=True)
 class World:
-    """Nodes as bytes, all that was ever sent, and how many steps of each bounded kind were used."""
+    """The encoded state of each node, all messages ever sent, and how many steps of each bounded kind were taken."""
 
     nodes: tuple[bytes, ...]
-    sent: frozenset[Sent]
+    sent: frozenset[SentMessage]
     used: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What a search saw: states, the longest way, and the first broken invariant with its way."""
+    """The outcome of a search: states visited, the greatest depth, and the first violated invariant with its trace.
+
+    `complete`: every reachable state was visited.
+    """
 
     states: int
     depth: int
@@ -39,39 +44,43 @@
 
 @dataclass(slots=True)
 class Search(Generic[State]):
-    """`steps`: all that may happen in a world, each with a name. `wrong`: what is broken in a world, or nothing."""
+    """A breadth-first search.
+
+    `steps` returns every named step that is possible in a world. `find_violation` returns the invariant that a world
+    violates, or an empty string.
+    """
 
     steps: Callable[[World], list[Step]]
-    wrong: Callable[[World], str]
-    most: int = 200_000
+    find_violation: Callable[[World], str]
+    max_states: int = 200_000
 
     def run(self, start: World) -> SearchResult:
-        """Search from a world."""
+        """Search from `start` until an invariant is violated, all states are visited or `max_states` is reached."""
         seen: dict[World, tuple[World | None, str]] = {start: (None, "")}
-        edge, depth = [start], 0
-        while edge:
-            after: list[World] = []
-            for world in edge:
+        frontier, depth = [start], 0
+        while frontier:
+            next_frontier: list[World] = []
+            for world in frontier:
                 for name, reached in self.steps(world):
                     if reached in seen:
                         continue
                     seen[reached] = world, name
-                    broken = self.wrong(reached)
-                    if broken:
-                        return SearchResult(len(seen), depth + 1, False, broken, _way(seen, reached))
-                    after.append(reached)
-                    if len(seen) >= self.most:
+                    violation = self.find_violation(reached)
+                    if violation:
+                        return SearchResult(len(seen), depth + 1, False, violation, _trace(seen, reached))
+                    next_frontier.append(reached)
+                    if len(seen) >= self.max_states:
                         return SearchResult(len(seen), depth + 1, False)
-            edge, depth = after, depth + 1
+            frontier, depth = next_frontier, depth + 1
         return SearchResult(len(seen), depth - 1, True)
 
 
-def _way(seen: dict[World, tuple[World | None, str]], world: World) -> tuple[str, ...]:
-    out: list[str] = []
-    at: World | None = world
-    while at is not None:
-        before, name = seen[at]
+def _trace(seen: dict[World, tuple[World | None, str]], world: World) -> tuple[str, ...]:
+    names: list[str] = []
+    current: World | None = world
+    while current is not None:
+        previous, name = seen[current]
         if name:
-            out.append(name)
-        at = before
-    return tuple(reversed(out))
+            names.append(name)
+        current = previous
+    return tuple(reversed(names))
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -91,7 +91,7 @@
         addresses = HostAddresses()
         fleet = InProcessFleet(loop, day, addresses, net, log)
         fleet.clock_offsets_s = clock_offsets_s or {}
-        fleet.wall_at_start = period_end(PERIOD) - 6_000_000 - round(STARTUP_S * 1e6)
+        fleet.wall_clock_at_start_us = period_end(PERIOD) - 6_000_000 - round(STARTUP_S * 1e6)
         fleet.power_cut = lambda number: chance.random() if power_cuts(number) else None
         accounting_disk = EmulatedDisk(seed)
         keys = {one.number: bytes([one.number % 256, 7]) * 16 for one in day.exchanges}
@@ -118,7 +118,7 @@
             callers.hang_up()
         loop.advance(SETTLE_S)
         # The day's links are of no use to the books; the ledgers' own go on.
-        left = (period_end(PERIOD) + CLOCK_MARGIN_US - fleet.wall_at_start) / 1e6 - loop.time()
+        left = (period_end(PERIOD) + CLOCK_MARGIN_US - fleet.wall_clock_at_start_us) / 1e6 - loop.time()
         loop.advance(max(0.0, left) + after_s)
         if disk:
             fleet.kill(second)
@@ -126,7 +126,7 @@
             fleet.start(second)
             loop.advance(after_s)
         # What ended after the month counts in the next, which ends as soon as all clocks are set a month on.
-        fleet.wall_at_start += period_end(next_period(PERIOD)) - period_end(PERIOD)
+        fleet.wall_clock_at_start_us += period_end(next_period(PERIOD)) - period_end(PERIOD)
         loop.advance(after_s)
         exported = {
             number: daemon.settlement.export_progress.completed_period
--- a/wellhitch/lab/measure_ledger.py
+++ b/wellhitch/lab/measure_ledger.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from wellhitch.lab.sketches import CELL, HASHES, Sketch, item_of
+from wellhitch.lab.sketches import CELL_BYTES, HASHES, Sketch, make_item
 from wellhitch.ledger.chain import ChainId, verify
 from wellhitch.ledger.entries import NumberKeys
 from wellhitch.ledger.journal import DialogueFacts, open_journal
@@ -158,16 +158,16 @@
     10 KB more) and doubled where it was too small: bytes, rounds, seconds of processor."""
     size, sent, rounds = (guess + 6) * 3 // 2 // HASHES * HASHES, 0, 0
     began = time.process_time()
-    own = [item_of(key, digest) for key, digest in mine.items(b"", b"")]
-    other = [item_of(key, digest) for key, digest in theirs.items(b"", b"")]
+    own = [make_item(key, digest) for key, digest in mine.items(b"", b"")]
+    other = [make_item(key, digest) for key, digest in theirs.items(b"", b"")]
     while True:
         there = Sketch(size)
-        there.put(other)
+        there.add(other)
         rounds += 1
-        sent += size * CELL
+        sent += size * CELL_BYTES
         here = Sketch(size)
-        here.put(own)
-        if there.less(here).decoded() is not None:
+        here.add(own)
+        if there.subtract(here).decode() is not None:
             return sent, rounds, time.process_time() - began
         size *= 2
 
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -1,4 +1,4 @@
-"""Plays a day: stand-ins and call servers on one network, then the judge over what was captured."""
+"""Plays a day: runs the simulated parties and the call servers on one network, then judges the captures."""
 
 import asyncio
 import time
@@ -21,14 +21,14 @@
 from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk.capture import Capture, read_capture, read_folder
 
-STARTUP_S = 3.0  # until all links stand, before the first caller
-SETTLE_S = 2.0  # after the last caller hung up: releases and counts are on their way
-LOOPBACK_DELAY_US = 30_000  # us; a busy loop on a shared machine is the way's time there
+STARTUP_S = 3.0  # for all connections to be established before the first call
+SETTLE_S = 2.0  # for releases and circuit counts in transit after the last caller hung up
+LOOPBACK_DELAY_US = 30_000  # on loopback the delay is that of a busy event loop on a shared machine
 
 
 @dataclass
 class DayResult:
-    """What a day left."""
+    """The outcome of a played day."""
 
     verdict: Verdict
     service: Service
@@ -41,7 +41,7 @@
 
 
 def null_log(number: int) -> Log:
-    """A log that is not kept."""
+    """Return a log function that discards its events."""
 
     def log(event: str, **facts: Any) -> None:
         pass
@@ -50,17 +50,17 @@
 
 
 class EmulatedLinkFaultInjector:
-    """InvalidSettings of links on the emulated network."""
+    """Injects faults into the connections of the emulated network."""
 
     def __init__(self, net: EmulatedNetwork) -> None:
         self.net = net
 
     def cut(self, here: str, there: str) -> int:
-        """As `LinkFaultInjector`."""
+        """See `LinkFaultInjector.cut`."""
         return self.net.cut(here, there)
 
     def spoil(self, here: str, there: str, what: str, how: bool | int) -> None:
-        """As `LinkFaultInjector`."""
+        """See `LinkFaultInjector.spoil`."""
         setattr(self.net.spoil(here, there), what, how)
         if what == "silent" and not how:
             self.net.heal(here, there)
@@ -73,8 +73,11 @@
     progress: Callable[[float, int], None] | None = None,
     speed: float = 0.0,
 ) -> DayResult:
-    """A day in virtual time: the same on every run, as fast as it goes, or `speed` times as fast as a clock."""
-    began = time.perf_counter()
+    """Play a day in virtual time, with the same result on every run.
+
+    It runs as fast as possible, or `speed` times as fast as real time if `speed` is not zero.
+    """
+    started = time.perf_counter()
     loop = VirtualLoop((lambda seconds: time.sleep(seconds / speed)) if speed else None)
     try:
         net = EmulatedNetwork(loop, day.seed, zone_delay(day), day.net.jitter)
@@ -83,7 +86,7 @@
         simulation = SimulatedFleet(
             loop, day, net.at, addresses, fleet, EmulatedLinkFaultInjector(net), folder
         )
-        return run_day(loop, day, simulation, fleet, folder, progress, began, loop.advance)
+        return run_day(loop, day, simulation, fleet, folder, progress, started, loop.advance)
     finally:
         loop.close()
 
@@ -95,8 +98,8 @@
     log: Callable[[int], Log] = null_log,
     progress: Callable[[float, int], None] | None = None,
 ) -> DayResult:
-    """A day on real loopback sockets, in its own time."""
-    began = time.perf_counter()
+    """Play a day on loopback sockets in real time; with `processes`, each call server runs in a separate process."""
+    started = time.perf_counter()
     loop = asyncio.new_event_loop()
     fleet: InProcessFleet | ProcessFleet | None = None
     try:
@@ -113,8 +116,8 @@
         def advance(seconds: float) -> None:
             loop.run_until_complete(asyncio.sleep(seconds))
 
-        with startup_objects_frozen():  # a stand-in that is late is taken for a call server that is
-            return run_day(loop, day, simulation, fleet, folder, progress, began, advance)
+        with startup_objects_frozen():  # a late simulated party would look like a late call server
+            return run_day(loop, day, simulation, fleet, folder, progress, started, advance)
     finally:
         if fleet is not None:
             fleet.close()
@@ -134,34 +137,35 @@
     fleet: InProcessFleet | ProcessFleet,
     folder: Path | None,
     progress: Callable[[float, int], None] | None,
-    began: float,
+    started: float,
     advance: Callable[[float], None],
 ) -> DayResult:
-    for one in day.exchanges:
-        fleet.start(one.number)
+    """Run a day whose call servers and simulated parties are set up; `advance` runs the loop for so many seconds."""
+    for exchange in day.exchanges:
+        fleet.start(exchange.number)
     advance(STARTUP_S)
     simulation.begin()
     schedule(simulation)
-    whole = duration_us(day.length) / 1e6
-    done = 0.0
-    while done < whole:
-        step = min(1.0, whole - done)
-        advance(step)
-        done += step
+    length_s = duration_us(day.length) / 1e6
+    elapsed_s = 0.0
+    while elapsed_s < length_s:
+        step_s = min(1.0, length_s - elapsed_s)
+        advance(step_s)
+        elapsed_s += step_s
         if progress:
-            progress(done, simulation.open)
+            progress(elapsed_s, simulation.open)
     simulation.finish()
-    tail = duration_us(day.tail) / 1e6
-    spent = 0.0
-    while simulation.open and spent < tail:
+    tail_s = duration_us(day.tail) / 1e6
+    tail_elapsed_s = 0.0
+    while simulation.open and tail_elapsed_s < tail_s:
         advance(0.5)
-        spent += 0.5
+        tail_elapsed_s += 0.5
     for callers in simulation.callers.values():
         callers.hang_up()
     advance(SETTLE_S)
     left_open = simulation.open
-    lost = [] if left_open else _lost_circuits(simulation)
-    servers = {one.number: fleet.status(one.number) or {} for one in day.exchanges}
+    leaked = [] if left_open else _leaked_circuits(simulation)
+    servers = {exchange.number: fleet.status(exchange.number) or {} for exchange in day.exchanges}
     fleet.close()
     simulation.close()
     if folder is not None:
@@ -178,19 +182,21 @@
         servers,
         offices,
         left_open,
-        time.perf_counter() - began,
-        lost,
+        time.perf_counter() - started,
+        leaked,
     )
 
 
-def _lost_circuits(simulation: SimulatedFleet) -> list[str]:
-    """Groups of which an end still counts circuits when no dialogue is left: counted at the offices' ends, of
-    their own and of what the call servers told them."""
-    out = []
+def _leaked_circuits(simulation: SimulatedFleet) -> list[str]:
+    """Return the trunk groups that still count circuits in use although no dialogue is left.
+
+    The offices' ends are checked: their own counts, and the counts that the call servers reported to them.
+    """
+    leaks = []
     for number, trunks in sorted(simulation.trunks.items()):
         for other, group in sorted(trunks.groups.items()):
             if group.local_count or group.remote_count:
-                out.append(
+                leaks.append(
                     f"{number}-{other}: {group.local_count} from there, {group.remote_count} from here"
                 )
-    return out
+    return leaks
--- a/wellhitch/lab/sketches.py
+++ b/wellhitch/lab/sketches.py
@@ -1,69 +1,74 @@
-"""Invertible sketches, the other way of reconciling that `ledger.reconcile` was weighed against (Eppstein and others,
-"What's the Difference?", SIGCOMM 2011). Measured beside ranges; not in service."""
+"""Invertible Bloom lookup tables, the alternative to the range comparison of `ledger.reconcile`.
+
+After Eppstein and others, "What's the Difference?", SIGCOMM 2011. Only the benchmarks use them, as a comparison.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from blake3 import blake3
 
-HASHES = 3  # cells of each item
-CELL = 4 + 16 + 4  # bytes of a cell as it would be sent: count, sum of items, sum of checks
+HASHES = 3  # cells that each item maps to
+CELL_BYTES = 4 + 16 + 4  # size of an encoded cell: count, XOR of items, XOR of checksums
 
 
-def item_of(key: bytes, digest: bytes) -> int:
-    """An item of 16 bytes."""
+def make_item(key: bytes, digest: bytes) -> int:
+    """Return the 16-byte item that stands for an entry, as an integer."""
     return int.from_bytes(blake3(key + digest).digest(16), "big")
 
 
 @dataclass(slots=True)
 class Sketch:
-    """`size` cells; items go in, the difference of two comes out where it is small enough."""
+    """A sketch of `size` cells; the difference of two sketches can be decoded if it is small enough."""
 
     size: int
     counts: list[int] = field(default_factory=list)
     sums: list[int] = field(default_factory=list)
-    checks: list[int] = field(default_factory=list)
+    checksums: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.counts, self.sums, self.checks = ([0] * self.size for _ in range(3))
+        self.counts, self.sums, self.checksums = ([0] * self.size for _ in range(3))
 
-    def _places(self, item: int) -> list[int]:
-        part = self.size // HASHES
-        return [n * part + (item >> 32 * n) % 0xFFFFFFFB % part for n in range(HASHES)]
+    def _cells(self, item: int) -> list[int]:
+        partition = self.size // HASHES
+        return [n * partition + (item >> 32 * n) % 0xFFFFFFFB % partition for n in range(HASHES)]
 
-    def put(self, items: Iterable[int], by: int = 1) -> None:
-        """Put items in, or take them out with `by` -1."""
+    def add(self, items: Iterable[int], sign: int = 1) -> None:
+        """Add items, or remove them with a `sign` of -1."""
         for item in items:
-            check = item * 0x9E3779B97F4A7C15 >> 64 & 0xFFFFFFFF
-            for at in self._places(item):
-                self.counts[at] += by
-                self.sums[at] ^= item
-                self.checks[at] ^= check
+            checksum = item * 0x9E3779B97F4A7C15 >> 64 & 0xFFFFFFFF
+            for cell in self._cells(item):
+                self.counts[cell] += sign
+                self.sums[cell] ^= item
+                self.checksums[cell] ^= checksum
 
-    def less(self, other: "Sketch") -> "Sketch":
-        """The difference of two of one size."""
-        out = Sketch(self.size)
-        for at in range(self.size):
-            out.counts[at] = self.counts[at] - other.counts[at]
-            out.sums[at] = self.sums[at] ^ other.sums[at]
-            out.checks[at] = self.checks[at] ^ other.checks[at]
-        return out
+    def subtract(self, other: "Sketch") -> "Sketch":
+        """Return the difference of two sketches of the same size."""
+        difference = Sketch(self.size)
+        for cell in range(self.size):
+            difference.counts[cell] = self.counts[cell] - other.counts[cell]
+            difference.sums[cell] = self.sums[cell] ^ other.sums[cell]
+            difference.checksums[cell] = self.checksums[cell] ^ other.checksums[cell]
+        return difference
 
-    def decoded(self) -> tuple[set[int], set[int]] | None:
-        """Items that only the first and only the second has; None where they are too many."""
+    def decode(self) -> tuple[set[int], set[int]] | None:
+        """Return the items that only the first and only the second sketch had, None if they are too many to decode."""
         first: set[int] = set()
         second: set[int] = set()
-        pure = [at for at in range(self.size) if self._pure(at)]
+        pure = [cell for cell in range(self.size) if self._pure(cell)]
         while pure:
-            at = pure.pop()
-            if not self._pure(at):
+            cell = pure.pop()
+            if not self._pure(cell):
                 continue
-            item, by = self.sums[at], self.counts[at]
-            (first if by > 0 else second).add(item)
-            self.put([item], -by)
-            pure += [place for place in self._places(item) if self._pure(place)]
+            item, sign = self.sums[cell], self.counts[cell]
+            (first if sign > 0 else second).add(item)
+            self.add([item], -sign)
+            pure += [cell for cell in self._cells(item) if self._pure(cell)]
         return None if any(self.sums) or any(self.counts) else (first, second)
 
-    def _pure(self, at: int) -> bool:
-        item = self.sums[at]
-        return abs(self.counts[at]) == 1 and self.checks[at] == item * 0x9E3779B97F4A7C15 >> 64 & 0xFFFFFFFF
+    def _pure(self, cell: int) -> bool:
+        item = self.sums[cell]
+        return (
+            abs(self.counts[cell]) == 1
+            and self.checksums[cell] == item * 0x9E3779B97F4A7C15 >> 64 & 0xFFFFFFFF
+        )
