--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -71,7 +71,7 @@
 
 
 def assert_all_booked(found: ledger_day.LedgerDayResult, killed_us: int = 0) -> None:
-    assert not found.verdict.breaks and not found.wrong
+    assert not found.verdict.breaks and not found.chain_faults
     assert ledger_day.find_discrepancies(found, killed_us) == [] and len(found.booked) > 80
     assert set(found.exported.values()) == {"2027-01"}
     # A second line for a dialogue is a correction; the sum of both is not negative.
@@ -96,7 +96,7 @@
 def test_machines_that_lose_power_lose_no_more_than_documented() -> None:
     killed = [trouble("server_killed", "3s", "1s", on=[0, 1, 2])]
     found = play_day(ALL_ACCOUNTING_FAULTS, killed, power_cuts=lambda number: True)
-    assert not found.verdict.breaks and not found.wrong
+    assert not found.verdict.breaks and not found.chain_faults
     lost = [one for one in ledger_day.find_discrepancies(found, SECOND) if "is not booked" not in one]
     assert lost == []
     # Dialogues established within the linger time before the cut may be missing: 18 a second, 20 ms.
--- a/wellhitch/lab/hook_runs.py
+++ b/wellhitch/lab/hook_runs.py
@@ -1,4 +1,4 @@
-"""A captured day's arrivals through hooks, beside no hooks or another version: what would have been said."""
+"""Evaluates hooks on the arrivals of a captured day, to compare them with no hooks or with another version."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -10,16 +10,16 @@
 from wellhitch.trunk import frames
 from wellhitch.trunk.capture import Capture, Note
 
-EXAMPLES = 10  # differences shown in full
+MAX_DIFFERENCES_SHOWN = 10
 
 
 @dataclass(slots=True)
 class Tally:
-    """What hooks said of the arrivals of one use case."""
+    """Counts of the hook results for the arrivals of one traffic class."""
 
     arrivals: int = 0
-    pushed_back: int = 0
-    renamed: int = 0
+    rejected: int = 0
+    reclassified: int = 0
     favoured: int = 0
     disfavoured: int = 0
     tags: Counter[str] = field(default_factory=Counter)
@@ -27,28 +27,33 @@
 
 @dataclass(slots=True)
 class HookRun:
-    """A whole run."""
+    """The results of one version of the hooks for all arrivals."""
 
-    by_use_case: dict[str, Tally] = field(default_factory=dict)
+    by_traffic_class: dict[str, Tally] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
-    said: list[tuple[frames.Call, HookResult]] = field(default_factory=list)
+    results: list[tuple[frames.Call, HookResult]] = field(default_factory=list)
 
 
 def arrivals(captures: list[Capture]) -> list[tuple[int, int, frames.Call]]:
-    """Every Call that callers sent, in the order of time: when, at which exchange, the call."""
-    found = [
-        (line.time_us, int(capture.facts["number"]), line.frame)
+    """Return every Call that callers sent, ordered by time, as (time in us, exchange, call)."""
+    calls = [
+        (record.time_us, int(capture.facts["number"]), record.frame)
         for capture in captures
         if capture.party == "callers"
-        for line in capture.records
-        if not isinstance(line, Note) and isinstance(line.frame, frames.Call) and line.direction == "out"
+        for record in capture.records
+        if not isinstance(record, Note)
+        and isinstance(record.frame, frames.Call)
+        and record.direction == "out"
     ]
-    return sorted(found, key=lambda one: (one[0], one[1], one[2].id))
+    return sorted(calls, key=lambda arrival: (arrival[0], arrival[1], arrival[2].id))
 
 
-def hook_inputs(call: frames.Call, number: int, t: int) -> dict[str, Any]:
-    """What an arrive hook is told of a captured call. Load is not in a capture: prices are nought, room unknown."""
-    second = t // 1_000_000
+def hook_inputs(call: frames.Call, number: int, time_us: int) -> dict[str, Any]:
+    """Return the inputs of an arrive hook for a captured call.
+
+    A capture contains no load: prices are zero and the free capacity is unknown.
+    """
+    second = time_us // 1_000_000
     return {
         "call": {
             "use_case": call.use_case,
@@ -65,7 +70,7 @@
             "minute": second // 60 % 60,
             "weekday": 1,
             "date": "2026-01-01",
-            "since_start": t,
+            "since_start": time_us,
         },
         "load": {"held": 0, "own_price": 0.0, "price_there": 0.0, "free_there": None},
         "place": {"number": number},
@@ -73,66 +78,68 @@
 
 
 def evaluate_arrivals(version: Version, captures: list[Capture]) -> HookRun:
-    """All arrivals through a version, each exchange with state of its own."""
+    """Evaluate a version of the hooks on all arrivals, with separate state for each exchange."""
     calls = arrivals(captures)
-    use_cases = frozenset(call.use_case for _, _, call in calls)
-    out = HookRun()
+    traffic_classes = frozenset(call.use_case for _, _, call in calls)
+    hook_run = HookRun()
     servers: dict[int, Hooks] = {}
-    for t, number, call in calls:
+    for time_us, number, call in calls:
         hooks = servers.get(number)
         if hooks is None:
-            hooks = servers[number] = Hooks(version, use_cases, _silent, out.counts)
-        said = hooks.evaluate("arrive", hook_inputs(call, number, t), call.tenant or call.use_case, t)
-        tally = out.by_use_case.setdefault(call.use_case, Tally())
+            hooks = servers[number] = Hooks(version, traffic_classes, _discard_log, hook_run.counts)
+        result = hooks.evaluate(
+            "arrive", hook_inputs(call, number, time_us), call.tenant or call.use_case, time_us
+        )
+        tally = hook_run.by_traffic_class.setdefault(call.use_case, Tally())
         tally.arrivals += 1
-        tally.pushed_back += said.push_back is not None
-        tally.renamed += said.use_case not in (None, call.use_case)
-        tally.favoured += said.favour > 1
-        tally.disfavoured += said.favour < 1
-        tally.tags.update(said.tags)
-        out.said.append((call, said))
-    return out
+        tally.rejected += result.push_back is not None
+        tally.reclassified += result.use_case not in (None, call.use_case)
+        tally.favoured += result.favour > 1
+        tally.disfavoured += result.favour < 1
+        tally.tags.update(result.tags)
+        hook_run.results.append((call, result))
+    return hook_run
 
 
-def _silent(event: str, **facts: Any) -> None:
+def _discard_log(event: str, **fields: Any) -> None:
     pass
 
 
-def format_run(ran: HookRun) -> str:
-    """A table of a run."""
-    out = ["use case              arrivals  pushed back  renamed  favoured  disfavoured  tags"]
-    for name, one in sorted(ran.by_use_case.items()):
-        tags = ", ".join(f"{tag} {count}" for tag, count in one.tags.most_common(4))
-        out.append(
-            f"{name:20} {one.arrivals:9} {one.pushed_back:12} {one.renamed:8} {one.favoured:9}"
-            f" {one.disfavoured:12}  {tags}"
+def format_run(hook_run: HookRun) -> str:
+    """Format a run as a table."""
+    lines = ["use case              arrivals  pushed back  renamed  favoured  disfavoured  tags"]
+    for name, tally in sorted(hook_run.by_traffic_class.items()):
+        tags = ", ".join(f"{tag} {count}" for tag, count in tally.tags.most_common(4))
+        lines.append(
+            f"{name:20} {tally.arrivals:9} {tally.rejected:12} {tally.reclassified:8} {tally.favoured:9}"
+            f" {tally.disfavoured:12}  {tags}"
         )
-    failed = {name: count for name, count in sorted(ran.counts.items()) if name != "hooks_run"}
-    out.append(
-        f"runs {ran.counts['hooks_run']}; "
+    failed = {name: count for name, count in sorted(hook_run.counts.items()) if name != "hooks_run"}
+    lines.append(
+        f"runs {hook_run.counts['hooks_run']}; "
         + (", ".join(f"{n} {c}" for n, c in failed.items()) or "none failed")
     )
-    return "\n".join(out)
+    return "\n".join(lines)
 
 
 def format_differences(before: HookRun, after: HookRun) -> str:
-    """How two runs over the same arrivals differ."""
-    differ = [(call, a, b) for (call, a), (_, b) in zip(before.said, after.said, strict=True) if a != b]
-    out = [f"{len(differ)} of {len(before.said)} arrivals would be told otherwise"]
-    out += [
+    """Format the differences between two runs over the same arrivals."""
+    differ = [(call, a, b) for (call, a), (_, b) in zip(before.results, after.results, strict=True) if a != b]
+    lines = [f"{len(differ)} of {len(before.results)} arrivals would get a different result"]
+    lines += [
         f"  {call.use_case} to {call.called}: {format_result(a)} -> {format_result(b)}"
-        for call, a, b in differ[:EXAMPLES]
+        for call, a, b in differ[:MAX_DIFFERENCES_SHOWN]
     ]
-    return "\n".join(out)
+    return "\n".join(lines)
 
 
-def format_result(said: HookResult) -> str:
-    """What was said, without what was not."""
+def format_result(result: HookResult) -> str:
+    """Format the fields of a hook result that differ from the default."""
     parts: Mapping[str, object] = {
-        "use case": said.use_case,
-        "favour": said.favour if said.favour != 1.0 else None,
-        "tags": list(said.tags) or None,
-        "push back": said.push_back,
-        "mark": said.mark,
+        "use case": result.use_case,
+        "favour": result.favour if result.favour != 1.0 else None,
+        "tags": list(result.tags) or None,
+        "push back": result.push_back,
+        "mark": result.mark,
     }
     return ", ".join(f"{name} {value}" for name, value in parts.items() if value is not None) or "nothing"
--- a/wellhitch/lab/ledger_page.py
+++ b/wellhitch/lab/ledger_page.py
@@ -37,7 +37,8 @@
     parts = [
         f"<h1>Ledger, {html.escape(period)}</h1>",
         f"<p>{states['billed']} dialogues billed, {states['open']} open, "
-        f"{states['orphan']} without a record of the origin, {len(disputes)} disputed, {len(corrected)} corrected. Total: {sum(cents.values()) / 100:.2f} "
+        f"{states['orphan']} without a record of the origin, {len(disputes)} disputed, "
+        f"{len(corrected)} corrected. Total: {sum(cents.values()) / 100:.2f} "
         f"{html.escape(currency)}.</p>",
         "<h2>By tenant</h2>",
         _bar_chart({name: count / 100 for name, count in sorted(by_tenant.items())}, currency),
--- a/wellhitch/lab/measure_hooks.py
+++ b/wellhitch/lab/measure_hooks.py
@@ -1,5 +1,8 @@
-"""Measures hooks: what a call costs by each way of running it beside the same rule in plain Python, how soon the worst
-program is stopped, and how long two hundred files take to load."""
+"""Benchmarks of hooks.
+
+They measure the cost of a call by each way of running it, with the same rule in plain Python as the baseline, the time
+to stop the worst programs, and the time to load two hundred files.
+"""
 
 import random
 import time
@@ -28,9 +31,9 @@
   return {favour: weight}
 }
 """
-"""A hook of ten lines, as staff write them."""
+"""A typical hook of ten lines."""
 
-WORST = {
+WORST_PROGRAMS = {
     "a loop that does nothing": "let n = 0 while n >= 0 { n = n + 1 n = n - 1 }",
     "an empty loop": "for i in 9000000 { }",
     "a list doubled": "let a = [1] while length(a) > 0 { a = a + a }",
@@ -44,7 +47,7 @@
 }
 
 
-def in_python(call: dict[str, Any], hour: int, own_price: float) -> dict[str, Any]:
+def run_in_python(call: dict[str, Any], hour: int, own_price: float) -> dict[str, Any]:
     """The ten-line hook as plain Python."""
     weight = 1.0
     if call["tenant"] in ("north", "south", "east"):
@@ -59,98 +62,108 @@
     return {"favour": weight}
 
 
-def _median(work: Callable[[], object], times: int) -> float:
-    """Median time of a run, in us."""
-    took = []
+def _median_us(work: Callable[[], object], times: int) -> float:
+    """Return the median time of a run in microseconds."""
+    durations_ns = []
     for _ in range(times):
-        began = time.perf_counter_ns()
+        started = time.perf_counter_ns()
         work()
-        took.append(time.perf_counter_ns() - began)
-    return sorted(took)[len(took) // 2] / 1000
+        durations_ns.append(time.perf_counter_ns() - started)
+    return sorted(durations_ns)[len(durations_ns) // 2] / 1000
 
 
 def report(times: int = 3000) -> list[str]:
-    """All measurements as lines."""
+    """Run all measurements and return the lines of the report."""
     parser = Parser()
     call = frames.Call(1, "card-lock", 3, "0800123", 3_000_000)
-    facts = hook_inputs(call, 0, 9 * 3600 * 1_000_000)
-    inputs: dict[str, Value] = {name: to_value(facts[name], t) for name, t in POINTS["arrive"].inputs.items()}
+    call_inputs = hook_inputs(call, 0, 9 * 3600 * 1_000_000)
+    inputs: dict[str, Value] = {
+        name: to_value(call_inputs[name], type_) for name, type_ in POINTS["arrive"].inputs.items()
+    }
     file = parser.parse(TEN_LINE_HOOK, "ten")
     program = compile_file(file, Budget())
-    walker = Interpreter(file, Budget())
+    interpreter = Interpreter(file, Budget())
 
-    def walk() -> None:
-        walker.budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
-        walker.run("arrive", inputs)
+    def run_interpreter() -> None:
+        interpreter.budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
+        interpreter.run("arrive", inputs)
 
     hooks = Hooks(
         load_version({"ten": TEN_LINE_HOOK}, parser), frozenset({"card-lock"}), lambda event, **f: None
     )
-    clock = [0]
+    clock_us = [0]
 
-    def host() -> None:
-        clock[0] += 10_000
-        hooks.evaluate("arrive", inputs, "k", clock[0])
+    def run_in_host() -> None:
+        clock_us[0] += 10_000
+        hooks.evaluate("arrive", inputs, "k", clock_us[0])
 
-    plain = _median(lambda: in_python(facts["call"], 9, 0.2), times)
-    out = ["a ten-line hook, median of a call"]
-    for name, took in (
-        ("plain Python", plain),
+    baseline_us = _median_us(lambda: run_in_python(call_inputs["call"], 9, 0.2), times)
+    lines = ["a ten-line hook, median of a call"]
+    for name, duration_us in (
+        ("plain Python", baseline_us),
         (
             "Python source, compiled",
-            _median(lambda: program.run("arrive", inputs, Budget(MAX_STEPS, MAX_MEMORY_CELLS)), times),
+            _median_us(lambda: program.run("arrive", inputs, Budget(MAX_STEPS, MAX_MEMORY_CELLS)), times),
         ),
-        ("tree walker", _median(walk, times)),
-        ("whole: hook, its answer, benches", _median(host, times)),
+        ("tree walker", _median_us(run_interpreter, times)),
+        ("whole: hook, its answer, benches", _median_us(run_in_host, times)),
     ):
-        out.append(f"  {name:36} {took:8.2f} us   {took / plain:5.1f} x plain Python")
-    out.append(f"time to stop the worst programs, a budget of {MAX_STEPS} steps and {MAX_MEMORY_CELLS} cells")
-    for name, body in WORST.items():
-        worst = compile_file(
+        lines.append(f"  {name:36} {duration_us:8.2f} us   {duration_us / baseline_us:5.1f} x plain Python")
+    lines.append(
+        f"time to stop the worst programs, a budget of {MAX_STEPS} steps and {MAX_MEMORY_CELLS} cells"
+    )
+    for name, body in WORST_PROGRAMS.items():
+        worst_program = compile_file(
             parser.parse("function f(x) { return f(x + 1) } on arrive { " + body + " }", "w"), Budget()
         )
-        began = time.perf_counter()
-        kind = "ended"
+        started = time.perf_counter()
+        outcome = "ended"
         try:
-            worst.run("arrive", inputs, Budget(MAX_STEPS, MAX_MEMORY_CELLS))
-        except HookError as fault:
-            kind = fault.kind
-        out.append(f"  {name:36} {(time.perf_counter() - began) * 1000:8.2f} ms   {kind}")
-    many = {f"{at:03}": TEN_LINE_HOOK for at in range(200)}
-    began = time.perf_counter()
-    load_version(many, parser)
-    out.append(f"200 hooks of ten lines read, checked and compiled in {time.perf_counter() - began:.2f} s")
-    return out
+            worst_program.run("arrive", inputs, Budget(MAX_STEPS, MAX_MEMORY_CELLS))
+        except HookError as error:
+            outcome = error.kind
+        lines.append(f"  {name:36} {(time.perf_counter() - started) * 1000:8.2f} ms   {outcome}")
+    sources = {f"{number:03}": TEN_LINE_HOOK for number in range(200)}
+    started = time.perf_counter()
+    load_version(sources, parser)
+    lines.append(
+        f"200 hooks of ten lines read, checked and compiled in {time.perf_counter() - started:.2f} s"
+    )
+    return lines
 
 
 def simulate_suspensions(
     per_s: float = 8.0, seconds: float = 600.0, keys: int = 10, seed: int = 5
 ) -> list[str]:
-    """Benches simulated: a hook that fails by chance, for one key or for all, at the rate of one exchange. Tells how
-    many of its runs failed (work for nothing) and how many that would have ended well were passed over."""
-    chance = random.Random(seed)
-    out = [f"benches over {seconds:.0f} s at {per_s:.0f} dialogues a second, {keys} keys"]
-    out.append(
+    """Simulate the suspensions of a hook that fails at random, for one key or for all, at the rate of one exchange.
+
+    The report gives the shares of dialogues for which the hook failed, for which it was skipped, and for which it was
+    skipped although it would have succeeded.
+    """
+    rng = random.Random(seed)
+    lines = [f"benches over {seconds:.0f} s at {per_s:.0f} dialogues a second, {keys} keys"]
+    lines.append(
         "  fails             of its dialogues: failed   passed over   lost, though they would have gone well"
     )
-    for whose in ("one key", "all keys"):
+    for scope in ("one key", "all keys"):
         for share in (0.01, 0.05, 0.2, 0.5, 1.0):
-            standing, now = HookSuspensions(), 0.0
-            runs = failed = passed = lost = 0
+            suspensions, now = HookSuspensions(), 0.0
+            dialogues = failed = skipped = needlessly_skipped = 0
             while now < seconds * 1e6:
-                now += chance.expovariate(per_s) * 1e6
-                key = str(chance.randrange(keys))
-                fails = chance.random() < share and (whose == "all keys" or key == "0")
-                runs += 1
-                if not standing.may_run(key, int(now)):
-                    passed += 1
-                    lost += not fails
+                now += rng.expovariate(per_s) * 1e6
+                key = str(rng.randrange(keys))
+                fails = rng.random() < share and (scope == "all keys" or key == "0")
+                dialogues += 1
+                if not suspensions.may_run(key, int(now)):
+                    skipped += 1
+                    needlessly_skipped += not fails
                 elif fails:
                     failed += 1
-                    standing.record_failure(key, int(now))
+                    suspensions.record_failure(key, int(now))
                 else:
-                    standing.record_success(key)
-            out.append(
-                f"  {share:4.0%} of {whose:9} {failed / runs:25.1%} {passed / runs:13.1%} {lost / runs:13.1%}"
+                    suspensions.record_success(key)
+            lines.append(
+                f"  {share:4.0%} of {scope:9} {failed / dialogues:25.1%} {skipped / dialogues:13.1%}"
+                f" {needlessly_skipped / dialogues:13.1%}"
             )
-    return out
+    return lines
--- a/wellhitch/lab/measure_ledger.py
+++ b/wellhitch/lab/measure_ledger.py
@@ -1,5 +1,8 @@
-"""Measures the ledger: entries a second beside the store's own rate, recovery of a million entries, verifying,
-reconciling beside other ways, and what it costs a call server."""
+"""Benchmarks of the ledger.
+
+They measure the write rate compared with the bare store, the recovery, the verification, and reconciliation compared
+with invertible sketches.
+"""
 
 import random
 import shutil
@@ -29,188 +32,203 @@
 from wellhitch.store.records import Change
 from wellhitch.store.writer import MAX_CHANGES_PER_COMMIT
 
-START = period_end("2026-11")
-ROW = 200  # bytes of a row that is fetched, about
+START_US = period_end("2026-11")
+ROW_BYTES = 200  # approximate size of a fetched row
 
 
 def _dialogues(count: int) -> Iterator[list[Change]]:
-    """Changes of dialogues as one origin sees them, two rows each."""
-    book, _ = open_journal(3, None, None, 7, NumberKeys({1: b"k" * 32}))
+    """Yield the changes of `count` dialogues as their origin records them, two rows each."""
+    journal, _ = open_journal(3, None, None, 7, NumberKeys({1: b"k" * 32}))
     for n in range(count):
-        seen = DialogueFacts("origin", 3, n, "card-lock", n % 60, f"{n:010}", 1, f"tenant-{n % 20}")
-        yield book.answered(seen, "stands", START + n * 2000, n * 2000) + book.ended(
-            "origin", 3, n, "released", START + n * 2000 + 1000, n * 2000 + 1000
+        dialogue = DialogueFacts("origin", 3, n, "card-lock", n % 60, f"{n:010}", 1, f"tenant-{n % 20}")
+        yield journal.answered(dialogue, "stands", START_US + n * 2000, n * 2000) + journal.ended(
+            "origin", 3, n, "released", START_US + n * 2000 + 1000, n * 2000 + 1000
         )
 
 
 def _commits(
-    engine: Engine, changes: Iterator[list[Change]], most: int = MAX_CHANGES_PER_COMMIT
+    engine: Engine, changes: Iterator[list[Change]], max_changes: int = MAX_CHANGES_PER_COMMIT
 ) -> tuple[int, float]:
-    """Write all in groups; how many changes, and the seconds that writing alone took."""
-    count, spent, batch = 0, 0.0, list[Change]()
+    """Write all changes in groups; return their number and the seconds spent on writing alone."""
+    count, write_s, batch = 0, 0.0, list[Change]()
 
     def commit() -> None:
-        nonlocal count, spent
-        began = time.perf_counter()
+        nonlocal count, write_s
+        started = time.perf_counter()
         engine.commit(batch)
-        spent += time.perf_counter() - began
+        write_s += time.perf_counter() - started
         count += len(batch)
         batch.clear()
         if engine.sizes().log > 4000:
             engine.checkpoint()
 
-    for some in changes:
-        batch += some
-        if len(batch) >= most:
+    for dialogue_changes in changes:
+        batch += dialogue_changes
+        if len(batch) >= max_changes:
             commit()
     if batch:
         commit()
-    return count, spent
+    return count, write_s
 
 
-def rates(folder: Path, entries: int) -> list[str]:
-    """Writing, recovery and verifying of so many entries."""
-    out = [f"{entries:,} entries on disk"]
+def measure_rates(folder: Path, entries: int) -> list[str]:
+    """Measure writing, recovery and verification of `entries` entries."""
+    lines = [f"{entries:,} entries on disk"]
     raw = Engine(str(folder / "raw"))
-    plain = ([Change("raw", n.to_bytes(20, "big"), b"x" * 120)] for n in range(entries))
-    began = time.perf_counter()
-    raw_count, raw_spent = _commits(raw, plain)
-    raw_all = time.perf_counter() - began
+    raw_changes = ([Change("raw", n.to_bytes(20, "big"), b"x" * 120)] for n in range(entries))
+    started = time.perf_counter()
+    raw_count, raw_write_s = _commits(raw, raw_changes)
+    raw_total_s = time.perf_counter() - started
     raw.close()
     engine = Engine(str(folder / "ledger"))
-    began = time.perf_counter()
-    _, spent = _commits(engine, _dialogues(entries // 2))
-    whole = time.perf_counter() - began
-    out.append(f"  store alone, records of 120 bytes     {raw_count / raw_all:10,.0f} a second")
-    out.append(
-        f"  entries, made, chained and written    {entries / whole:10,.0f} a second, {spent / whole:.0%} of it writing"
+    started = time.perf_counter()
+    _, write_s = _commits(engine, _dialogues(entries // 2))
+    total_s = time.perf_counter() - started
+    lines.append(f"  store alone, records of 120 bytes     {raw_count / raw_total_s:10,.0f} a second")
+    lines.append(
+        f"  entries, made, chained and written    {entries / total_s:10,.0f} a second, "
+        f"{write_s / total_s:.0%} of it writing"
     )
-    out.append(
-        f"  the disk has {sum(one.stat().st_size for one in folder.glob('ledger*')) / entries:.0f} bytes an entry"
+    lines.append(
+        f"  the disk has {sum(path.stat().st_size for path in folder.glob('ledger*')) / entries:.0f} bytes an entry"
     )
-    book, _ = open_journal(3, None, None, 7, NumberKeys({}))
-    engine.commit(book.heartbeat(START))
-    # As after a kill: the log is not brought in, nothing is closed.
+    journal, _ = open_journal(3, None, None, 7, NumberKeys({}))
+    engine.commit(journal.heartbeat(START_US))
+    # The state after a kill: the log is not checkpointed and nothing is closed.
     shutil.copytree(folder, folder / "killed", ignore=shutil.ignore_patterns("raw*", "killed"))
-    began = time.perf_counter()
-    again = Engine(str(folder / "killed" / "ledger"))
-    opened = time.perf_counter() - began
-    read_store(again)
-    ready = time.perf_counter() - began
-    out.append(
-        f"  recovery after a kill                 {ready:10.3f} s until entries are added again (aim 3 s), "
-        f"{opened:.3f} s of it the database's own"
+    started = time.perf_counter()
+    recovered = Engine(str(folder / "killed" / "ledger"))
+    open_s = time.perf_counter() - started
+    read_store(recovered)
+    ready_s = time.perf_counter() - started
+    lines.append(
+        f"  recovery after a kill                 {ready_s:10.3f} s until entries are added again (aim 3 s), "
+        f"{open_s:.3f} s of it the database's own"
     )
-    began, count, after = time.perf_counter(), 0, b""
+    started, count, after = time.perf_counter(), 0, b""
     while True:
-        some, last = read_digests(again, "chain", after, DIGESTS_PER_READ)
-        count += len(some)
+        digests, last = read_digests(recovered, "chain", after, DIGESTS_PER_READ)
+        count += len(digests)
         if last is None:
             break
         after = last
-    spent = time.perf_counter() - began
-    out.append(
-        f"  digests read beside the work          {count / spent:10,.0f} a second, {spent:.1f} s in all"
+    elapsed_s = time.perf_counter() - started
+    lines.append(
+        f"  digests read beside the work          {count / elapsed_s:10,.0f} a second, {elapsed_s:.1f} s in all"
     )
-    name = ChainId(3, 7)
-    began = time.perf_counter()
+    chain_id = ChainId(3, 7)
+    started = time.perf_counter()
     rows = (
-        (int.from_bytes(one[0][12:], "big"), one[2])
-        for one in again.scan("chain", name.key(), name.key((1 << 64) - 1))
-        if isinstance(one, tuple)
+        (int.from_bytes(record[0][12:], "big"), record[2])
+        for record in recovered.scan("chain", chain_id.key(), chain_id.key((1 << 64) - 1))
+        if isinstance(record, tuple)
     )
-    wrong = list(verify(name, rows))
-    spent = time.perf_counter() - began
-    out.append(
-        f"  verify                                {entries / spent:10,.0f} entries a second, {len(wrong)} faults"
+    chain_faults = list(verify(chain_id, rows))
+    elapsed_s = time.perf_counter() - started
+    lines.append(
+        f"  verify                                {entries / elapsed_s:10,.0f} entries a second, "
+        f"{len(chain_faults)} faults"
     )
-    again.close()
+    recovered.close()
     engine.close()
-    return out
+    return lines
+
 
+def _reconcile_by_ranges(
+    mine: Collection, theirs: Collection, loss: float, seed: int
+) -> tuple[int, int, int, float]:
+    """Pull until both collections are equal.
 
-def _level(mine: Collection, theirs: Collection, loss: float, seed: int) -> tuple[int, int, int, float]:
-    """Pull until level: bytes both ways without the rows, bytes of rows, rounds, seconds of processor."""
-    chance, pull, now = random.Random(seed), Pull("about/2026-12", mine), 0
-    asked = rows = 0
-    began = time.process_time()
+    Returns the bytes in both directions without the rows, the bytes of the rows, the rounds and the CPU seconds.
+    """
+    rng, pull, now = random.Random(seed), Pull("about/2026-12", mine), 0
+    message_bytes = row_bytes = 0
+    started = time.process_time()
     while not pull.done:
         for message in pull.next_requests(now):
-            asked += len(msgspec.msgpack.encode(message))
-            if chance.random() < loss:
+            message_bytes += len(msgspec.msgpack.encode(message))
+            if rng.random() < loss:
                 continue
             if isinstance(message, CompareRanges):
-                told = compare_ranges(theirs, message)
-                asked += len(msgspec.msgpack.encode(told))
-                if chance.random() >= loss:
-                    pull.apply_differences(told)
+                differences = compare_ranges(theirs, message)
+                message_bytes += len(msgspec.msgpack.encode(differences))
+                if rng.random() >= loss:
+                    pull.apply_differences(differences)
             elif isinstance(message, Fetch):
-                rows += (ROW + 24) * len(message.keys)
-                if chance.random() >= loss:
+                row_bytes += (ROW_BYTES + 24) * len(message.keys)
+                if rng.random() >= loss:
                     for key in message.keys:
                         pull.accept_row(key, theirs.get(key) or b"")
         now += RETRY_INTERVAL_US
-    return asked, rows, pull.rounds, time.process_time() - began
+    return message_bytes, row_bytes, pull.rounds, time.process_time() - started
+
 
+def _reconcile_by_sketch(
+    mine: Collection, theirs: Collection, difference_count: int
+) -> tuple[int, int, float]:
+    """Reconcile with invertible sketches, without message loss.
 
-def _by_sketch(mine: Collection, theirs: Collection, guess: int) -> tuple[int, int, float]:
-    """The same with invertible sketches, nothing lost, the size guessed well at once (an estimator would cost some
-    10 KB more) and doubled where it was too small: bytes, rounds, seconds of processor."""
-    size, sent, rounds = (guess + 6) * 3 // 2 // HASHES * HASHES, 0, 0
-    began = time.process_time()
-    own = [make_item(key, digest) for key, digest in mine.items(b"", b"")]
-    other = [make_item(key, digest) for key, digest in theirs.items(b"", b"")]
+    The first size fits the given number of differences (an estimator would cost about 10 KB more); it is doubled while
+    it is too small. Returns the bytes, the rounds and the CPU seconds.
+    """
+    size, sent_bytes, rounds = (difference_count + 6) * 3 // 2 // HASHES * HASHES, 0, 0
+    started = time.process_time()
+    own_items = [make_item(key, digest) for key, digest in mine.items(b"", b"")]
+    other_items = [make_item(key, digest) for key, digest in theirs.items(b"", b"")]
     while True:
-        there = Sketch(size)
-        there.add(other)
+        remote = Sketch(size)
+        remote.add(other_items)
         rounds += 1
-        sent += size * CELL_BYTES
-        here = Sketch(size)
-        here.add(own)
-        if there.subtract(here).decode() is not None:
-            return sent, rounds, time.process_time() - began
+        sent_bytes += size * CELL_BYTES
+        local = Sketch(size)
+        local.add(own_items)
+        if remote.subtract(local).decode() is not None:
+            return sent_bytes, rounds, time.process_time() - started
         size *= 2
 
 
-def reconciling(items: int) -> list[str]:
-    """Bytes, rounds and time to make two collections level."""
-    chance = random.Random(3)
-    whole = [(ChainId(3, 7).key(n), chance.randbytes(16)) for n in range(items)]
-    everything = items * (20 + 16)
-    out = [f"reconciling {items:,} entries; sending all keys and digests: {everything:,} bytes"]
-    out.append(
+def measure_reconciliation(items: int) -> list[str]:
+    """Measure the bytes, rounds and time to make two collections equal."""
+    rng = random.Random(3)
+    entries = [(ChainId(3, 7).key(n), rng.randbytes(16)) for n in range(items)]
+    full_bytes = items * (20 + 16)
+    lines = [f"reconciling {items:,} entries; sending all keys and digests: {full_bytes:,} bytes"]
+    lines.append(
         "  differences  loss   ranges: bytes  of all  rounds  cpu s    + rows    sketches: bytes  rounds  cpu s"
     )
     theirs = Collection()
-    theirs.extend(whole)
+    theirs.extend(entries)
     theirs.summarize(b"", b"")
     for differences in (0, 10, 1000):
-        gone = set(chance.sample(range(items), differences))
+        missing = set(rng.sample(range(items), differences))
         base = Collection()
-        base.extend(one for n, one in enumerate(whole) if n not in gone)
+        base.extend(entry for n, entry in enumerate(entries) if n not in missing)
         base.summarize(b"", b"")
         for loss in (0.0, 0.1, 0.3):
             mine = Collection(list(base.keys), list(base.digests), list(base._sums))
-            asked, rows, rounds, spent = _level(mine, theirs, loss, 1)
-            sketch = ""
+            message_bytes, row_bytes, rounds, cpu_s = _reconcile_by_ranges(mine, theirs, loss, 1)
+            sketch_columns = ""
             if loss == 0.0:
-                size, turns, cpu = _by_sketch(base, theirs, 1 + differences)
-                sketch = f"{size:15,}  {turns:6}  {cpu:5.1f}"
-            out.append(
-                f"  {differences:11}  {loss:4.0%}  {asked:14,}  {asked / everything:6.3%}  {rounds:6}  {spent:5.2f}"
-                f"  {rows:8,}  {sketch}"
+                sketch_bytes, sketch_rounds, sketch_cpu_s = _reconcile_by_sketch(
+                    base, theirs, 1 + differences
+                )
+                sketch_columns = f"{sketch_bytes:15,}  {sketch_rounds:6}  {sketch_cpu_s:5.1f}"
+            lines.append(
+                f"  {differences:11}  {loss:4.0%}  {message_bytes:14,}  {message_bytes / full_bytes:6.3%}"
+                f"  {rounds:6}  {cpu_s:5.2f}"
+                f"  {row_bytes:8,}  {sketch_columns}"
             )
-    out.append(f"  at most {MAX_FETCHED_ROWS} rows a question; a row has some {ROW} bytes")
-    return out
+    lines.append(f"  at most {MAX_FETCHED_ROWS} rows a question; a row has some {ROW_BYTES} bytes")
+    return lines
 
 
 def report(entries: int, progress: Callable[[str], None]) -> None:
-    """All of it, line by line."""
+    """Run all measurements and pass each line of the report to `progress`."""
     folder = Path(tempfile.mkdtemp(prefix="wellhitch-ledger-"))
     try:
-        for line in rates(folder, entries):
+        for line in measure_rates(folder, entries):
             progress(line)
-        for line in reconciling(entries):
+        for line in measure_reconciliation(entries):
             progress(line)
     finally:
         shutil.rmtree(folder)
