--- a/tests/test_ledger_service.py
+++ b/tests/test_ledger_service.py
@@ -12,7 +12,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from world import day, trouble
+from world import day, fault_line
 
 from wellhitch.emulator.disk import EmulatedDisk, PowerCut
 from wellhitch.emulator.loop import VirtualLoop
@@ -60,7 +60,9 @@
 # ---- whole days: bookings are compared with the captures ----
 
 TENANTS = {"tenants": ["north", "south", "east"]}
-ALL_ACCOUNTING_FAULTS = AccountingFaults(loses_answer=0.3, answers_twice=0.3, wrong_file=0.3, takes_half=0.3)
+ALL_ACCOUNTING_FAULTS = AccountingFaults(
+    loses_receipt=0.3, duplicates_receipt=0.3, sends_wrong_receipt=0.3, truncates_file=0.3
+)
 
 
 def play_day(
@@ -71,7 +73,7 @@
 
 
 def assert_all_booked(found: ledger_day.LedgerDayResult, killed_us: int = 0) -> None:
-    assert not found.verdict.breaks and not found.chain_faults
+    assert not found.verdict.violations and not found.chain_faults
     assert ledger_day.find_discrepancies(found, killed_us) == [] and len(found.booked) > 80
     assert set(found.exported.values()) == {"2027-01"}
     # A second line for a dialogue is a correction; the sum of both is not negative.
@@ -87,16 +89,19 @@
 
 
 def test_killed_call_servers_and_an_accounting_side_with_all_faults() -> None:
-    killed = [trouble("server_killed", "2s", "1s", on=[1]), trouble("server_killed", "5s", "2s", on=[2])]
+    killed = [
+        fault_line("server_killed", "2s", "1s", on=[1]),
+        fault_line("server_killed", "5s", "2s", on=[2]),
+    ]
     found = play_day(ALL_ACCOUNTING_FAULTS, killed)
     assert_all_booked(found, killed_us=SECOND)
     assert found.accounting["took_half"] and found.accounting["lost_answer"]
 
 
 def test_machines_that_lose_power_lose_no_more_than_documented() -> None:
-    killed = [trouble("server_killed", "3s", "1s", on=[0, 1, 2])]
+    killed = [fault_line("server_killed", "3s", "1s", on=[0, 1, 2])]
     found = play_day(ALL_ACCOUNTING_FAULTS, killed, power_cuts=lambda number: True)
-    assert not found.verdict.breaks and not found.chain_faults
+    assert not found.verdict.violations and not found.chain_faults
     lost = [one for one in ledger_day.find_discrepancies(found, SECOND) if "is not booked" not in one]
     assert lost == []
     # Dialogues established within the linger time before the cut may be missing: 18 a second, 20 ms.
@@ -106,7 +111,7 @@
 def test_clocks_minutes_apart_and_cut_connections_close_the_same_period() -> None:
     found = play_day(
         AccountingFaults(),
-        [trouble("link_cut", "3s", "1s")],
+        [fault_line("link_cut", "3s", "1s")],
         clock_offsets_s={1: 240.0, 2: 30.0},
         after_s=400.0,
     )
@@ -228,14 +233,14 @@
 def test_a_power_cut_at_every_write_of_a_service_keeps_the_chain_intact() -> None:
     def run(cut_at: int | None) -> tuple[EmulatedDisk, int]:
         disk = EmulatedDisk(1)
-        disk.cut_at = cut_at
+        disk.power_cut_at = cut_at
         bench = ServiceBench(disk)
         for n in range(6):
             bench.establish(n)
             bench.loop.advance(0.3)
             if n > 1:
                 bench.service.ended("origin", 3, n - 2, "released")
-        return disk, disk.ops
+        return disk, disk.operations
 
     _, ops = run(None)
     assert ops > 60
@@ -292,12 +297,12 @@
 def test_a_file_cut_at_each_byte_is_refused_and_booked_once_when_whole() -> None:
     side, data = accounting(EmulatedDisk(1)), a_file()
     for cut in range(len(data)):
-        assert side.hand_over(3, data[:cut]) == []
+        assert side.receive_file(3, data[:cut]) == []
         with pytest.raises(InvalidFileError):
             read_file(KEY, data[:cut])
-    first = side.hand_over(3, data)
-    assert side.hand_over(3, data) == first  # handed over again: the same receipt, no second booking
-    assert {one.lines for one in side.booked().values()} == {1} and len(side.booked()) == 3
+    first = side.receive_file(3, data)
+    assert side.receive_file(3, data) == first  # handed over again: the same receipt, no second booking
+    assert {one.line_count for one in side.booked_totals().values()} == {1} and len(side.booked_totals()) == 3
 
 
 def test_a_receipt_cut_at_each_byte_or_of_another_file_ends_nothing() -> None:
@@ -341,10 +346,10 @@
         if data is None:
             continue
         if rng.random() < 0.7:
-            disk.cut_at = disk.ops + rng.randrange(8)
+            disk.power_cut_at = disk.operations + rng.randrange(8)
         back: list[bytes] = []
         try:
-            back = side.hand_over(3, data)
+            back = side.receive_file(3, data)
         except (PowerCut, StoreError):
             assert disk.dead
         if disk.dead:
@@ -360,24 +365,26 @@
                 n: one for n, one in files.items() if n >= min(sender.files, default=6) - rng.randrange(2)
             }
             sender = Sender(KEY, 3, ExportProgress(5), left)
-    assert cuts and all(one.lines == 1 and one.billed == 5 * SECOND for one in side.booked().values())
-    assert len(side.booked()) == 15
+    assert cuts and all(
+        one.line_count == 1 and one.billed == 5 * SECOND for one in side.booked_totals().values()
+    )
+    assert len(side.booked_totals()) == 15
 
 
 def test_a_file_out_of_sequence_or_with_a_wrong_previous_mac_is_refused() -> None:
     side = accounting(EmulatedDisk(1))
-    assert side.hand_over(3, a_file(2)) == []
-    side.hand_over(3, a_file(1))
-    assert side.hand_over(3, a_file(2, before=b"x" * 32)) == [] and len(side.booked()) == 3
+    assert side.receive_file(3, a_file(2)) == []
+    side.receive_file(3, a_file(1))
+    assert side.receive_file(3, a_file(2, before=b"x" * 32)) == [] and len(side.booked_totals()) == 3
 
 
 def test_another_file_under_a_booked_number_gets_no_receipt_but_the_booked_ones() -> None:
     side, first = accounting(EmulatedDisk(1)), a_file(1)
     second = a_file(2, read_file(KEY, first).mac)
-    side.hand_over(3, first)
-    side.hand_over(3, second)
+    side.receive_file(3, first)
+    side.receive_file(3, second)
     other = make_file(KEY, 3, 1, "2026-12", export_lines("2026-12", [settled(900)], {}), INITIAL_MAC)
-    assert side.hand_over(3, other) == [first, second] and len(side.booked()) == 6
+    assert side.receive_file(3, other) == [first, second] and len(side.booked_totals()) == 6
     # The sender adopts them one after the other; the files it made in their place are void.
     sent = ExportProgress(1, read_file(KEY, other).mac)
     sender = Sender(KEY, 3, sent, {1: other})
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""What whole-path tests share: small days in virtual time, and two ports on an emulated network."""
+"""Shared by the end-to-end tests: small days in virtual time, and two connected channels on an emulated network."""
 
 import random
 from collections.abc import Callable
@@ -45,9 +45,9 @@
 }
 
 
-def day(n: int = 3, rate: float = 8.0, group: int = 20, setup: str = "10ms", **over: Any) -> Day:
-    """A day of `n` exchanges, all pairs linked, `rate` dialogues a second from each."""
-    plain = {
+def day(n: int = 3, rate: float = 8.0, group: int = 20, setup: str = "10ms", **overrides: Any) -> Day:
+    """A day of `n` exchanges with trunk groups between all pairs and `rate` dialogues a second from each."""
+    settings = {
         "name": "test",
         "seed": 7,
         "length": "10s",
@@ -65,93 +65,95 @@
             for i in range(n)
         ],
         "groups": [{"ends": [a, b], "size": group} for a in range(n) for b in range(a + 1, n)],
-        **over,
+        **overrides,
     }
-    made = checked.read(plain, Day, "test")
-    check(made, "test")
-    return made
+    checked_day = checked.read(settings, Day, "test")
+    check(checked_day, "test")
+    return checked_day
 
 
-def trouble(kind: str, at: str = "2s", length: str = "4s", **over: Any) -> dict[str, Any]:
-    """One trouble of a day."""
-    return {"kind": kind, "at": at, "length": length, **over}
+def fault_line(kind: str, at: str = "2s", length: str = "4s", **overrides: Any) -> dict[str, Any]:
+    """The settings of one fault of a day."""
+    return {"kind": kind, "at": at, "length": length, **overrides}
 
 
-def played(
-    made: Day,
+def play_day(
+    day: Day,
     make_switch: Callable[..., Switch] = Switch,
     clock_offsets_s: dict[int, float] | None = None,
-    meddle: Callable[[SimulatedFleet, InProcessFleet], None] | None = None,
+    prepare: Callable[[SimulatedFleet, InProcessFleet], None] | None = None,
 ) -> play.DayResult:
-    """A day in virtual time, with call servers of another make, clocks that differ, or a hand in it."""
+    """Run a day in virtual time, optionally with other call servers, with clocks that differ, or after `prepare`."""
     loop = VirtualLoop()
     try:
-        net = EmulatedNetwork(loop, made.seed, zone_delay(made), made.net.jitter)
+        net = EmulatedNetwork(loop, day.seed, zone_delay(day), day.net.jitter)
         addresses = HostAddresses()
         fleet = InProcessFleet(
             loop,
-            made,
+            day,
             addresses,
             net,
             play.null_log,
             make_switch=make_switch,
             clock_offsets_s=clock_offsets_s or {},
         )
-        simulation = SimulatedFleet(loop, made, net.at, addresses, fleet, play.EmulatedLinkFaultInjector(net))
-        if meddle:
-            meddle(simulation, fleet)
-        return play.run_day(loop, made, simulation, fleet, None, None, 0.0, loop.advance)
+        simulation = SimulatedFleet(
+            loop, day, net.for_host, addresses, fleet, play.EmulatedLinkFaultInjector(net)
+        )
+        if prepare:
+            prepare(simulation, fleet)
+        return play.run_day(loop, day, simulation, fleet, None, None, 0.0, loop.advance)
     finally:
         loop.close()
 
 
-def rules(done: play.DayResult) -> list[int]:
-    """The rules that were broken."""
-    return sorted({one.rule for one in done.verdict.breaks})
+def broken_rules(played: play.DayResult) -> list[int]:
+    """The numbers of the rules that were broken."""
+    return sorted({violation.rule for violation in played.verdict.violations})
 
 
-class Hand:
-    """An owner of ports that writes down what it is told."""
+class RecordingOwner:
+    """A channel owner that records all events."""
 
     def __init__(self) -> None:
-        self.up: list[Channel] = []
-        self.got: list[frames.AnyFrame] = []
-        self.down: list[str] = []
+        self.opened: list[Channel] = []
+        self.received: list[frames.AnyFrame] = []
+        self.close_reasons: list[str] = []
 
-    def channel_opened(self, port: Channel) -> None:
-        self.up.append(port)
+    def channel_opened(self, channel: Channel) -> None:
+        self.opened.append(channel)
 
-    def frame_received(self, port: Channel, frame: frames.AnyFrame) -> None:
+    def frame_received(self, channel: Channel, frame: frames.AnyFrame) -> None:
         if not isinstance(frame, frames.Heartbeat):
-            self.got.append(frame)
+            self.received.append(frame)
 
-    def channel_closed(self, port: Channel, why: str) -> None:
-        self.down.append(why)
+    def channel_closed(self, channel: Channel, reason: str) -> None:
+        self.close_reasons.append(reason)
 
-    def circuits_held(self, port: Channel) -> int:
+    def circuits_held(self, channel: Channel) -> int:
         return 0
 
 
-class TwoEnds:
-    """A call server's end and an office's, linked."""
+class ConnectedChannels:
+    """Two connected channels: the end of a call server and that of an office."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
         self.net = EmulatedNetwork(self.loop, 1)
-        self.server, self.office = Hand(), Hand()
-        self.net.at("o").listen("o:1", self._office, lambda listener: None)
+        self.server_owner, self.office_owner = RecordingOwner(), RecordingOwner()
+        self.net.for_host("o").listen("o:1", self._office_channel, lambda listener: None)
         self.loop.advance(0.1)
-        self.net.at("s").connect("o:1", self._server, self.server.down.append)
+        self.net.for_host("s").connect("o:1", self._server_channel, self.server_owner.close_reasons.append)
         self.loop.advance(0.1)
-        self.a, self.b = self.server.up[0], self.office.up[0]
+        self.server_channel, self.office_channel = self.server_owner.opened[0], self.office_owner.opened[0]
 
-    def _office(self) -> Channel:
-        return Channel(self.loop, self.office, frames.Hello("office", 1, 1), ("call_server",))
+    def _office_channel(self) -> Channel:
+        return Channel(self.loop, self.office_owner, frames.Hello("office", 1, 1), ("call_server",))
 
-    def _server(self) -> Channel:
-        return Channel(self.loop, self.server, frames.Hello("call_server", 0, 1), ("office",))
+    def _server_channel(self) -> Channel:
+        return Channel(self.loop, self.server_owner, frames.Hello("call_server", 0, 1), ("office",))
 
 
 def chance() -> random.Random:
-    """A seeded generator."""
+    """A random generator with a fixed seed."""
     return random.Random(5)
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -165,11 +165,11 @@
         host = f"server-{number}"
         loop = self.loop
         if self.net is not None:
-            pausable_loop = self.loops[number] = self.net.gates[host] = PausableLoop(
+            pausable_loop = self.loops[number] = self.net.party_loops[host] = PausableLoop(
                 self.loop, self.clock_offsets_s.get(number, 0.0)
             )
             loop = pausable_loop.as_loop()
-        network = self.net.at(host) if self.net is not None else LoopbackNetwork(self.loop)
+        network = self.net.for_host(host) if self.net is not None else LoopbackNetwork(self.loop)
         daemon = self.daemons[number] = Daemon(
             loop,
             network,
@@ -220,7 +220,7 @@
             daemon.kill()
             return
         host = f"server-{number}"
-        self.loops[number].gone = True
+        self.loops[number].killed = True
         daemon.stopped = True
         if daemon.settlement:
             surviving_share = self.power_cut(number)
--- a/wellhitch/lab/ledger_day.py
+++ b/wellhitch/lab/ledger_day.py
@@ -42,7 +42,7 @@
 
     def put(self, sequence: int, data: bytes) -> None:
         """See `Outbox`."""
-        self.receipts += self.accounting.hand_over(self.instance, data)
+        self.receipts += self.accounting.receive_file(self.instance, data)
 
     def take_receipts(self) -> list[bytes]:
         """See `Outbox`."""
@@ -104,23 +104,25 @@
             number: AccountingChannel(key, _InMemoryOutbox(accounting, number))
             for number, key in keys.items()
         }
-        simulation = SimulatedFleet(loop, day, net.at, addresses, fleet, EmulatedLinkFaultInjector(net), None)
+        simulation = SimulatedFleet(
+            loop, day, net.for_host, addresses, fleet, EmulatedLinkFaultInjector(net), None
+        )
         for exchange in day.exchanges:
             fleet.start(exchange.number)
         loop.advance(STARTUP_S)
-        simulation.begin()
+        simulation.start_callers()
         schedule(simulation)
         second = day.exchanges[1].number
         loop.advance(duration_us(day.length) / 2e6)
         old_disk = fleet.disks[second].after_kill()
         loop.advance(duration_us(day.length) / 2e6)
-        simulation.finish()
+        simulation.stop_new_calls()
         tail_elapsed_s = 0.0
-        while simulation.open and tail_elapsed_s < duration_us(day.tail) / 1e6:
+        while simulation.open_calls and tail_elapsed_s < duration_us(day.tail) / 1e6:
             loop.advance(0.5)
             tail_elapsed_s += 0.5
         for callers in simulation.callers.values():
-            callers.hang_up()
+            callers.hang_up_all()
         loop.advance(SETTLE_S)
         # The trunk connections no longer matter to the ledgers; the connections between call servers stay up.
         remaining_s = (
@@ -147,12 +149,12 @@
         fleet.power_cut = lambda number: None
         fleet.close()
         simulation.close()
-        captures = [read_capture(recorder.held, name) for name, recorder in simulation.recorders.items()]
+        captures = [read_capture(recorder.lines, name) for name, recorder in simulation.recorders.items()]
         chain_faults = [chain_fault for disk in fleet.disks.values() for chain_fault in verify_disk(disk)]
         return LedgerDayResult(
             judge(captures),
             established_dialogues(captures),
-            accounting.booked(),
+            accounting.booked_totals(),
             chain_faults,
             accounting.counts,
             exported,
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -55,15 +55,15 @@
     def __init__(self, net: EmulatedNetwork) -> None:
         self.net = net
 
-    def cut(self, here: str, there: str) -> int:
-        """See `LinkFaultInjector.cut`."""
-        return self.net.cut(here, there)
+    def reset_connections(self, here: str, there: str) -> int:
+        """See `LinkFaultInjector.reset_connections`."""
+        return self.net.reset_connections(here, there)
 
-    def spoil(self, here: str, there: str, what: str, how: bool | int) -> None:
-        """See `LinkFaultInjector.spoil`."""
-        setattr(self.net.spoil(here, there), what, how)
+    def set_fault(self, here: str, there: str, what: str, how: bool | int) -> None:
+        """See `LinkFaultInjector.set_fault`."""
+        setattr(self.net.faults_between(here, there), what, how)
         if what == "silent" and not how:
-            self.net.heal(here, there)
+            self.net.end_silence(here, there)
 
 
 def play_virtual(
@@ -84,7 +84,7 @@
         addresses = HostAddresses()
         fleet = InProcessFleet(loop, day, addresses, net, log)
         simulation = SimulatedFleet(
-            loop, day, net.at, addresses, fleet, EmulatedLinkFaultInjector(net), folder
+            loop, day, net.for_host, addresses, fleet, EmulatedLinkFaultInjector(net), folder
         )
         return run_day(loop, day, simulation, fleet, folder, progress, started, loop.advance)
     finally:
@@ -144,7 +144,7 @@
     for exchange in day.exchanges:
         fleet.start(exchange.number)
     advance(STARTUP_S)
-    simulation.begin()
+    simulation.start_callers()
     schedule(simulation)
     length_s = duration_us(day.length) / 1e6
     elapsed_s = 0.0
@@ -153,17 +153,17 @@
         advance(step_s)
         elapsed_s += step_s
         if progress:
-            progress(elapsed_s, simulation.open)
-    simulation.finish()
+            progress(elapsed_s, simulation.open_calls)
+    simulation.stop_new_calls()
     tail_s = duration_us(day.tail) / 1e6
     tail_elapsed_s = 0.0
-    while simulation.open and tail_elapsed_s < tail_s:
+    while simulation.open_calls and tail_elapsed_s < tail_s:
         advance(0.5)
         tail_elapsed_s += 0.5
     for callers in simulation.callers.values():
-        callers.hang_up()
+        callers.hang_up_all()
     advance(SETTLE_S)
-    left_open = simulation.open
+    left_open = simulation.open_calls
     leaked = [] if left_open else _leaked_circuits(simulation)
     servers = {exchange.number: fleet.status(exchange.number) or {} for exchange in day.exchanges}
     fleet.close()
@@ -171,9 +171,10 @@
     if folder is not None:
         captures = read_folder(folder)
     else:
-        captures = [read_capture(recorder.held, name) for name, recorder in simulation.recorders.items()]
+        captures = [read_capture(recorder.lines, name) for name, recorder in simulation.recorders.items()]
     offices = {
-        office.name: dict(office.counts) for office in [*simulation.past, *simulation.offices.values()]
+        office.name: dict(office.counts)
+        for office in [*simulation.replaced_offices, *simulation.offices.values()]
     }
     return DayResult(
         judge(captures),
--- a/wellhitch/server/switch.py
+++ b/wellhitch/server/switch.py
@@ -230,7 +230,7 @@
         return self._range_error(call) or ("" if _fits(call.tenant) else "text_too_long")
 
     def _range_error(self, frame: frames.Call | frames.Setup) -> str:
-        """Name of the first field common to Call and Setup that is out of range, or an empty string."""
+        """Counter label of the first invalid field that Call and Setup share, or an empty string."""
         if frame.use_case not in self._deadlines:
             return "unknown_use_case"
         if not 1 <= frame.width <= frames.MAX_WIDTH:
@@ -259,7 +259,7 @@
         now: int,
         favour: float = 1.0,
     ) -> None:
-        # Guards against a remaining time without bound, in which a dialogue would hold its place and circuits for ever.
+        # Guards against a remaining time without bound, in which a dialogue would hold its place and circuits forever.
         # An answer after the deadline has no value.
         left = min(left, self._deadlines[call.use_case])
         call.arrived_at, call.deadline = now, now + left
