--- a/wellhitch/lab/__init__.py
+++ b/wellhitch/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Days and experiments: call servers and stand-ins put together, played, judged and reported."""
+"""Experiments: plays simulated days with call servers and judges them, and benchmarks the parts."""
--- a/wellhitch/lab/fleet.py
+++ b/wellhitch/lab/fleet.py
@@ -155,7 +155,7 @@
     # Called for a server that is killed: the share of its unsynced writes that survives if its machine loses power,
     # None if only the process dies.
     power_cut: Callable[[int], float | None] = lambda number: None
-    # Unix time in microseconds at which the day begins: the first of December 2026.
+    # Microseconds since 1970 at which the day begins: the first of December 2026.
     wall_clock_at_start_us: int = 1_796_083_200_000_000
 
     def start(self, number: int) -> None:
