--- a/wellhitch/cli/hooks.py
+++ b/wellhitch/cli/hooks.py
@@ -26,7 +26,13 @@
 from wellhitch.hooks.tree import InvalidHooks
 from wellhitch.hooks.values import Budget, HookError, to_text
 from wellhitch.judge.page import service_page, verdict_page
-from wellhitch.lab.hook_runs import differences, facts_of, page, run, shown
+from wellhitch.lab.hook_runs import (
+    evaluate_arrivals,
+    format_differences,
+    format_result,
+    format_run,
+    hook_inputs,
+)
 from wellhitch.lab.play import play_virtual
 from wellhitch.settings.checked import InvalidSettings
 from wellhitch.store.files import read_file
@@ -178,7 +184,7 @@
         name = f"{frames.Call.__struct_fields__[int(position[1]) - 1]}: " if position else ""
         click.echo(f"--call: {name}{str(error).partition(' - at')[0]}", err=True)
         sys.exit(2)
-    facts = facts_of(call, 0, hour * 3600 * 1_000_000)
+    facts = hook_inputs(call, 0, hour * 3600 * 1_000_000)
     inputs = {name: to_value(facts[name], wanted) for name, wanted in POINTS["arrive"].inputs.items()}
     use_cases = frozenset({call.use_case, "balance-check", "card-lock", "loan-simulation"})
     for program in version.programs:
@@ -187,7 +193,7 @@
         budget = Budget(MAX_STEPS, MAX_MEMORY_CELLS)
         try:
             value = program.run("arrive", inputs, budget)
-            result = shown(parse_result("arrive", value, use_cases))
+            result = format_result(parse_result("arrive", value, use_cases))
             click.echo(
                 f"{program.file.name}: {result}  "
                 f"(returned {to_text(value, Budget())}; {MAX_STEPS - budget.steps} steps)"
@@ -225,7 +231,7 @@
         raise click.UsageError("give either --capture or --day")
     version = load_hooks(folder)
     if capture is not None:
-        click.echo(page(run(version, _captures(capture))))
+        click.echo(format_run(evaluate_arrivals(version, _captures(capture))))
         return
     assert day_file is not None
     with exit_on_invalid_settings():
@@ -233,7 +239,7 @@
         texts = read_hook_files(folder)
     without_hooks = play_virtual(msgspec.structs.replace(day, hooks={}))
     with_hooks = play_virtual(msgspec.structs.replace(day, hooks=texts))
-    click.echo(page(run(version, without_hooks.captures)))
+    click.echo(format_run(evaluate_arrivals(version, without_hooks.captures)))
     click.echo("\nwithout hooks: " + service_page(without_hooks.service))
     click.echo("\nwith hooks: " + service_page(with_hooks.service))
     click.echo(verdict_page(with_hooks.verdict))
@@ -251,7 +257,11 @@
     Example: wellhitch hooks shadow hooks/ new-hooks/ --capture /tmp/bad-day
     """
     captures = _captures(capture)
-    click.echo(differences(run(load_hooks(folder), captures), run(load_hooks(other), captures)))
+    click.echo(
+        format_differences(
+            evaluate_arrivals(load_hooks(folder), captures), evaluate_arrivals(load_hooks(other), captures)
+        )
+    )
 
 
 def _captures(folder: Path) -> list[Capture]:
