--- a/tests/test_trunk.py
+++ b/tests/test_trunk.py
@@ -16,7 +16,7 @@
     HELLO,
     frames.Heartbeat(4),
     frames.Setup(1, 0, 9, 0, "cheap", 3, "0a", 2_000_000, 1),
-    frames.Answer(1, frames.Load(wait=20)),
+    frames.Answer(1, frames.Load(queue_wait=20)),
     frames.Reject(2, "processor_full", 300),
     frames.PeerMessage(b"\x01\x00"),
     frames.OfficeList("whole", 3, [frames.OfficeListEntry("office-1", 1, "ready", None, "127.0.0.1:1")]),
@@ -81,9 +81,9 @@
     ("sent", "expected"),
     [
         ([frames.Answer(1)], "Answer before Hello"),
-        ([frames.Hello("centre", 0, 1)], "role 'centre' is not taken"),
+        ([frames.Hello("centre", 0, 1)], "role 'centre' is not accepted"),
         ([HELLO, HELLO], "a second Hello"),
-        ([HELLO, frames.Call(1, "cheap", 2, None, 10)], "Call is not for a office to say"),
+        ([HELLO, frames.Call(1, "cheap", 2, None, 10)], "role office may not send Call"),
     ],
 )
 def test_frames_out_of_order_close_the_connection_with_one_error(
