--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -468,7 +468,7 @@
 
 
 def test_a_call_with_unbounded_time_ends_at_the_deadline(server: SwitchFixture) -> None:
-    """Guards against a dialogue that keeps its circuits for ever when the office does not answer."""
+    """Guards against a dialogue that keeps its circuits forever when the office does not answer."""
     server.dial(left=1 << 62)
     server.advance(CHEAP.deadline + SECOND)
     assert server.answers == ["forfeited"] and not server.switch.calls and server.free_circuits() == 10
@@ -530,7 +530,8 @@
 def test_a_repeated_id_or_dial_ref_is_ignored_during_and_after_its_dialogue(
     server: SwitchFixture,
 ) -> None:
-    """A duplicate that came after the answer was taken for a new dialogue and answered again."""
+    """Guards against a duplicate frame that came after the answer: it started a new dialogue, answered a second
+    time."""
     server.call(id=7, destination=9)
     server.call(id=7, destination=9)
     assert server.answers == ["pushed_back"] and server.switch.counts["strays.Call"] == 1
