--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,8 +7,8 @@
 import pytest
 from world import RULES, USE_CASES, broken_rules, day, fault_line, play_day
 
-from wellhitch.lab.fleet import InProcess
-from wellhitch.lab.play import Played
+from wellhitch.lab.fleet import InProcessFleet
+from wellhitch.lab.play import DayResult
 from wellhitch.settings.day import FAULT_KINDS, Day
 from wellhitch.stand_ins.faults import FAULT_INJECTORS
 from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
@@ -16,7 +16,7 @@
 from wellhitch.trunk.capture import Note
 
 
-def frames_of(played: Played, kind: type, party: str, direction: str) -> list[Any]:
+def frames_of(played: DayResult, kind: type, party: str, direction: str) -> list[Any]:
     """The frames of one type that a party sent or received."""
     return [
         record
@@ -27,7 +27,7 @@
     ]
 
 
-def notes_of(played: Played, kind: str, party: str) -> list[Note]:
+def notes_of(played: DayResult, kind: str, party: str) -> list[Note]:
     """The notes of one kind in a party's captures."""
     found = [
         record
@@ -39,54 +39,54 @@
     return [note for note in found if note.kind == kind]
 
 
-def service_level(played: Played) -> float:
+def service_level(played: DayResult) -> float:
     return played.service.overall
 
 
-def high_setup_time(played: Played) -> int:
+def high_setup_time(played: DayResult) -> int:
     times = sorted(played.service.setup_times_us)
     return times[int(len(times) * 0.9)]
 
 
-def cut_calls(played: Played) -> int:
+def cut_calls(played: DayResult) -> int:
     return sum(outcomes.cut for outcomes in played.service.by_traffic_class.values())
 
 
-def office_counter(name: str) -> Callable[[Played], int]:
+def office_counter(name: str) -> Callable[[DayResult], int]:
     """A counter, summed over the offices."""
     return lambda played: sum(office.get(name, 0) for office in played.offices.values())
 
 
-def server_counter(name: str) -> Callable[[Played], int]:
+def server_counter(name: str) -> Callable[[DayResult], int]:
     """A counter reported by the call servers, summed."""
     return lambda played: sum(status.get("counts", {}).get(name, 0) for status in played.servers.values())
 
 
-def requested_calls(played: Played) -> int:
+def requested_calls(played: DayResult) -> int:
     return sum(outcomes.asked for outcomes in played.service.by_traffic_class.values())
 
 
-def max_calls_of_a_server(played: Played) -> int:
+def max_calls_of_a_server(played: DayResult) -> int:
     return max(status.get("counts", {}).get("taken", 0) for status in played.servers.values())
 
 
-def short_attempts(played: Played) -> int:
+def short_attempts(played: DayResult) -> int:
     return sum(record.frame.left < 2_000_000 for record in frames_of(played, frames.Call, "callers", "out"))
 
 
-def replacement_offices(played: Played) -> int:
+def replacement_offices(played: DayResult) -> int:
     return sum("." in name for name in played.offices)
 
 
-def surplus_answers(played: Played) -> int:
+def surplus_answers(played: DayResult) -> int:
     return len(frames_of(played, frames.Answer, "office", "out")) - office_counter("answered")(played)
 
 
-def skipped_lists(played: Played) -> int:
+def skipped_lists(played: DayResult) -> int:
     return server_counter("lists_skipped")(played)
 
 
-def outdated_reports(played: Played) -> int:
+def outdated_reports(played: DayResult) -> int:
     """How many reports state no wait although the processor is busy, because they are outdated."""
     loads = [
         record.frame.load.wait
@@ -99,15 +99,15 @@
 PEERS_ALLOWED = {"limits": {"may_tell_peers": True}}
 
 
-def missing_peer_messages(played: Played) -> int:
+def missing_peer_messages(played: DayResult) -> int:
     return -server_counter("event.PeerSaid")(played)
 
 
-def lost_connections(played: Played) -> int:
+def lost_connections(played: DayResult) -> int:
     return len(notes_of(played, "down", "office"))
 
 
-def longest_answer_gap(played: Played) -> int:
+def longest_answer_gap(played: DayResult) -> int:
     """The longest time between two answers to one exchange's callers."""
     result = 0
     for capture in played.captures:
@@ -121,7 +121,7 @@
     return result
 
 
-def max_lateness(played: Played) -> int:
+def max_lateness(played: DayResult) -> int:
     """The lateness of the latest answer relative to its deadline; negative when all are in time."""
     open_calls, result = dict[tuple[str, int], tuple[int, int]](), -(1 << 40)
     for capture in played.captures:
@@ -137,7 +137,7 @@
     return result
 
 
-FAULT_CASES: dict[str, tuple[dict[str, Any], Callable[[Played], float], dict[str, Any]]] = {
+FAULT_CASES: dict[str, tuple[dict[str, Any], Callable[[DayResult], float], dict[str, Any]]] = {
     "slow": ({"size": 8, "on": [1]}, high_setup_time, {}),
     "hang": ({"on": [1]}, lambda played: -service_level(played), {}),
     "answer_lost": ({"size": 0.4}, office_counter("answers_lost"), {}),
@@ -200,13 +200,13 @@
     faulty = play_day(day(**overrides, troubles=[*other_faults, fault_line(kind, **line)]))
     assert baseline.verdict.violations == [] and faulty.verdict.violations == []
     assert measure(faulty) > measure(baseline), f"{measure(faulty)} with {kind}, {measure(baseline)} without"
-    assert not faulty.left_open and not faulty.lost_circuits
+    assert not faulty.left_open and not faulty.leaked_circuits
 
 
 # ---- determinism ----
 
 
-def digest(played: Played) -> str:
+def digest(played: DayResult) -> str:
     return hashlib.sha256(
         repr([(capture.name, capture.records) for capture in played.captures]).encode()
     ).hexdigest()
@@ -253,7 +253,7 @@
     kills = [fault_line("server_killed", length="2s", on=[2])]
     played = play_day(day(groups=groups, limits=limits, rate=12, troubles=kills))
     assert played.verdict.violations == [] and played.verdict.examined["transits"] > 50
-    assert cut_calls(played) > 5 and not played.lost_circuits and not played.left_open
+    assert cut_calls(played) > 5 and not played.leaked_circuits and not played.left_open
 
 
 def test_a_restarted_call_server_reuses_no_dialogue_id() -> None:
@@ -268,7 +268,7 @@
 
 def test_a_link_flaps_faster_than_the_release_wait() -> None:
     played = play_day(day(rate=15, troubles=[fault_line("link_cut", size=30, extra=0.12, on=[1])]))
-    assert played.verdict.violations == [] and not played.lost_circuits
+    assert played.verdict.violations == [] and not played.leaked_circuits
     assert lost_connections(played) >= 40
 
 
@@ -293,7 +293,7 @@
 
 def test_call_servers_with_clocks_an_hour_apart() -> None:
     settings = mixed_day()
-    skewed = play_day(settings, clocks={0: 3600.0, 1: 0.0, 2: -0.5 + 7200.0})
+    skewed = play_day(settings, clock_offsets_s={0: 3600.0, 1: 0.0, 2: -0.5 + 7200.0})
     assert skewed.verdict.violations == []
     assert abs(service_level(skewed) - service_level(play_day(settings))) < 0.05
 
@@ -331,7 +331,7 @@
         if overrides.get("n") != 1
         else single_exchange_day()
     )
-    assert played.verdict.violations == [] and not played.left_open and not played.lost_circuits
+    assert played.verdict.violations == [] and not played.left_open and not played.leaked_circuits
     assert all(not status["counts"].get("decision_faults") for status in played.servers.values())
 
 
@@ -361,7 +361,7 @@
 def test_the_status_for_operators_is_complete() -> None:
     status: dict[str, Any] = {}
 
-    def read_status(simulation: SimulatedFleet, fleet: InProcess) -> None:
+    def read_status(simulation: SimulatedFleet, fleet: InProcessFleet) -> None:
         simulation.loop.call_later(6, lambda: status.update(fleet.daemons[0].status()))
 
     play_day(day(), prepare=read_status)
@@ -404,4 +404,4 @@
     groups = [{"ends": [0, 2], "size": 40}, {"ends": [1, 2], "size": 40}]
     for overrides in ({}, {"groups": groups, "limits": {"may_tell_peers": True}}):
         played = play_day(day(rate=15, setup="1ms", troubles=faults, **overrides))
-        assert played.verdict.violations == [] and not played.left_open and not played.lost_circuits
+        assert played.verdict.violations == [] and not played.left_open and not played.leaked_circuits
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,7 +8,7 @@
 
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
-from wellhitch.lab.fleet import HostAddresses, sheet_of
+from wellhitch.lab.fleet import HostAddresses, server_settings
 from wellhitch.server.daemon import MAX_CONNECTIONS, Daemon, ServerAddresses
 from wellhitch.settings.server import start_event
 from wellhitch.trunk import frames
@@ -195,7 +195,7 @@
     daemon = Daemon(
         loop,
         net.for_host("s"),
-        start_event(sheet_of(day(), 0, HostAddresses())),
+        start_event(server_settings(day(), 0, HostAddresses())),
         addresses,
         10,
         1,
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from wellhitch.lab.loopback import own_address
+from wellhitch.lab.loopback import allocate_loopback_address
 from wellhitch.net.transport import split_address
 from wellhitch.platform.configuration import read_configuration
 from wellhitch.settings.checked import InvalidSettings
@@ -93,9 +93,12 @@
 
 def test_configuration_is_read_and_numbers_may_be_text(tmp_path: Path) -> None:
     configuration = read_configuration(write_configuration(tmp_path, configuration_file()))
-    assert configuration.opened.seed == 0x8C1F30D27A5BE964 and configuration.opened.topology.peer_count == 2
     assert (
-        configuration.opened.traffic_classes[0].target_latency == 380_000
+        configuration.server_started.seed == 0x8C1F30D27A5BE964
+        and configuration.server_started.topology.peer_count == 2
+    )
+    assert (
+        configuration.server_started.traffic_classes[0].target_latency == 380_000
         and configuration.connect_timeout_us == 500_000
     )
     assert configuration.revision == 1 and configuration.known_updates[0].entries[0].id == "s-00000000"
@@ -172,7 +175,7 @@
 
     def __init__(self, folder: Path, max_files: int = 256) -> None:
         self.discovery = socket.create_server(("127.0.0.1", 0))
-        listen = own_address()
+        listen = allocate_loopback_address()
         self.address = split_address(listen)
         self.configuration_file = configuration_file(
             listen=listen,
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -17,7 +17,7 @@
 from world import USE_CASES, day, fault_line, play_day
 
 from wellhitch.hooks.state_file import decode_state
-from wellhitch.lab.fleet import LoopbackAddresses, sheet_of
+from wellhitch.lab.fleet import LoopbackAddresses, server_settings
 from wellhitch.lab.play import play_sockets
 from wellhitch.settings.server import LedgerSettings
 
@@ -33,7 +33,7 @@
     sheet = small_day(troubles=[fault_line("answer_lost", at="1s", length="1s", size=0.3)])
     real, virtual = play_sockets(sheet, tmp_path, processes=False), play_day(sheet)
     assert real.verdict.violations == [] and virtual.verdict.violations == []
-    assert not real.left_open and not real.lost_circuits
+    assert not real.left_open and not real.leaked_circuits
     # The callers' random numbers are the same, so they request the same dialogues, except at the very end.
     asked = [sum(one.asked for one in done.service.by_traffic_class.values()) for done in (real, virtual)]
     assert abs(asked[0] - asked[1]) <= max(asked) // 2
@@ -57,7 +57,7 @@
     """A single call server in a process, without a register."""
     addresses = LoopbackAddresses()
     sheet = tmp_path / "x.jsonnet"
-    sheet.write_bytes(msgspec.json.encode(sheet_of(small_day(), 0, addresses)))
+    sheet.write_bytes(msgspec.json.encode(server_settings(small_day(), 0, addresses)))
     log = tmp_path / "log"
     with log.open("wb") as out:
         process = subprocess.Popen([sys.executable, "-m", "wellhitch", "serve", str(sheet)], stderr=out)
@@ -150,7 +150,7 @@
 def test_damaged_hook_state_is_dropped_and_logged_and_written_again_at_exit(tmp_path: Path) -> None:
     addresses = LoopbackAddresses()
     hooks = {"a": 'on tick { remember("ticks", recall("ticks", 0) + 1, 1h) }'}
-    sheet = msgspec.structs.replace(sheet_of(small_day(hooks=hooks), 0, addresses), hooks_state="kept")
+    sheet = msgspec.structs.replace(server_settings(small_day(hooks=hooks), 0, addresses), hooks_state="kept")
     (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(sheet))
     (tmp_path / "kept").write_bytes(b"\x00garbage")
     log = tmp_path / "log"
@@ -173,7 +173,7 @@
 def test_a_call_server_with_a_ledger_stops_in_time_and_loses_nothing(tmp_path: Path) -> None:
     """Guards against a lost notification that all is on disk: each stop took 10 s and ended in a traceback."""
     addresses = LoopbackAddresses()
-    sheet = sheet_of(small_day(), 0, addresses)
+    sheet = server_settings(small_day(), 0, addresses)
     sheet = msgspec.structs.replace(sheet, ledger=LedgerSettings("kept", [0]))
     (tmp_path / "x.jsonnet").write_bytes(msgspec.json.encode(sheet))
     log = tmp_path / "log"
--- a/tests/world.py
+++ b/tests/world.py
@@ -7,7 +7,7 @@
 from wellhitch.emulator.loop import VirtualLoop
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.lab import play
-from wellhitch.lab.fleet import HostAddresses, InProcess, zone_delay
+from wellhitch.lab.fleet import HostAddresses, InProcessFleet, zone_delay
 from wellhitch.server.switch import Switch
 from wellhitch.settings import checked
 from wellhitch.settings.day import Day, check
@@ -80,26 +80,34 @@
 def play_day(
     day: Day,
     make_switch: Callable[..., Switch] = Switch,
-    clocks: dict[int, float] | None = None,
-    prepare: Callable[[SimulatedFleet, InProcess], None] | None = None,
-) -> play.Played:
+    clock_offsets_s: dict[int, float] | None = None,
+    prepare: Callable[[SimulatedFleet, InProcessFleet], None] | None = None,
+) -> play.DayResult:
     """Run a day in virtual time, optionally with other call servers, with clocks that differ, or after `prepare`."""
     loop = VirtualLoop()
     try:
         net = EmulatedNetwork(loop, day.seed, zone_delay(day), day.net.jitter)
         addresses = HostAddresses()
-        fleet = InProcess(
-            loop, day, addresses, net, play.quiet_log, make_switch=make_switch, clocks=clocks or {}
+        fleet = InProcessFleet(
+            loop,
+            day,
+            addresses,
+            net,
+            play.null_log,
+            make_switch=make_switch,
+            clock_offsets_s=clock_offsets_s or {},
+        )
+        simulation = SimulatedFleet(
+            loop, day, net.for_host, addresses, fleet, play.EmulatedLinkFaultInjector(net)
         )
-        simulation = SimulatedFleet(loop, day, net.for_host, addresses, fleet, play.VirtualWire(net))
         if prepare:
             prepare(simulation, fleet)
-        return play._run(loop, day, simulation, fleet, None, None, 0.0, loop.advance)
+        return play.run_day(loop, day, simulation, fleet, None, None, 0.0, loop.advance)
     finally:
         loop.close()
 
 
-def broken_rules(played: play.Played) -> list[int]:
+def broken_rules(played: play.DayResult) -> list[int]:
     """The numbers of the rules that were broken."""
     return sorted({violation.rule for violation in played.verdict.violations})
 
--- a/wellhitch/cli/ledger.py
+++ b/wellhitch/cli/ledger.py
@@ -18,7 +18,7 @@
 from wellhitch.cli.errors import exit_on_invalid_settings
 from wellhitch.cli.serve import read_export_key, read_number_keys
 from wellhitch.lab import ledger_day
-from wellhitch.lab.ledger_page import page
+from wellhitch.lab.ledger_page import month_report
 from wellhitch.ledger import reader
 from wellhitch.ledger.entries import Answered
 from wellhitch.ledger.outbox import quarantine, write_atomically
@@ -218,7 +218,9 @@
     if len(unrated) > MAX_LISTED:
         click.echo(f"and {len(unrated) - MAX_LISTED} more without a price", err=True)
     if out:
-        out.write_text(page(period or "all time", prices.currency, lines, cents, settled), encoding="utf-8")
+        out.write_text(
+            month_report(period or "all time", prices.currency, lines, cents, settled), encoding="utf-8"
+        )
         click.echo(f"written: {out}", err=True)
     sys.exit(1 if unrated else 0)
 
@@ -312,7 +314,7 @@
     for message in [*result.faults, *result.wrong, *result.lost][:MAX_LISTED]:
         click.echo(message)
     click.echo(
-        f"{result.stood} dialogues were established by the captures, {result.billed} are billed; "
+        f"{result.established} dialogues were established by the captures, {result.billed} are billed; "
         f"{len(result.lost)} lost with {result.killed} killed processes, {len(result.wrong)} billed wrongly, "
         f"{len(result.faults)} faults"
     )
--- a/wellhitch/lab/play.py
+++ b/wellhitch/lab/play.py
@@ -1,4 +1,4 @@
-"""Plays a day: stand-ins and call servers on one network, then the judge over what was captured."""
+"""Plays a day: runs the simulated parties and the call servers on one network, then judges the captures."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.judge.rules import Verdict, judge
 from wellhitch.judge.service import Service, service
-from wellhitch.lab.fleet import HostAddresses, InProcess, LoopbackAddresses, Processes, zone_delay
+from wellhitch.lab.fleet import HostAddresses, InProcessFleet, LoopbackAddresses, ProcessFleet, zone_delay
 from wellhitch.net.collector import startup_objects_frozen
 from wellhitch.net.transport import LoopbackNetwork
 from wellhitch.server.daemon import Log
@@ -21,14 +21,14 @@
 from wellhitch.stand_ins.simulated_fleet import SimulatedFleet
 from wellhitch.trunk.capture import Capture, read_capture, read_folder
 
-COME_UP_S = 3.0  # until all links stand, before the first caller
-LAST_S = 2.0  # after the last caller hung up: releases and counts are on their way
-LOOPBACK_WAY = 30_000  # us; a busy loop on a shared machine is the way's time there
+STARTUP_S = 3.0  # for all connections to be established before the first call
+SETTLE_S = 2.0  # for releases and circuit counts in transit after the last caller hung up
+LOOPBACK_DELAY_US = 30_000  # on loopback the delay is that of a busy event loop on a shared machine
 
 
 @dataclass
-class Played:
-    """What a day left."""
+class DayResult:
+    """The outcome of a played day."""
 
     verdict: Verdict
     service: Service
@@ -37,11 +37,11 @@
     offices: dict[str, dict[str, int]]
     left_open: int
     seconds: float
-    lost_circuits: list[str] = field(default_factory=list)
+    leaked_circuits: list[str] = field(default_factory=list)
 
 
-def quiet_log(number: int) -> Log:
-    """A log that is not kept."""
+def null_log(number: int) -> Log:
+    """Return a log function that discards its events."""
 
     def log(event: str, **facts: Any) -> None:
         pass
@@ -49,18 +49,18 @@
     return log
 
 
-class VirtualWire:
-    """InvalidSettings of links on the emulated network."""
+class EmulatedLinkFaultInjector:
+    """Injects faults into the connections of the emulated network."""
 
     def __init__(self, net: EmulatedNetwork) -> None:
         self.net = net
 
     def reset_connections(self, here: str, there: str) -> int:
-        """As `LinkFaultInjector`."""
+        """See `LinkFaultInjector.reset_connections`."""
         return self.net.reset_connections(here, there)
 
     def set_fault(self, here: str, there: str, what: str, how: bool | int) -> None:
-        """As `LinkFaultInjector`."""
+        """See `LinkFaultInjector.set_fault`."""
         setattr(self.net.faults_between(here, there), what, how)
         if what == "silent" and not how:
             self.net.end_silence(here, there)
@@ -69,19 +69,24 @@
 def play_virtual(
     day: Day,
     folder: Path | None = None,
-    log: Callable[[int], Log] = quiet_log,
+    log: Callable[[int], Log] = null_log,
     progress: Callable[[float, int], None] | None = None,
     speed: float = 0.0,
-) -> Played:
-    """A day in virtual time: the same on every run, as fast as it goes, or `speed` times as fast as a clock."""
-    began = time.perf_counter()
+) -> DayResult:
+    """Play a day in virtual time, with the same result on every run.
+
+    It runs as fast as possible, or `speed` times as fast as real time if `speed` is not zero.
+    """
+    started = time.perf_counter()
     loop = VirtualLoop((lambda seconds: time.sleep(seconds / speed)) if speed else None)
     try:
         net = EmulatedNetwork(loop, day.seed, zone_delay(day), day.net.jitter)
         addresses = HostAddresses()
-        fleet = InProcess(loop, day, addresses, net, log)
-        simulation = SimulatedFleet(loop, day, net.for_host, addresses, fleet, VirtualWire(net), folder)
-        return _run(loop, day, simulation, fleet, folder, progress, began, loop.advance)
+        fleet = InProcessFleet(loop, day, addresses, net, log)
+        simulation = SimulatedFleet(
+            loop, day, net.for_host, addresses, fleet, EmulatedLinkFaultInjector(net), folder
+        )
+        return run_day(loop, day, simulation, fleet, folder, progress, started, loop.advance)
     finally:
         loop.close()
 
@@ -90,16 +95,20 @@
     day: Day,
     folder: Path,
     processes: bool,
-    log: Callable[[int], Log] = quiet_log,
+    log: Callable[[int], Log] = null_log,
     progress: Callable[[float, int], None] | None = None,
-) -> Played:
-    """A day on real loopback sockets, in its own time."""
-    began = time.perf_counter()
+) -> DayResult:
+    """Play a day on loopback sockets in real time; with `processes`, each call server runs in a separate process."""
+    started = time.perf_counter()
     loop = asyncio.new_event_loop()
-    fleet: InProcess | Processes | None = None
+    fleet: InProcessFleet | ProcessFleet | None = None
     try:
         addresses = LoopbackAddresses()
-        fleet = Processes(day, addresses, folder) if processes else InProcess(loop, day, addresses, None, log)
+        fleet = (
+            ProcessFleet(day, addresses, folder)
+            if processes
+            else InProcessFleet(loop, day, addresses, None, log)
+        )
         simulation = _SocketFleet(
             loop, day, lambda host: LoopbackNetwork(loop), addresses, fleet, None, folder
         )
@@ -107,8 +116,8 @@
         def advance(seconds: float) -> None:
             loop.run_until_complete(asyncio.sleep(seconds))
 
-        with startup_objects_frozen():  # a stand-in that is late is taken for a call server that is
-            return _run(loop, day, simulation, fleet, folder, progress, began, advance)
+        with startup_objects_frozen():  # a late simulated party would look like a late call server
+            return run_day(loop, day, simulation, fleet, folder, progress, started, advance)
     finally:
         if fleet is not None:
             fleet.close()
@@ -118,44 +127,45 @@
 
 class _SocketFleet(SimulatedFleet):
     def ways(self) -> tuple[int, int]:
-        return LOOPBACK_WAY, LOOPBACK_WAY
+        return LOOPBACK_DELAY_US, LOOPBACK_DELAY_US
 
 
-def _run(
+def run_day(
     loop: asyncio.AbstractEventLoop,
     day: Day,
     simulation: SimulatedFleet,
-    fleet: InProcess | Processes,
+    fleet: InProcessFleet | ProcessFleet,
     folder: Path | None,
     progress: Callable[[float, int], None] | None,
-    began: float,
+    started: float,
     advance: Callable[[float], None],
-) -> Played:
-    for one in day.exchanges:
-        fleet.start(one.number)
-    advance(COME_UP_S)
+) -> DayResult:
+    """Run a day whose call servers and simulated parties are set up; `advance` runs the loop for so many seconds."""
+    for exchange in day.exchanges:
+        fleet.start(exchange.number)
+    advance(STARTUP_S)
     simulation.start_callers()
     schedule(simulation)
-    whole = duration_us(day.length) / 1e6
-    done = 0.0
-    while done < whole:
-        step = min(1.0, whole - done)
-        advance(step)
-        done += step
+    length_s = duration_us(day.length) / 1e6
+    elapsed_s = 0.0
+    while elapsed_s < length_s:
+        step_s = min(1.0, length_s - elapsed_s)
+        advance(step_s)
+        elapsed_s += step_s
         if progress:
-            progress(done, simulation.open_calls)
+            progress(elapsed_s, simulation.open_calls)
     simulation.stop_new_calls()
-    tail = duration_us(day.tail) / 1e6
-    spent = 0.0
-    while simulation.open_calls and spent < tail:
+    tail_s = duration_us(day.tail) / 1e6
+    tail_elapsed_s = 0.0
+    while simulation.open_calls and tail_elapsed_s < tail_s:
         advance(0.5)
-        spent += 0.5
+        tail_elapsed_s += 0.5
     for callers in simulation.callers.values():
         callers.hang_up_all()
-    advance(LAST_S)
+    advance(SETTLE_S)
     left_open = simulation.open_calls
-    lost = [] if left_open else _lost_circuits(simulation)
-    servers = {one.number: fleet.status(one.number) or {} for one in day.exchanges}
+    leaked = [] if left_open else _leaked_circuits(simulation)
+    servers = {exchange.number: fleet.status(exchange.number) or {} for exchange in day.exchanges}
     fleet.close()
     simulation.close()
     if folder is not None:
@@ -166,26 +176,28 @@
         office.name: dict(office.counts)
         for office in [*simulation.replaced_offices, *simulation.offices.values()]
     }
-    return Played(
+    return DayResult(
         judge(captures),
         service(captures),
         captures,
         servers,
         offices,
         left_open,
-        time.perf_counter() - began,
-        lost,
+        time.perf_counter() - started,
+        leaked,
     )
 
 
-def _lost_circuits(simulation: SimulatedFleet) -> list[str]:
-    """Groups of which an end still counts circuits when no dialogue is left: counted at the offices' ends, of
-    their own and of what the call servers told them."""
-    out = []
+def _leaked_circuits(simulation: SimulatedFleet) -> list[str]:
+    """Return the trunk groups that still count circuits in use although no dialogue is left.
+
+    The offices' ends are checked: their own counts, and the counts that the call servers reported to them.
+    """
+    leaks = []
     for number, trunks in sorted(simulation.trunks.items()):
         for other, group in sorted(trunks.groups.items()):
             if group.local_count or group.remote_count:
-                out.append(
+                leaks.append(
                     f"{number}-{other}: {group.local_count} from there, {group.remote_count} from here"
                 )
-    return out
+    return leaks
--- a/wellhitch/lab/trials/fleet.py
+++ b/wellhitch/lab/trials/fleet.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from wellhitch.lab.loopback import own_address, own_host
+from wellhitch.lab.loopback import allocate_loopback_address, process_loopback_host
 from wellhitch.lab.trials.client import Clients, ClientTrait, bad_client
 from wellhitch.lab.trials.discovery import Discovery, EndpointEntry, EndpointState
 from wellhitch.lab.trials.endpoint import Endpoint, EndpointTraits
@@ -129,13 +129,13 @@
         self.endpoints = [self._new_endpoint(cell) for cell in range(plan.endpoints)]
         self.states = {endpoint.id: EndpointState.UP for endpoint in self.endpoints}
         self.started_ms = {endpoint.id: 0 for endpoint in self.endpoints}
-        self.discovery = Discovery(self.loop, self.records, own_host(), server_names)
+        self.discovery = Discovery(self.loop, self.records, process_loopback_host(), server_names)
         self.discovery.publish(*(self._entry(endpoint) for endpoint in self.endpoints))
         self.servers = [
             CallServer(
                 name,
                 cell,
-                own_address(),
+                allocate_loopback_address(),
                 self.folder,
                 self.records,
                 settings_for(plan, cell),
@@ -167,7 +167,14 @@
         endpoint_id = f"s-{self.rng.getrandbits(32):08x}"
         rng = random.Random(self.rng.getrandbits(32))
         return Endpoint(
-            self.loop, self.records, rng, endpoint_id, own_host(), cell, self.server_names, self.traits
+            self.loop,
+            self.records,
+            rng,
+            endpoint_id,
+            process_loopback_host(),
+            cell,
+            self.server_names,
+            self.traits,
         )
 
     def _entry(self, endpoint: Endpoint) -> EndpointEntry:
