--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from world import RULES, USE_CASES, day, play_day
 
 from wellhitch.cli.main import main
-from wellhitch.lab.fleet import HostAddresses, sheet_of
+from wellhitch.lab.fleet import HostAddresses, server_settings
 from wellhitch.lab.from_bench import convert
 from wellhitch.settings import checked, server
 from wellhitch.settings.checked import InvalidSettings
@@ -130,7 +130,7 @@
 
 
 def test_settings_of_a_call_server_are_made_from_a_day() -> None:
-    settings = sheet_of(day(), 1, HostAddresses())
+    settings = server_settings(day(), 1, HostAddresses())
     assert settings.doors.callers == "server-1:2" and settings.peers == 2
 
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -13,8 +13,8 @@
 from wellhitch.deciding import runner as runner_module
 from wellhitch.emulator.network import EmulatedNetwork
 from wellhitch.interface import events as ev
-from wellhitch.lab.fleet import InProcess
-from wellhitch.lab.play import Played
+from wellhitch.lab.fleet import InProcessFleet
+from wellhitch.lab.play import DayResult
 from wellhitch.server.dials import DialState, PendingDial
 from wellhitch.server.switch import Switch
 from wellhitch.settings.day import Day, FaultSettings
@@ -54,7 +54,7 @@
             extra_settings = {"hooks": {"a": "on arrive { return {favour: 1 / length([])} }"}}
         self.day: Day = day(rate=12, length="3s", tail="12s", **settings, **extra_settings, **over)
         self.simulation: SimulatedFleet
-        self.fleet: InProcess
+        self.fleet: InProcessFleet
         self.injected = False
         self.raise_in_decision = False
         self.leftovers: list[str] = []
@@ -161,7 +161,7 @@
 
     # -- the day --
 
-    def prepare(self, simulation: SimulatedFleet, fleet: InProcess) -> None:
+    def prepare(self, simulation: SimulatedFleet, fleet: InProcessFleet) -> None:
         self.simulation, self.fleet = simulation, fleet
         status = fleet.status
 
@@ -204,7 +204,7 @@
                 ):
                     yield name
 
-    def play(self) -> Played:
+    def play(self) -> DayResult:
         unpatched = runner_module.decide
 
         def decide(exchange: Any, event: Any, now: int) -> Any:
@@ -348,7 +348,7 @@
     played = injection.play()
     assert injection.injected, "the stage was never reached"
     assert played.verdict.violations == [] and played.verdict.examined["dialogues"] > 30
-    assert injection.leftovers == [] and not played.left_open and not played.lost_circuits
+    assert injection.leftovers == [] and not played.left_open and not played.leaked_circuits
 
 
 class NeverReleasesCircuits(Switch):
