--- a/wellhitch/server/daemon.py
+++ b/wellhitch/server/daemon.py
@@ -161,7 +161,7 @@
         )
         if len(self.accepted_channels) >= MAX_CONNECTIONS:
             # Guards against running out of descriptors for the open connections and for those this server must open.
-            channel.refusal_reason = f"{MAX_CONNECTIONS} connections are open here already"
+            channel.refusal_reason = f"{MAX_CONNECTIONS} links stand here already"
             self.switch.counts["links_refused"] += 1
         else:
             self.accepted_channels[channel] = None
--- a/wellhitch/trunk/connection.py
+++ b/wellhitch/trunk/connection.py
@@ -96,7 +96,8 @@
         return received
 
     def _violation(self, frame: frames.AnyFrame) -> tuple[str, bool]:
-        """What is wrong with a frame in this state, if anything, and whether the other end is notified."""
+        """What is wrong with a frame in this state, if anything, and whether the other end is notified. It gets the
+        text in a Fault frame, so that text is part of the protocol."""
         name = frame.__struct_config__.tag
         if isinstance(frame, frames.Fault):
             return f"reported by the other end: {frame.text[:200]}", False
@@ -105,13 +106,13 @@
                 return f"{name} before Hello", True
             if frame.role not in self.accepted_roles:
                 return (
-                    f"role {frame.role[:40]!r} is not accepted here, but {' or '.join(self.accepted_roles)}",
+                    f"role {frame.role[:40]!r} is not taken here, but {' or '.join(self.accepted_roles)}",
                     True,
                 )
         elif isinstance(frame, frames.Hello):
             return "a second Hello", True
         elif not isinstance(frame, self._allowed):
-            return f"{name} may not be sent by role {self.peer.role if self.peer else '?'} here", True
+            return f"{name} is not for a {self.peer.role if self.peer else '?'} to say here", True
         return "", False
 
     def timed_out(self, now: int) -> bool:
